--- a/beechrock/limits/__init__.py
+++ b/beechrock/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Contracts of many teams: rates, hours, fair shares, budgets; docs/contracts.md is the page."""
+"""Contracts of many teams: rates, hours, fair shares and budgets; docs/contracts.md describes them."""
--- a/beechrock/limits/budgets.py
+++ b/beechrock/limits/budgets.py
@@ -1,34 +1,36 @@
-"""Budgets with periods: reserved at the start, settled at the end, refunded once. Pure, O(1) a word.
+"""Budgets with periods: a start reserves its price, and its end settles or refunds it once.
 
-Whole millionths, so that sums are exact. An account is a team's budget of one period, found by the period's
-number. Invariants: what is reserved never brings an account beyond its amount and what was carried over; a
-hold is ended once, by settling or refund, in the account that paid; an account that was dropped never opens
-again, so no leap of a clock lets a team spend an amount twice in a period.
+Pure; O(1) per operation. Amounts are whole millionths, so that sums are exact. An account is a team's budget
+of one period, found by the period's number (Unix time divided by the period's length).
+
+Invariants: a reservation never brings an account of a hard budget beyond its amount plus what was carried
+over; a reservation ends once, by settling or refund, in the account that paid; an account that was dropped
+never opens again, so no jump of a clock lets a team spend an amount twice in a period.
 """
 
 from dataclasses import dataclass, field, replace
 
 from beechrock.inventory.terms import Plan, whole
 
-KEPT = 4  # accounts of a team
+MAX_ACCOUNTS = 4  # accounts of a team that are kept, those of the latest periods
 
 
 @dataclass(slots=True)
 class Account:
-    """``spent`` has what is reserved in it; ``ceiling`` is how far the disk allows it."""
+    """A team's budget of one period; all amounts in millionths."""
 
-    period: int
-    carried: int = 0  # from the period before
-    moved: int = 0  # to the next one: a clock that goes back does not find it here again
-    spent: int = 0
-    reserved: int = 0
-    ceiling: int = 0
-    warned: int = 0  # how many of the plan's warnings were given
+    period: int  # number of the period
+    carried_in: int = 0  # unspent amount taken over from the period before
+    carried_out: int = 0  # amount given to the next period; not available here if the clock goes back
+    spent: int = 0  # amount settled and reserved
+    reserved: int = 0  # amount of open reservations
+    ceiling: int = 0  # most that may be spent, as it is durable on the disk
+    warnings_given: int = 0  # number of the plan's warnings that were given
 
 
 @dataclass(slots=True, eq=False)
-class Hold:
-    """One start's reservation."""
+class Reservation:
+    """The price that one start has reserved in an account."""
 
     account: Account
     price: int
@@ -37,155 +39,182 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Left:
-    """For an answer: how much is left, and in how many seconds the period ends."""
+class Balance:
+    """What is left of a budget: the amount in millionths, and the seconds until its period ends."""
 
-    left: int
-    ends_s: float
+    remaining: int
+    period_ends_in_s: float
 
 
 @dataclass(slots=True)
 class Budget:
-    """One team's. ``durable`` False: nothing is kept on a disk, and no ceiling holds."""
+    """One team's budget. Where ``durable`` is False, nothing is on a disk and no ceiling applies."""
 
     team: str
     plan: Plan
     durable: bool = False
-    accounts: dict[int, Account] = field(default_factory=dict)  # by period
-    floor: int = -1  # periods up to it are closed for good
-    current: Account | None = None  # the one that was opened last
-    warnings: list[tuple[int, float]] = field(default_factory=list)  # period and part, to be told
+    accounts: dict[int, Account] = field(default_factory=dict)  # by period number
+    last_closed_period: int = -1  # periods up to this number never open again
+    current: Account | None = None  # the account that was looked up last
+    warnings: list[tuple[int, float]] = field(default_factory=list)  # not logged yet: period, share spent
 
-    # --- looks
+    # --- queries
 
     def period_at(self, wall: float) -> int:
+        """Return the number of the period at this Unix time."""
         return max(0, int(wall // self.plan.period_s))
 
     def account(self, wall: float) -> Account | None:
-        """Of this moment, opened if it is a new one; None where that period is closed."""
+        """Return the account at this Unix time, opened if it is new; None where its period is closed."""
         period = self.period_at(wall)
-        found = self.accounts.get(period)
-        if found is None and period > self.floor:
-            found = self.accounts[period] = Account(period, self._carried(period))
-            for old in sorted(self.accounts)[:-KEPT]:
-                self.floor = max(self.floor, old)
+        account = self.accounts.get(period)
+        if account is None and period > self.last_closed_period:
+            account = self.accounts[period] = Account(period, self._carry_over(period))
+            for old in sorted(self.accounts)[:-MAX_ACCOUNTS]:
+                self.last_closed_period = max(self.last_closed_period, old)
                 del self.accounts[old]
-            found = self.accounts.get(period)  # among many later ones it was itself the oldest
-        if found is not None:
-            self.current = found
-        return found
+            account = self.accounts.get(period)  # None if it was the oldest, after the clock went back
+        if account is not None:
+            self.current = account
+        return account
+
+    def _carry_over(self, period: int) -> int:
+        """Take the unspent amount of the period before, and return it.
 
-    def _carried(self, period: int) -> int:
-        """Of what the period before left; what is reserved there counts as spent, whatever comes of it."""
+        What is still reserved there counts as spent, even if it is refunded later.
+        """
         before = self.accounts.get(period - 1)
         if before is None or not self.plan.carry:
             return 0
-        carried = min(max(0, self.room(before) - before.spent), int(self.plan.carry * self.plan.amount))
-        before.moved += carried
+        carried = min(max(0, self.allowance(before) - before.spent), int(self.plan.carry * self.plan.amount))
+        before.carried_out += carried
         return carried
 
-    def room(self, one: Account) -> int:
-        return self.plan.amount + one.carried - one.moved
+    def allowance(self, account: Account) -> int:
+        """Return the whole amount of an account: the plan's, plus what was carried in, less carried out."""
+        return self.plan.amount + account.carried_in - account.carried_out
 
-    def left(self, wall: float) -> Left:
-        one = self.account(wall)
+    def balance(self, wall: float) -> Balance:
+        """Return what is left at this Unix time; nothing where the period is closed."""
+        account = self.account(wall)
         ends = (self.period_at(wall) + 1) * self.plan.period_s - wall
-        return Left(max(0, self.room(one) - one.spent) if one is not None else 0, ends)
+        return Balance(max(0, self.allowance(account) - account.spent) if account is not None else 0, ends)
 
-    def over_soft(self, wall: float) -> bool:
-        one = self.account(wall)
-        return one is None or one.spent > self.plan.soft * self.room(one)
+    def over_soft_limit(self, wall: float) -> bool:
+        """Return whether more than the soft share of the account is spent, or its period is closed."""
+        account = self.account(wall)
+        return account is None or account.spent > self.plan.soft * self.allowance(account)
 
-    # --- words
+    # --- changes
 
-    def hold(self, wall: float, price: int) -> Hold | None:
-        """None where the account has no room, by its amount or by what is on the disk (``waits``)."""
-        one = self.account(wall)
-        if one is None:
+    def reserve(self, wall: float, price: int) -> Reservation | None:
+        """Reserve the price of a start.
+
+        None where the period is closed, the amount is used up, or the durable ceiling is too low
+        (see ``waits_for_disk``).
+        """
+        account = self.account(wall)
+        if account is None:
             return None
-        if self.plan.hard and one.spent + price > self.room(one):
+        if self.plan.hard and account.spent + price > self.allowance(account):
             return None
-        if self.durable and one.spent + price > one.ceiling:
+        if self.durable and account.spent + price > account.ceiling:
             return None
-        one.spent += price
-        one.reserved += price
-        self._warn(one)
-        return Hold(one, price, self.plan.per_cost)
-
-    def waits(self, wall: float, price: int) -> bool:
-        """Whether it is the disk alone that has no room for this price yet."""
-        one = self.account(wall)
+        account.spent += price
+        account.reserved += price
+        self._queue_warnings(account)
+        return Reservation(account, price, self.plan.per_cost)
+
+    def waits_for_disk(self, wall: float, price: int) -> bool:
+        """Return whether this price is refused only because the ceiling on the disk is not raised yet."""
+        account = self.account(wall)
         return (
             self.durable
-            and one is not None
-            and one.spent + price > one.ceiling
-            and (not self.plan.hard or one.spent + price <= self.room(one))
+            and account is not None
+            and account.spent + price > account.ceiling
+            and (not self.plan.hard or account.spent + price <= self.allowance(account))
         )
 
-    def settle(self, hold: Hold, cost_s: float) -> int:
-        """It ran, and took so much work; what it cost in the end. A second word is nothing."""
-        if not hold.open:
+    def settle(self, reservation: Reservation, cost_s: float) -> int:
+        """End the reservation of a run that took ``cost_s`` seconds of work; return what it cost.
+
+        A reservation that was ended already costs nothing.
+        """
+        if not reservation.open:
             return 0
-        hold.open = False
-        cost = whole(hold.per_cost * cost_s) if hold.per_cost else hold.price
-        hold.account.spent += cost - hold.price
-        hold.account.reserved -= hold.price
-        self._warn(hold.account)
+        reservation.open = False
+        cost = whole(reservation.per_cost * cost_s) if reservation.per_cost else reservation.price
+        reservation.account.spent += cost - reservation.price
+        reservation.account.reserved -= reservation.price
+        self._queue_warnings(reservation.account)
         return cost
 
-    def refund(self, hold: Hold) -> int:
-        """It never ran. A second word is nothing."""
-        if not hold.open:
+    def refund(self, reservation: Reservation) -> int:
+        """End the reservation of a request that never ran; return the refund, 0 if it was ended already."""
+        if not reservation.open:
             return 0
-        hold.open = False
-        hold.account.spent -= hold.price
-        hold.account.reserved -= hold.price
-        return hold.price
+        reservation.open = False
+        reservation.account.spent -= reservation.price
+        reservation.account.reserved -= reservation.price
+        return reservation.price
 
-    def renew(self, wall: float, plan: Plan) -> None:
-        """Another plan: what is spent stays spent, also where the periods' length changes."""
+    def change_plan(self, wall: float, plan: Plan) -> None:
+        """Apply another plan; what is spent stays spent, also where the length of the periods changes."""
         if plan.period_s != self.plan.period_s:
-            # Else a length that is changed to and fro would give a fresh amount each time.
-            old = self.account(wall)
+            # With a fresh account, changing the length back and forth would give a fresh amount each time.
+            previous = self.account(wall)
             self.plan = plan
             period = self.period_at(wall)
-            self.accounts, self.floor = {}, period - 1
-            if old is not None:
-                # The same account goes on, so what is open in it settles where it counts; the disk knows
-                # it by its old number.
-                old.period, old.ceiling = period, 0
-                self.accounts[period] = self.current = old
+            self.accounts, self.last_closed_period = {}, period - 1
+            if previous is not None:
+                # The account object stays, so that its open reservations settle in it. Its ceiling begins at
+                # 0, as the disk has it under the old period number.
+                previous.period, previous.ceiling = period, 0
+                self.accounts[period] = self.current = previous
         self.plan = plan
 
-    def _warn(self, one: Account) -> None:
-        amount = self.room(one)
-        while one.warned < len(self.plan.warn) and one.spent >= self.plan.warn[one.warned] * amount:
-            self.warnings.append((one.period, self.plan.warn[one.warned]))
-            one.warned += 1
+    def _queue_warnings(self, account: Account) -> None:
+        amount = self.allowance(account)
+        while (
+            account.warnings_given < len(self.plan.warn)
+            and account.spent >= self.plan.warn[account.warnings_given] * amount
+        ):
+            self.warnings.append((account.period, self.plan.warn[account.warnings_given]))
+            account.warnings_given += 1
 
     # --- the disk
 
-    def piece(self, price: int) -> int:
+    def increment(self, price: int) -> int:
+        """Return how far above what is spent a write puts the ceiling, in millionths."""
         return max(self.plan.amount // 64, 2 * price, 1)
 
-    def low(self, price: int) -> bool:
-        """Whether at most half of a piece is left below the ceiling: what ``wanted`` looks at first."""
-        one = self.current
-        return self.durable and one is not None and one.ceiling - one.spent <= self.piece(price) // 2
+    def is_near_ceiling(self, price: int) -> bool:
+        """Return whether at most half an increment is left below the ceiling of the current account."""
+        account = self.current
+        return (
+            self.durable
+            and account is not None
+            and account.ceiling - account.spent <= self.increment(price) // 2
+        )
 
-    def wanted(self, price: int = 1) -> int | None:
-        """The next ceiling, where one is due; an account at its amount needs none."""
-        one = self.current
-        if one is None or not self.low(price):
+    def next_ceiling(self, price: int = 1) -> int | None:
+        """Return the ceiling to write next; None where none is due, or a hard budget is covered in full."""
+        account = self.current
+        if account is None or not self.is_near_ceiling(price):
             return None
-        piece, most = self.piece(price), self.room(one)
-        if self.plan.hard and one.ceiling >= max(most, one.spent):
+        increment, allowance = self.increment(price), self.allowance(account)
+        if self.plan.hard and account.ceiling >= max(allowance, account.spent):
             return None
-        ceiling = one.spent + piece
-        return max(min(ceiling, most), one.spent) if self.plan.hard else ceiling
-
-    def restored(self, wall: float, accounts: list[Account], floor: int) -> None:
-        """Of one that is new: all below the ceiling counts as spent, since nobody knows whether it was."""
-        self.floor, self.current = floor, None
-        self.accounts = {one.period: replace(one, spent=one.ceiling, reserved=0) for one in accounts}
-        self.account(wall)  # only now, as what is carried over comes from these
+        ceiling = account.spent + increment
+        return max(min(ceiling, allowance), account.spent) if self.plan.hard else ceiling
+
+    def restore(self, wall: float, accounts: list[Account], last_closed_period: int) -> None:
+        """Load the accounts of the disk into a new budget.
+
+        All below the ceiling counts as spent, since nobody knows how much of it was.
+        """
+        self.last_closed_period, self.current = last_closed_period, None
+        self.accounts = {
+            account.period: replace(account, spent=account.ceiling, reserved=0) for account in accounts
+        }
+        self.account(wall)  # opened only now, as its carried-over amount comes from these accounts
--- a/beechrock/limits/disk.py
+++ b/beechrock/limits/disk.py
@@ -1,4 +1,4 @@
-"""Spending on the disk: the thin round ``journal``, on ``store/``. One write at a time, in a thread."""
+"""Budget spending on disk: entries of ``journal`` in a ``store`` log. One write at a time, in a thread."""
 
 from beechrock.limits import journal
 from beechrock.limits.errors import SpendingFullError
@@ -8,26 +8,33 @@
 from beechrock.store.limits import StoreLimits
 from beechrock.store.log import Store
 
-PREFIX = "spending"
-MOST_ENTRIES = 4096  # then a snapshot takes their place
-RULES = StoreLimits(max_bytes=64 << 20)
+PREFIX = "spending"  # of the store's file names
+MAX_ENTRIES = 4096  # number of log entries beyond which a snapshot replaces them
+STORE_LIMITS = StoreLimits(max_bytes=64 << 20)
 
 
 class SpendingDisk:
-    """Errors of the store come through; a full one as SpendingFullError, and nothing was written then."""
+    """The spending of all teams, on the disk and as last written.
 
-    def __init__(self, files: Files, rules: StoreLimits = RULES) -> None:
-        self.store = Store.open(files, PREFIX, rules)
-        self.states: dict[str, State] = {}  # as they are durable, of teams that are gone too
+    Errors of the store pass through, but a ``write`` to a full store raises SpendingFullError; nothing was
+    written then.
+    """
+
+    def __init__(self, files: Files, limits: StoreLimits = STORE_LIMITS) -> None:
+        self.store = Store.open(files, PREFIX, limits)
+        self.states: dict[str, State] = {}  # durable state by team, also of teams that were removed
         if (saved := self.store.snapshot()) is not None:
             self.states |= journal.read(saved[1])
         for index in range(self.store.first, self.store.last + 1):
             self.states |= journal.read(self.store.entry(index))
 
     def write(self, data: bytes) -> None:
-        """Durable when it returns. StoreFailedError: it may come to last, and counts as not given."""
+        """Append an entry and sync it.
+
+        After StoreFailedError the entry may become durable later; the caller treats it as not written.
+        """
         try:
-            self.store.rewrite()  # where the disk failed before
+            self.store.rewrite()  # does nothing unless an earlier write failed
             self.store.append(data)
             self.store.sync()
         except StoreFullError as error:
@@ -35,20 +42,25 @@
         self.states |= journal.read(data)
 
     @property
-    def long(self) -> bool:
-        return self.store.last - self.store.first >= MOST_ENTRIES
+    def needs_compaction(self) -> bool:
+        """Whether the log has so many entries that a snapshot should replace them."""
+        return self.store.last - self.store.first >= MAX_ENTRIES
 
     def compact(self, data: bytes, wall: float) -> None:
-        """``data`` of ``journal.snapshot``, made after the newest write was synced, takes the log's place.
-        What is gone is kept until its periods are over."""
+        """Replace the log by a snapshot.
+
+        ``data`` is from ``journal.snapshot``, made after the newest write was synced. The state of a removed
+        team is kept until the period after its latest one is over at the Unix time ``wall``.
+        """
         self.store.rewrite()
-        fresh = journal.read(data)
+        states = journal.read(data)
         for team, state in self.states.items():
-            ends = max((one.period + 2 for one in state.accounts), default=0) * state.period_s
-            if team not in fresh and wall < ends:
-                fresh[team] = state
-        self.store.save_snapshot(self.store.last, journal.written(fresh))
-        self.states = fresh
+            ends = max((account.period + 2 for account in state.accounts), default=0) * state.period_s
+            if team not in states and wall < ends:
+                states[team] = state
+        self.store.save_snapshot(self.store.last, journal.written(states))
+        self.states = states
 
     def close(self) -> None:
+        """Close the files."""
         self.store.close()
--- a/beechrock/limits/errors.py
+++ b/beechrock/limits/errors.py
@@ -1,4 +1,4 @@
-"""What limits tell an operator."""
+"""Errors of contracts and budgets that reach the operator."""
 
 from beechrock.errors import OperatorError
 
@@ -10,7 +10,7 @@
 
 
 class BrokenBooksError(LimitsError):
-    """What can never be was seen: more ends than begins, or a weight that no inventory lets through."""
+    """An impossible state was found: more ends than begins, or a weight outside the inventory's bounds."""
 
     event = "limits.broken"
 
--- a/beechrock/limits/gate.py
+++ b/beechrock/limits/gate.py
@@ -1,8 +1,8 @@
-"""All limits of a node at one place: may this request begin, what is it charged, and how did it end. Pure.
+"""All limits of a node in one place: may a request begin, what is it charged, and how did it end. Pure.
 
-Nobody else holds their state. ``now`` is a clock that runs evenly, ``wall`` the Unix clock: rates go by the
-first, hours and periods by the second. Invariants: who is turned away is charged nothing; a ticket ends once,
-on the nodes, account and price that it was given by, whatever has changed since; a change ends nobody.
+Nothing else holds their state. ``now`` is a monotonic clock, for rates; ``wall`` is Unix time, for hours and
+budget periods. Invariants: a rejected request is charged nothing; a ticket ends once, on the nodes, account
+and price that it was issued with, whatever has changed since; a change of the terms ends no open request.
 """
 
 from collections import Counter
@@ -11,60 +11,67 @@
 
 from beechrock.inventory.terms import ROOT, Contract, Group, Service, Terms
 from beechrock.limits import tree
-from beechrock.limits.budgets import Budget, Hold, Left
+from beechrock.limits.budgets import Balance, Budget, Reservation
 from beechrock.limits.rates import Rate
 from beechrock.limits.shares import Shares
-from beechrock.limits.tree import Node, Turned, Why
+from beechrock.limits.tree import Node, Rejection, RejectReason
 
-DISK_BACK_S = 0.1  # a sync takes some milliseconds, on a busy disk some tens
-LEARN = 0.05  # of a run's cost, in the mean of its service
+DISK_RETRY_AFTER_S = 0.1  # until the next ceiling is on the disk: a sync takes some ms, if busy some tens
+MIN_COST_GAIN = 0.05  # least weight of one run's cost in the mean cost of its contract's runs
 
 
 @dataclass(slots=True, eq=False)
 class Ticket:
-    """Of one request that may begin, until it ends."""
+    """One admitted request, until it ends."""
 
     team: str
     contract: Contract
     path: tuple[Node, ...]
-    hold: Hold | None
+    reservation: Reservation | None
     budget: Budget | None
-    cost_s: float  # what the shares were charged
-    within: bool  # its fair share and its soft limit
+    cost_s: float  # estimated seconds of work that its team's fair share was charged
+    within_share: bool  # its team is within its fair share and the soft limit of its budget
     open: bool = True
 
 
 @dataclass(frozen=True, slots=True)
-class Away:
-    """Turned away, with all that a retry can act on."""
+class RejectedRequest:
+    """A rejection, with the team's budget where it has one: all that a retry can act on."""
 
-    turned: Turned
-    left: Left | None
+    rejection: Rejection
+    balance: Balance | None
 
 
 @dataclass(slots=True)
-class Had:
-    """What a team got: for people, and for the figures."""
+class TeamUsage:
+    """Counts and work of one team, for the operator's view."""
 
-    let: int = 0
-    borrowed: int = 0
-    over: int = 0
+    admitted: int = 0
+    borrowed: int = 0  # admitted by a borrowed rate
+    over_share: int = 0  # admitted beyond its fair share or its budget's soft limit
     ran: int = 0
-    back: int = 0  # never ran, and was given back
-    cost_s: float = 0.0
-    turned: Counter[Why] = field(default_factory=Counter)
+    refunded: int = 0  # admitted, but never ran
+    cost_s: float = 0.0  # seconds of work of its runs
+    rejections: Counter[RejectReason] = field(default_factory=Counter)
 
 
 @dataclass(slots=True, eq=False)
 class _Leaf:
+    """State of one contract."""
+
     node: Node
     terms: Service
     bytes: Rate
-    cost_s: float
-    ended: int = 0
+    cost_s: float  # mean cost of a run, in seconds of work
+    runs_ended: int = 0
 
 
 class Gate:
+    """The limits of all teams, as one generation of the inventory states them.
+
+    ``durable``: budgets are spent only up to the ceilings that are on the disk.
+    """
+
     def __init__(self, now: float, wall: float, terms: Terms, durable: bool = False) -> None:
         self.durable = durable
         self.shares: Shares[str] = Shares()
@@ -72,17 +79,17 @@
         self.departments: dict[str, Node] = {}
         self.teams: dict[str, Node] = {}
         self.leaves: dict[Contract, _Leaf] = {}
-        self.budgets: dict[str, Budget] = {}
-        self.had: dict[str, Had] = {}
-        # What is gone, while anything of it can still be owed: who comes back finds it as it was left.
-        self.gone_leaves: dict[Contract, _Leaf] = {}
-        self.gone_teams: dict[str, Node] = {}
-        self.gone_budgets: dict[str, Budget] = {}
-        self.dearest: dict[str, int] = {}  # by team: the highest price of a start
-        self.fresh: list[Budget] = []  # those that the latest terms brought: nothing is spent yet
-        self.low: set[str] = set()  # teams that may need the next piece of their budget
+        self.budgets: dict[str, Budget] = {}  # by team
+        self.usage: dict[str, TeamUsage] = {}  # by team
+        # State of removed entries that still counts: an entry that comes back continues with it.
+        self.removed_leaves: dict[Contract, _Leaf] = {}
+        self.removed_teams: dict[str, Node] = {}
+        self.removed_budgets: dict[str, Budget] = {}
+        self.highest_price: dict[str, int] = {}  # by team: the highest price of a start, in millionths
+        self.new_budgets: list[Budget] = []  # budgets that the latest terms added: nothing is spent yet
+        self.near_ceiling: set[str] = set()  # teams whose budget may need a higher ceiling
         self.terms = terms
-        self.renew(now, wall, terms)
+        self.change_terms(now, wall, terms)
 
     # --- one request
 
@@ -93,73 +100,78 @@
         contract: Contract,
         size: int = 0,
         calendar: float | None = None,
-    ) -> Ticket | Away:
-        """KeyError where there is no such contract: the front looks for it first."""
+    ) -> Ticket | RejectedRequest:
+        """Admit or reject a request.
+
+        ``size``: bytes of its body; ``calendar``: Unix time for the contract's hours, where it differs from
+        that of the budget periods. Raises KeyError for an unknown contract: the front end checks it first.
+        """
         leaf, team = self.leaves[contract], contract[0]
-        had, budget = self.had[team], self.budgets.get(team)
-        holds, for_s = leaf.terms.hours.look(wall if calendar is None else calendar)
-        turned, hold = None, None
-        if not holds and not leaf.terms.outside:
-            turned = Turned(Why.HOURS, for_s, leaf.node.name)
-        elif size and not leaf.bytes.has(now, size):
-            turned = Turned(Why.BYTES, leaf.bytes.back_s(now, size), leaf.node.name)
-        elif budget is not None and (hold := budget.hold(wall, leaf.terms.price)) is None:
-            turned = self._unpaid(wall, budget, leaf)
+        usage, budget = self.usage[team], self.budgets.get(team)
+        in_hours, changes_in_s = leaf.terms.hours.look(wall if calendar is None else calendar)
+        rejection, reservation = None, None
+        if not in_hours and not leaf.terms.outside:
+            rejection = Rejection(RejectReason.HOURS, changes_in_s, leaf.node.name)
+        elif size and not leaf.bytes.has_room(now, size):
+            rejection = Rejection(RejectReason.BYTES, leaf.bytes.retry_after_s(now, size), leaf.node.name)
+        elif budget is not None and (reservation := budget.reserve(wall, leaf.terms.price)) is None:
+            rejection = self._reject_for_budget(wall, budget, leaf)
         else:
-            let = tree.ask(now, leaf.node, holds)
+            result = tree.admit(now, leaf.node, in_hours)
             if budget is not None:
-                self._look(team, budget)
-            if isinstance(let, Turned):
-                turned = let
-                if hold is not None and budget is not None:
-                    budget.refund(hold)
+                self._check_ceiling(team, budget)
+            if isinstance(result, Rejection):
+                rejection = result
+                if reservation is not None and budget is not None:
+                    budget.refund(reservation)
             else:
                 leaf.bytes.charge(now, size)
-                had.let += 1
-                had.borrowed += let.borrowed
-        if turned is not None:
-            had.turned[turned.why] += 1
-            return Away(turned, budget.left(wall) if budget is not None else None)
-        within = self.shares.within(team, self.terms.slack_s * self.terms.cores) and (
-            budget is None or not budget.over_soft(wall)
+                usage.admitted += 1
+                usage.borrowed += result.borrowed
+        if rejection is not None:
+            usage.rejections[rejection.reason] += 1
+            return RejectedRequest(rejection, budget.balance(wall) if budget is not None else None)
+        within_share = self.shares.is_within_share(team, self.terms.slack_s * self.terms.cores) and (
+            budget is None or not budget.over_soft_limit(wall)
         )
-        had.over += not within
+        usage.over_share += not within_share
         self.shares.charge(team, leaf.cost_s)
-        return Ticket(team, contract, tuple(leaf.node.path()), hold, budget, leaf.cost_s, within)
+        return Ticket(team, contract, tuple(leaf.node.path()), reservation, budget, leaf.cost_s, within_share)
 
-    def _unpaid(self, wall: float, budget: Budget, leaf: _Leaf) -> Turned:
-        self._look(budget.team, budget)
-        if budget.waits(wall, leaf.terms.price):
-            return Turned(Why.SPENDING, DISK_BACK_S, leaf.node.name)
-        return Turned(Why.BUDGET, budget.left(wall).ends_s, budget.team)
+    def _reject_for_budget(self, wall: float, budget: Budget, leaf: _Leaf) -> Rejection:
+        self._check_ceiling(budget.team, budget)
+        if budget.waits_for_disk(wall, leaf.terms.price):
+            return Rejection(RejectReason.SPENDING, DISK_RETRY_AFTER_S, leaf.node.name)
+        return Rejection(RejectReason.BUDGET, budget.balance(wall).period_ends_in_s, budget.team)
 
     def settle(self, ticket: Ticket, cost_s: float) -> None:
-        """It ran, and took so many seconds of work. A second word is nothing."""
+        """End a request that ran and took so many seconds of work; a second end has no effect."""
         if not self._end(ticket, ran=True):
             return
-        if ticket.hold is not None and ticket.budget is not None:
-            ticket.budget.settle(ticket.hold, cost_s)
-            self._look(ticket.team, ticket.budget)
+        if ticket.reservation is not None and ticket.budget is not None:
+            ticket.budget.settle(ticket.reservation, cost_s)
+            self._check_ceiling(ticket.team, ticket.budget)
         self.shares.charge(ticket.team, cost_s - ticket.cost_s)
-        self.shares.done(cost_s)
+        self.shares.record_work(cost_s)
         if (leaf := self.leaves.get(ticket.contract)) is not None:
-            # The first runs count for more. Seen with scarce cores: by a first guess of a tenth of the true
-            # cost a flood was within its share for seconds, and the line was full of it.
-            leaf.ended += 1
-            leaf.cost_s += max(LEARN, 1 / leaf.ended) * (cost_s - leaf.cost_s)
-        if (had := self.had.get(ticket.team)) is not None:
-            had.ran += 1
-            had.cost_s += cost_s
+            # The first runs weigh more than ``MIN_COST_GAIN``. Seen with scarce cores: where the first
+            # estimate was a tenth of the true cost, a flood was within its share for seconds and filled the
+            # queue.
+            leaf.runs_ended += 1
+            leaf.cost_s += max(MIN_COST_GAIN, 1 / leaf.runs_ended) * (cost_s - leaf.cost_s)
+        if (usage := self.usage.get(ticket.team)) is not None:
+            usage.ran += 1
+            usage.cost_s += cost_s
 
     def refund(self, ticket: Ticket) -> None:
-        """It never ran. A second word is nothing."""
+        """End a request that never ran; a second end has no effect."""
         if not self._end(ticket, ran=False):
             return
-        if ticket.hold is not None and ticket.budget is not None:
-            ticket.budget.refund(ticket.hold)
+        if ticket.reservation is not None and ticket.budget is not None:
+            ticket.budget.refund(ticket.reservation)
         self.shares.charge(ticket.team, -ticket.cost_s)
-        if (had := self.had.get(ticket.team)) is not None:
-            had.back += 1
+        if (usage := self.usage.get(ticket.team)) is not None:
+            usage.refunded += 1
 
     def _end(self, ticket: Ticket, ran: bool) -> bool:
         if not ticket.open:
@@ -168,116 +180,128 @@
         tree.end(ticket.path, ran)
         return True
 
-    def left(self, wall: float, team: str) -> Left | None:
+    def balance(self, wall: float, team: str) -> Balance | None:
+        """Return what is left of a team's budget, or None where it has none."""
         budget = self.budgets.get(team)
-        return budget.left(wall) if budget is not None else None
+        return budget.balance(wall) if budget is not None else None
+
+    def _check_ceiling(self, team: str, budget: Budget) -> None:
+        if budget.is_near_ceiling(self.highest_price.get(team, 1)):
+            self.near_ceiling.add(team)
 
-    def _look(self, team: str, budget: Budget) -> None:
-        if budget.low(self.dearest.get(team, 1)):
-            self.low.add(team)
+    def take_near_ceiling(self) -> Iterator[tuple[Budget, int]]:
+        """Yield, for the journal, budgets that came near their ceilings since the last call.
 
-    def asking(self) -> Iterator[tuple[Budget, int]]:
-        """For the journal: who may need the next piece. Those that asked since the last call alone."""
-        low, self.low = self.low, set()
-        for team in low:
+        Each comes with its team's highest price.
+        """
+        near_ceiling, self.near_ceiling = self.near_ceiling, set()
+        for team in near_ceiling:
             if (budget := self.budgets.get(team)) is not None:
-                yield budget, self.dearest.get(team, 1)
+                yield budget, self.highest_price.get(team, 1)
 
     # --- another generation
 
-    def renew(self, now: float, wall: float, terms: Terms) -> None:
-        """Go by these terms from here on. What did not change is left as it is: an edit costs little."""
+    def change_terms(self, now: float, wall: float, terms: Terms) -> None:
+        """Apply other terms. What did not change is left as it is, so a small edit costs little."""
         before, self.terms = self.terms, terms
-        _renew(now, self.root, terms.root)
+        _change_limits(now, self.root, terms.root)
         self.departments = {
-            name: _group(now, name, group, self.departments.get(name), self.root)
+            name: _updated_node(now, name, group, self.departments.get(name), self.root)
             for name, group in terms.departments.items()
         }
-        known = {**self.gone_teams, **self.teams}
+        known = {**self.removed_teams, **self.teams}
         self.teams = {}
         for name, group in terms.teams.items():
-            above = self.departments.get(group.above, self.root) if group.above != ROOT else self.root
-            held = known.get(name)
+            parent = self.departments.get(group.above, self.root) if group.above != ROOT else self.root
+            node = known.get(name)
             if (
-                held is not None
-                and name not in self.gone_teams
-                and held.above is above
+                node is not None
+                and name not in self.removed_teams
+                and node.parent is parent
                 and before.teams.get(name) == group
             ):
                 self.teams[name] = known.pop(name)
                 continue
-            self.teams[name] = _group(now, name, group, known.pop(name, None), above)
-            self.shares.set(name, group.weight)
-            self.had.setdefault(name, Had())
-        self.gone_teams = {name: node for name, node in known.items() if _owed(now, node)}
-        for name in [one for one in self.shares.teams if one not in self.teams]:
-            self.shares.drop(name)
-        self._renew_leaves(now, terms)
-        self._renew_budgets(wall, terms)
-        self.had = {name: had for name, had in self.had.items() if name in self.teams}
-
-    def _renew_leaves(self, now: float, terms: Terms) -> None:
-        known = {**self.gone_leaves, **self.leaves}
+            self.teams[name] = _updated_node(now, name, group, known.pop(name, None), parent)
+            self.shares.set_weight(name, group.weight)
+            self.usage.setdefault(name, TeamUsage())
+        self.removed_teams = {name: node for name, node in known.items() if _still_counts(now, node)}
+        for name in [team for team in self.shares.teams if team not in self.teams]:
+            self.shares.remove(name)
+        self._change_leaves(now, terms)
+        self._change_budgets(wall, terms)
+        self.usage = {name: usage for name, usage in self.usage.items() if name in self.teams}
+
+    def _change_leaves(self, now: float, terms: Terms) -> None:
+        known = {**self.removed_leaves, **self.leaves}
         self.leaves = {}
-        for contract, told in terms.services.items():
+        for contract, service in terms.services.items():
             leaf = known.pop(contract, None)
-            if leaf is not None and leaf.node.above is self.teams[contract[0]] and leaf.terms == told:
+            if leaf is not None and leaf.node.parent is self.teams[contract[0]] and leaf.terms == service:
                 self.leaves[contract] = leaf
                 continue
             if leaf is None:
                 leaf = _Leaf(
-                    Node("/".join(contract), Rate(told.rate, told.burst)),
-                    told,
-                    Rate(told.bytes_per_s, told.bytes_per_s),
+                    Node("/".join(contract), Rate(service.rate, service.burst)),
+                    service,
+                    Rate(service.bytes_per_s, service.bytes_per_s),
                     terms.cost_s,
                 )
             node = leaf.node
-            node.rate.renew(now, told.rate, told.burst)
-            node.most.renew(now, told.most, max(1.0, told.burst))
-            leaf.bytes.renew(now, told.bytes_per_s, told.bytes_per_s)
-            node.at_once.most, node.priority, node.borrows = told.at_once, told.priority, told.borrows
-            node.above, leaf.terms = self.teams[contract[0]], told
+            node.rate.change(now, service.rate, service.burst)
+            node.ceiling.change(now, service.most, max(1.0, service.burst))
+            leaf.bytes.change(now, service.bytes_per_s, service.bytes_per_s)
+            node.concurrency.limit, node.priority, node.borrows = (
+                service.at_once,
+                service.priority,
+                service.borrows,
+            )
+            node.parent, leaf.terms = self.teams[contract[0]], service
             self.leaves[contract] = leaf
-        self.gone_leaves = {contract: leaf for contract, leaf in known.items() if _owed(now, leaf.node)}
+        self.removed_leaves = {
+            contract: leaf for contract, leaf in known.items() if _still_counts(now, leaf.node)
+        }
 
-    def _renew_budgets(self, wall: float, terms: Terms) -> None:
-        known = {**self.gone_budgets, **self.budgets}
-        self.budgets, self.dearest, self.fresh = {}, {}, []
-        for (team, _), told in terms.services.items():
-            self.dearest[team] = max(self.dearest.get(team, 1), told.price)
+    def _change_budgets(self, wall: float, terms: Terms) -> None:
+        known = {**self.removed_budgets, **self.budgets}
+        self.budgets, self.highest_price, self.new_budgets = {}, {}, []
+        for (team, _), service in terms.services.items():
+            self.highest_price[team] = max(self.highest_price.get(team, 1), service.price)
         for name, group in terms.teams.items():
             if group.budget is None:
                 continue
             budget = known.pop(name, None)
             if budget is None:
                 budget = Budget(name, group.budget, self.durable)
-                self.fresh.append(budget)
+                self.new_budgets.append(budget)
             if budget.plan != group.budget:
-                budget.renew(wall, group.budget)
+                budget.change_plan(wall, group.budget)
             budget.account(wall)
             self.budgets[name] = budget
-            self._look(name, budget)
-        # A budget that is taken out and put back within its period has spent what it had.
-        self.gone_budgets = {
+            self._check_ceiling(name, budget)
+        # A budget that is removed and comes back within its period continues with what it had spent.
+        self.removed_budgets = {
             name: budget
             for name, budget in known.items()
             if budget.current is not None and budget.period_at(wall) <= budget.current.period + 1
         }
 
 
-def _group(now: float, name: str, group: Group, node: Node | None, above: Node) -> Node:
+def _updated_node(now: float, name: str, group: Group, node: Node | None, parent: Node) -> Node:
+    """Return the node of a team or department with the group's limits, made if it is None."""
     if node is None:
         node = Node(name, Rate(group.rate, group.burst))
-    node.above, node.borrows = above, group.borrows
-    _renew(now, node, group)
+    node.parent, node.borrows = parent, group.borrows
+    _change_limits(now, node, group)
     return node
 
 
-def _renew(now: float, node: Node, group: Group) -> None:
-    node.rate.renew(now, group.rate, group.burst)
-    node.most.renew(now, group.most, max(1.0, group.burst))
-    node.at_once.most = group.at_once
+def _change_limits(now: float, node: Node, group: Group) -> None:
+    node.rate.change(now, group.rate, group.burst)
+    node.ceiling.change(now, group.most, max(1.0, group.burst))
+    node.concurrency.limit = group.at_once
 
 
-def _owed(now: float, node: Node) -> bool:
-    return node.at_once.open > 0 or node.rate.tat > now
+def _still_counts(now: float, node: Node) -> bool:
+    """Return whether requests of a removed node are open, or its rate is not free of them yet."""
+    return node.concurrency.open_count > 0 or node.rate.tat > now
--- a/beechrock/limits/journal.py
+++ b/beechrock/limits/journal.py
@@ -1,8 +1,8 @@
-"""What the disk holds of spending: for each team its accounts, each with the ceiling it may spend to. Pure.
+"""Entries of the spending journal: each team's accounts, with the ceiling each may spend up to. Pure.
 
-An entry has the whole state of some teams, and the last one of a team counts: read twice it does no harm.
-The order is: write the next ceilings, sync, and only then spend beyond the old ones. So what was reserved is
-never forgotten, and of each account at most a piece is lost at a crash (docs/contracts.md).
+An entry has the whole state of some teams, and a team's last entry counts, so reading one twice does no harm.
+The next ceilings are written and synced first, and only then is more spent than the old ones allow. So what
+was reserved is never forgotten, and a crash loses at most one increment of each account (docs/contracts.md).
 """
 
 from collections.abc import Iterable, Mapping
@@ -14,93 +14,106 @@
 from beechrock.limits.budgets import Account, Budget
 from beechrock.limits.errors import SpendingRecordError
 
-FORMAT = 1
-MOST_TEAMS = 4096  # in an entry: some 400 KB
+FORMAT = 1  # version of an entry's format
+MAX_TEAMS_PER_ENTRY = 4096  # some 400 KB
 
 
 @dataclass(frozen=True, slots=True)
 class State:
-    """Of one team, as it was written last."""
+    """One team's spending, as it was written last."""
 
     period_s: float
-    floor: int
+    last_closed_period: int
     accounts: tuple[Account, ...]
 
 
 @dataclass(slots=True)
 class Journal:
-    """Collects what is to be written, one write at a time. Owner: whoever writes the store."""
+    """The ceilings of the write that is in progress, if any; owned by whoever writes the store."""
 
-    under_way: list[tuple[Account, int]] = field(default_factory=list)
+    in_progress: list[tuple[Account, int]] = field(default_factory=list)  # account, its next ceiling
 
-    def next(self, asking: Iterable[tuple[Budget, int]]) -> bytes | None:
-        """The next ceilings of those who ask, each with its dearest price; None: nothing to write."""
-        if self.under_way:
+    def next_entry(self, budgets: Iterable[tuple[Budget, int]]) -> bytes | None:
+        """Return an entry with the ceilings that are due, or None where there is nothing to write.
+
+        Each budget comes with its team's highest price. None also while a write is in progress.
+        """
+        if self.in_progress:
             return None
         teams: list[Any] = []
-        for budget, price in asking:
-            ceiling = budget.wanted(price)
-            if ceiling is not None and budget.current is not None and len(teams) < MOST_TEAMS:
-                teams.append(_team(budget, budget.current, ceiling))
-                self.under_way.append((budget.current, ceiling))
-        return _write(teams) if teams else None
+        for budget, price in budgets:
+            ceiling = budget.next_ceiling(price)
+            if ceiling is not None and budget.current is not None and len(teams) < MAX_TEAMS_PER_ENTRY:
+                teams.append(_team_state(budget, budget.current, ceiling))
+                self.in_progress.append((budget.current, ceiling))
+        return _encode(teams) if teams else None
 
     def synced(self) -> None:
-        """It is on the disk: now it may be spent."""
-        for account, ceiling in self.under_way:
+        """Raise the ceilings, as the entry is durable now."""
+        for account, ceiling in self.in_progress:
             account.ceiling = max(account.ceiling, ceiling)
-        self.under_way.clear()
+        self.in_progress.clear()
 
     def failed(self) -> None:
-        """It may be there or not: nothing is spent by it, and it is asked for again."""
-        self.under_way.clear()
+        """Keep the old ceilings: the entry may be durable or not, and they are asked for again."""
+        self.in_progress.clear()
 
 
 def snapshot(budgets: Iterable[Budget]) -> bytes:
-    """All of them, with the ceilings that are durable; what is older is not needed any more."""
-    return _write([_team(budget) for budget in budgets if budget.accounts])
+    """Return one entry with all budgets and their durable ceilings, which replaces all older entries."""
+    return _encode([_team_state(budget) for budget in budgets if budget.accounts])
 
 
 def written(states: Mapping[str, State]) -> bytes:
-    return _write(
+    """Return one entry with these states."""
+    return _encode(
         [
             [
                 team,
                 state.period_s,
-                state.floor,
-                [[one.period, one.carried, one.moved, one.ceiling, one.warned] for one in state.accounts],
+                state.last_closed_period,
+                [
+                    [
+                        account.period,
+                        account.carried_in,
+                        account.carried_out,
+                        account.ceiling,
+                        account.warnings_given,
+                    ]
+                    for account in state.accounts
+                ],
             ]
             for team, state in states.items()
         ]
     )
 
 
-def last(budgets: Iterable[Budget]) -> bytes:
-    """At an orderly end: exactly what is spent. Nothing may be spent after it."""
-    told = []
+def final_entry(budgets: Iterable[Budget]) -> bytes:
+    """Return the entry of an orderly shutdown, with exactly what is spent; nothing may be spent after it."""
+    teams = []
     for budget in budgets:
         for account in budget.accounts.values():
             account.ceiling = account.spent
         if budget.accounts:
-            told.append(_team(budget))
-    return _write(told)
+            teams.append(_team_state(budget))
+    return _encode(teams)
 
 
 def read(data: bytes) -> dict[str, State]:
-    """SpendingRecordError for what cannot be read."""
+    """Return the states of an entry by team; SpendingRecordError where it cannot be read."""
     try:
         version, teams = msgpack.unpackb(data)
         if version == FORMAT:
             return {
                 str(team): State(
                     float(period_s),
-                    int(floor),
+                    int(last_closed_period),
                     tuple(
-                        Account(period, carried, moved, ceiling, 0, ceiling, warned)
-                        for period, carried, moved, ceiling, warned in accounts
+                        Account(period, carried_in, carried_out, ceiling, 0, ceiling, warnings_given)
+                        for period, carried_in, carried_out, ceiling, warnings_given in accounts
                     ),
                 )
-                for team, period_s, floor, accounts in teams
+                for team, period_s, last_closed_period, accounts in teams
             }
     except (ValueError, TypeError, msgpack.UnpackException):
         version = "that cannot be read"
@@ -113,34 +126,41 @@
 
 
 def restore(states: Mapping[str, State], budgets: Iterable[Budget], wall: float) -> None:
-    """Budgets of a start go on where the disk left them."""
+    """Load what the disk has into new budgets, at a start or where a team comes back."""
     for budget in budgets:
         state = states.get(budget.team)
         if state is None:
             continue
         if state.period_s == budget.plan.period_s:
-            budget.restored(wall, list(state.accounts), state.floor)
+            budget.restore(wall, list(state.accounts), state.last_closed_period)
             continue
-        # The length was changed while the node was down: what the period under way has spent goes on.
-        then = int(wall // state.period_s)
-        for one in state.accounts:
-            if one.period == then:
-                now = budget.period_at(wall)
-                budget.restored(wall, [replace(one, period=now, warned=0)], now - 1)
+        # The period's length was changed while the node was down: the spending of the current period stays.
+        old_period = int(wall // state.period_s)
+        for account in state.accounts:
+            if account.period == old_period:
+                period = budget.period_at(wall)
+                budget.restore(wall, [replace(account, period=period, warnings_given=0)], period - 1)
 
 
-def _team(budget: Budget, raised: Account | None = None, ceiling: int = 0) -> list[Any]:
+def _team_state(budget: Budget, raised: Account | None = None, ceiling: int = 0) -> list[Any]:
+    """Return a team's part of an entry; ``ceiling`` is the next one of the account ``raised``."""
     return [
         budget.team,
         budget.plan.period_s,
-        budget.floor,
+        budget.last_closed_period,
         [
-            [one.period, one.carried, one.moved, ceiling if one is raised else one.ceiling, one.warned]
-            for one in budget.accounts.values()
+            [
+                account.period,
+                account.carried_in,
+                account.carried_out,
+                ceiling if account is raised else account.ceiling,
+                account.warnings_given,
+            ]
+            for account in budget.accounts.values()
         ],
     ]
 
 
-def _write(teams: list[Any]) -> bytes:
+def _encode(teams: list[Any]) -> bytes:
     data: bytes = msgpack.packb((FORMAT, teams))
     return data
--- a/beechrock/limits/part.py
+++ b/beechrock/limits/part.py
@@ -1,7 +1,7 @@
-"""The thin actor: the SCGI front asks it before it reads a body, the module is told by it, the disk keeps it.
+"""The actor of the limits: the SCGI front end asks it before it reads a body.
 
-All decisions are in ``gate`` and what stands below it. What the decision module hears is two tenants in place
-of one a team, and no budget: within a fair share, and over it (docs/contracts.md).
+All decisions are in ``gate`` and the modules below it. The decision module gets two tenants in place of one
+per team, and no budgets: requests within their fair share, and beyond it (docs/contracts.md).
 """
 
 import asyncio
@@ -18,12 +18,12 @@
 from beechrock.inventory.terms import MILLION, Contract, Terms
 from beechrock.limits import journal
 from beechrock.limits.disk import SpendingDisk
-from beechrock.limits.gate import Away, Gate, Ticket
+from beechrock.limits.gate import Gate, RejectedRequest, Ticket
 from beechrock.limits.journal import Journal
 from beechrock.limits.period_clock import PeriodClock
-from beechrock.limits.places import C, place
-from beechrock.limits.told import Told
-from beechrock.limits.tree import AT_ONCE_BACK_S, Why
+from beechrock.limits.places import C, place_for_team
+from beechrock.limits.told import LimitsSettings
+from beechrock.limits.tree import CONCURRENCY_RETRY_AFTER_S, RejectReason
 from beechrock.net.scgi import Allowed, ContractRejection
 from beechrock.parts import Context
 from beechrock.policy import Node
@@ -32,23 +32,25 @@
 if TYPE_CHECKING:
     from beechrock.inventory.model import Inventory
 
-WITHIN, OVER = 0, 1  # places of the two tenants
-# A quota of next to nothing makes each request of this tenant one beyond its share, at once and always.
+WITHIN, OVER = 0, 1  # indexes of the two tenants
+# A quota of almost nothing keeps each request of the second tenant beyond its share, from the first one on.
 TENANTS = (
     api.TenantSettings(name="within"),
     api.TenantSettings(traffic_share=0.001, quota_per_s=1e-290, name="over"),
 )
-OVER_WORTH = 0.25  # of its worth, where the inventory says none
-GATHER_S = 0.005  # teams that ask for a piece within it are written with one sync
-FULL_S = 5.0  # until a disk without room is tried again
+DEFAULT_OVER_WEIGHT = 0.25  # weight of a request beyond its share, where the settings give none
+BATCH_S = 0.005  # budgets that need a higher ceiling within this time are written with one sync
+DISK_RETRY_S = 5.0  # seconds until the next write after one that failed
 
 
 class Limits:
-    def __init__(self, told: Told, context: Context) -> None:
+    """The limits of a node: admits requests and connections, and keeps budget spending on the disk."""
+
+    def __init__(self, limits_settings: LimitsSettings, context: Context) -> None:
         program = context.program
         if context.module.ports.budget_parts is not None:
             raise ConfigError(
-                "it and the leases of [replica] both settle budgets",
+                "[limits] and the leases of [replica] would both settle budgets",
                 where="limits: enabled",
                 do="turn [limits] off, or set leases = false in [replica]",
             )
@@ -58,153 +60,171 @@
                 where="limits: enabled",
                 do="frames would pass by the limits: start the node without LB_CONFIG",
             )
-        self.told, self.context, self.counters = told, context, context.counters
+        self.limits_settings, self.context, self.counters = limits_settings, context, context.counters
         self.disk: SpendingDisk | None = None
-        self.refused = False  # the disk did not take the newest write
-        self.book, self.low = Journal(), asyncio.Event()
-        if told.state is not None:
+        self.write_failed = False  # whether the disk refused the newest write
+        self.journal, self.write_needed = Journal(), asyncio.Event()
+        if limits_settings.state is not None:
             try:
-                self.disk = SpendingDisk(open_folder(told.state))
+                self.disk = SpendingDisk(open_folder(limits_settings.state))
             except OSError as error:
                 raise ConfigError(str(error), where="limits: state") from None
         self.clock = clocks.boot
         self.wall = PeriodClock(self.clock, clocks.wall(), self.disk.states if self.disk is not None else {})
-        self.gate = Gate(self.clock(), self.wall(), self._terms(program.meaning), told.state is not None)
+        self.gate = Gate(
+            self.clock(), self.wall(), self._terms(program.meaning), limits_settings.state is not None
+        )
         if self.disk is not None:
-            journal.restore(self.disk.states, self.gate.fresh, self.wall())
-            self._write_now()  # the first requests need not wait for the first sync
+            journal.restore(self.disk.states, self.gate.new_budgets, self.wall())
+            self._write_now()  # so that the first requests need not wait for a sync
         context.module.ports.budget_parts = self
-        self._tell_module(context.module)
+        self._configure_module(context.module)
         program.scgi.limits = self
         context.views["/teams"] = self.view
 
     def _terms(self, meaning: "Inventory") -> Terms:
         assert meaning.terms is not None, "an inventory that was read has terms"
-        return replace(meaning.terms, slack_s=self.told.slack_s)
+        return replace(meaning.terms, slack_s=self.limits_settings.slack_s)
 
-    # --- the front
+    # --- the front end
 
     def admit(self, contract: Contract, size: int) -> Allowed | ContractRejection:
-        """Before the body is read. Who is let through ends with ``ended``, whatever becomes of it."""
-        found = self.gate.ask(self.clock(), self.wall(), contract, size, clocks.wall())
-        if self.gate.low:
-            self.low.set()
-        if isinstance(found, Away):
-            self.counters.add(f"limits.{found.turned.why.value}")
-            return ContractRejection(found.turned.back_s, found.turned.why.value, self._left(contract[0]))
+        """Admit or reject a request before its body is read; an admitted one ends by ``Allowed.ended``."""
+        result = self.gate.ask(self.clock(), self.wall(), contract, size, clocks.wall())
+        if self.gate.near_ceiling:
+            self.write_needed.set()
+        if isinstance(result, RejectedRequest):
+            self.counters.add(f"limits.{result.rejection.reason.value}")
+            return ContractRejection(
+                result.rejection.retry_after_s,
+                result.rejection.reason.value,
+                self._balance_headers(contract[0]),
+            )
         self.counters.add("limits.let")
 
         def ended(cost_s: float | None) -> None:
-            self._ended(found, cost_s)
+            self._end_ticket(result, cost_s)
 
-        return Allowed(WITHIN if found.within else OVER, ended, lambda: self._left(contract[0]))
+        return Allowed(
+            WITHIN if result.within_share else OVER, ended, lambda: self._balance_headers(contract[0])
+        )
 
     def connect(self, team: str, own: Iterable[C]) -> C | ContractRejection | None:
-        """One connection more of a team: turned back, else it has a place, and what is given makes it."""
+        """Place one more connection of a team beside its ``own``; one that is returned is closed for it."""
         group = self.gate.terms.teams.get(team)
         if group is None:
             return None
-        room, silent = place(own, group.connections, self.context.module.clock())
-        if room is not Placement.REJECT:
+        placement, silent = place_for_team(own, group.connections, self.context.module.clock())
+        if placement is not Placement.REJECT:
             return silent
-        self.gate.had[team].turned[Why.CONNECTIONS] += 1
-        self.counters.add(f"limits.{Why.CONNECTIONS.value}")
-        return ContractRejection(AT_ONCE_BACK_S, Why.CONNECTIONS.value, self._left(team))
+        self.gate.usage[team].rejections[RejectReason.CONNECTIONS] += 1
+        self.counters.add(f"limits.{RejectReason.CONNECTIONS.value}")
+        return ContractRejection(
+            CONCURRENCY_RETRY_AFTER_S, RejectReason.CONNECTIONS.value, self._balance_headers(team)
+        )
 
-    def _ended(self, ticket: Ticket, cost_s: float | None) -> None:
+    def _end_ticket(self, ticket: Ticket, cost_s: float | None) -> None:
+        """End an admitted request; ``cost_s``: seconds of work of its run, None if it never ran."""
         if cost_s is None:
             self.gate.refund(ticket)
         else:
             self.gate.settle(ticket, cost_s)
-        if self.gate.low:
-            self.low.set()
+        if self.gate.near_ceiling:
+            self.write_needed.set()
         if ticket.budget is not None and ticket.budget.warnings:
-            for period, part in ticket.budget.warnings:
-                logs.event("limits.warning", team=ticket.team, period=period, part=part)
+            for period, share in ticket.budget.warnings:
+                logs.event("limits.warning", team=ticket.team, period=period, part=share)
             ticket.budget.warnings.clear()
 
-    def _left(self, team: str) -> tuple[tuple[str, str], ...]:
-        left = self.gate.left(self.wall(), team)
-        if left is None:
+    def _balance_headers(self, team: str) -> tuple[tuple[str, str], ...]:
+        balance = self.gate.balance(self.wall(), team)
+        if balance is None:
             return ()
         return (
-            ("X-Budget-Left", f"{left.left / MILLION:.6g}"),
-            ("X-Budget-Ends-Ms", str(max(1, round(1000 * left.ends_s)))),
+            ("X-Budget-Left", f"{balance.remaining / MILLION:.6g}"),
+            ("X-Budget-Ends-Ms", str(max(1, round(1000 * balance.period_ends_in_s)))),
         )
 
     # --- the decision module
 
-    def _tell_module(self, module: ModuleActor) -> None:
-        """Before anything was decided, so that no list of its own is as long as the teams are many."""
+    def _configure_module(self, module: ModuleActor) -> None:
+        """Give the module its two tenants before its first decision, so that it never has one per team."""
         now = module.clock()
         module.intake.limits_tenant, module.node = (
             WITHIN,
             Node(self.settings(now, module.settings), module.seed, now),
         )
         if module.ports.tracer is not None:
-            module.trace(module.ports.tracer)  # a replay begins with this one
+            module.trace(module.ports.tracer)  # a replay begins with the new node
 
-    def settings(self, now: float, told: api.Settings) -> api.Settings:
-        worth = told.over_quota_weight if told.over_quota_weight is not None else OVER_WORTH
-        return replace(told, tenants=TENANTS, over_quota_weight=worth)
+    def settings(self, now: float, settings: api.Settings) -> api.Settings:
+        """Return these settings with the two tenants in place of the teams."""
+        weight = settings.over_quota_weight if settings.over_quota_weight is not None else DEFAULT_OVER_WEIGHT
+        return replace(settings, tenants=TENANTS, over_quota_weight=weight)
 
     def due(self, now: float, node: Node) -> api.Settings | None:
+        """Return settings with the two tenants if the node has others, else None."""
         return None if node.settings.tenants is TENANTS else self.settings(now, node.settings)
 
     def renew(self, meaning: "Inventory") -> None:
-        """Another generation of the inventory is in force."""
-        self.gate.renew(self.clock(), self.wall(), self._terms(meaning))
-        if self.disk is not None:  # a team that was away over a restart goes on where it was
-            journal.restore(self.disk.states, self.gate.fresh, self.wall())
-        self.low.set()
+        """Apply another generation of the inventory."""
+        self.gate.change_terms(self.clock(), self.wall(), self._terms(meaning))
+        if self.disk is not None:  # a team that was missing at the start continues with its spending
+            journal.restore(self.disk.states, self.gate.new_budgets, self.wall())
+        self.write_needed.set()
 
     # --- the disk
 
     def _write_now(self) -> None:
         assert self.disk is not None
-        if (data := self.book.next(self.gate.asking())) is not None:
+        if (data := self.journal.next_entry(self.gate.take_near_ceiling())) is not None:
             self.disk.write(data)
-            self.book.synced()
+            self.journal.synced()
 
     async def listen(self) -> None:
+        """Do nothing: this part has no sockets."""
         pass
 
     async def run(self) -> None:
+        """Write higher ceilings whenever budgets need them."""
         while True:
-            await self.low.wait()
-            await asyncio.sleep(GATHER_S)
-            self.low.clear()
-            if self.disk is None or (data := self.book.next(self.gate.asking())) is None:
+            await self.write_needed.wait()
+            await asyncio.sleep(BATCH_S)
+            self.write_needed.clear()
+            if self.disk is None or (data := self.journal.next_entry(self.gate.take_near_ceiling())) is None:
                 continue
             try:
                 await asyncio.to_thread(self.disk.write, data)
-                self.book.synced()
-                if self.refused:
-                    self.refused = False
+                self.journal.synced()
+                if self.write_failed:
+                    self.write_failed = False
                     logs.event("limits.disk_room")
-                if self.disk.long:
+                if self.disk.needs_compaction:
                     data = journal.snapshot(self.gate.budgets.values())
                     await asyncio.to_thread(self.disk.compact, data, self.wall())
             except OperatorError as error:
-                # Nothing is spent that is not on the disk: those teams are told to come back.
-                self.book.failed()
+                # Nothing is spent beyond the ceilings on the disk: requests of those teams get a retry time.
+                self.journal.failed()
                 self.counters.add("trouble.spending")
-                self.refused = True
+                self.write_failed = True
                 logs.event("limits.disk_full", "warning", **error.fields())
-                await asyncio.sleep(FULL_S)
-                self.gate.low |= self.gate.budgets.keys()
-                self.low.set()
+                await asyncio.sleep(DISK_RETRY_S)
+                self.gate.near_ceiling |= self.gate.budgets.keys()
+                self.write_needed.set()
 
     async def leave(self) -> None:
+        """Do nothing: no other node waits for anything of this part."""
         pass
 
     def close(self) -> None:
+        """Write exactly what is spent, and close the disk."""
         if self.disk is None:
             return
-        if self.book.under_way:  # the thread may still write: the files are its own, and a piece is lost
+        if self.journal.in_progress:
+            # The thread may still write, so the files stay its own: at most an increment of each is lost.
             return
         try:
-            self.disk.write(journal.last(self.gate.budgets.values()))
+            self.disk.write(journal.final_entry(self.gate.budgets.values()))
         except OperatorError as error:
             logs.event("limits.disk", **error.fields())
         self.disk.close()
@@ -212,24 +232,32 @@
     # --- operators
 
     def view(self) -> object:
-        """What each team had and has left."""
+        """Return what each team had and what it has left."""
         wall, held, teams = self.wall(), self.context.program.scgi.held, {}
-        for name, had in self.gate.had.items():
-            left = self.gate.left(wall, name)
+        for name, usage in self.gate.usage.items():
+            balance = self.gate.balance(wall, name)
             teams[name] = {
-                "let": had.let,
-                "borrowed": had.borrowed,
-                "over": had.over,
-                "ran": had.ran,
-                "back": had.back,
-                "cost_s": round(had.cost_s, 6),
-                "open": self.gate.teams[name].at_once.open,
+                "let": usage.admitted,
+                "borrowed": usage.borrowed,
+                "over": usage.over_share,
+                "ran": usage.ran,
+                "back": usage.refunded,
+                "cost_s": round(usage.cost_s, 6),
+                "open": self.gate.teams[name].concurrency.open_count,
                 "connections": len(held.get(name, ())),
-                "turned": {why.value: count for why, count in had.turned.items()},
-                **({} if left is None else {"left": left.left / MILLION, "ends_s": round(left.ends_s, 3)}),
+                "turned": {reason.value: count for reason, count in usage.rejections.items()},
+                **(
+                    {}
+                    if balance is None
+                    else {
+                        "left": balance.remaining / MILLION,
+                        "ends_s": round(balance.period_ends_in_s, 3),
+                    }
+                ),
             }
         return {"teams": teams}
 
 
-def begin(told: Told, context: Context) -> Limits:
-    return Limits(told, context)
+def begin(limits_settings: LimitsSettings, context: Context) -> Limits:
+    """Make the part; it attaches itself to the module and the SCGI front end."""
+    return Limits(limits_settings, context)
--- a/beechrock/limits/places.py
+++ b/beechrock/limits/places.py
@@ -1,9 +1,9 @@
-"""How many connections a team may hold, and which of its own makes place for a newer one. Pure.
+"""How many connections a team may hold, and which of its own ends for a newer one. Pure.
 
-A connection is its team's from when it is opened, where its front end is bound to a team; else from when its
-headers name one. Before that only the front's table knows it. Invariants: another team's connection is never
-touched; what has begun to say something, or may have, gives its place to nobody; a bound that is cut ends
-nothing by itself.
+A connection counts for a team from its opening where its front end is bound to a team, else from when its
+headers name one; before that only the front's table counts it. Invariants: another team's connection is never
+touched; a connection that has begun to send, or may have, is never ended for another; a bound that is lowered
+ends nothing by itself.
 """
 
 import math
@@ -13,24 +13,29 @@
 from beechrock.connections.table import Connection, Placement, State, state_of
 
 
-class Held(Connection, Protocol):
+class HeldConnection(Connection, Protocol):
+    """A connection that counts for a team."""
+
     def is_silent(self) -> bool:
-        """Whether not a byte of it was read."""
+        """Return whether not a byte of it was read."""
+
 
+C = TypeVar("C", bound=HeldConnection)
 
-C = TypeVar("C", bound=Held)
 
+def place_for_team(held: Iterable[C], max_connections: float, now: float) -> tuple[Placement, C | None]:
+    """Return what a team's new connection gets, and which of its ``held`` ones has to end for that.
 
-def place(own: Iterable[C], most: float, now: float) -> tuple[Placement, C | None]:
-    """For one more of a team's, beside those it has in the order in which they came: a place; a place if the
-    one that was silent longest ends; or none. Those whose answer is on its way are counted no more."""
-    if most == math.inf:
+    ``held`` is in the order in which they joined, so of the silent ones the first ends. A connection
+    whose answer is on its way counts no more.
+    """
+    if max_connections == math.inf:
         return Placement.FREE, None
-    live = [c for c in own if not c.closing]
-    if len(live) < most:
+    live = [connection for connection in held if not connection.closing]
+    if len(live) < max_connections:
         return Placement.FREE, None
-    for c in live:
-        # One that is new may have its request under way, or in the kernel: it tells nothing yet.
-        if c.is_silent() and state_of(c, now) is State.SILENT:
-            return Placement.REPLACE, c
+    for connection in live:
+        # The request of a new connection may be on its way or in the kernel, so its silence means nothing.
+        if connection.is_silent() and state_of(connection, now) is State.SILENT:
+            return Placement.REPLACE, connection
     return Placement.REJECT, None
--- a/beechrock/limits/tree.py
+++ b/beechrock/limits/tree.py
@@ -1,8 +1,8 @@
-"""Department, team, service: each passes by its own rate, else by what is free above it. Pure, O(depth).
+"""The tree of departments, teams and services: each passes by its own rate or borrows above. Pure, O(depth).
 
-Invariants: what is within a node's own rate passes whatever others have borrowed, if all rates below a node
+Invariants: a request within a node's own rate passes whatever others have borrowed, if all rates below a node
 add up to no more than its own (the inventory checks that). Over any time T a node lets through at most
-``rate`` x T + its burst + the bursts below it. Ceilings and numbers at once hold for own and borrowed alike.
+``rate`` x T + its burst + the bursts below it. Ceilings and concurrency limits bound own and borrowed alike.
 """
 
 import math
@@ -10,92 +10,104 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from beechrock.limits.rates import AtOnce, Rate
+from beechrock.limits.rates import ConcurrencyLimit, Rate
 
-LEVELS = 4  # of priority between the services of a team, 0 the first
+PRIORITY_LEVELS = 4  # between the services of a team; level 0 is the highest priority
 
 
-class Why(Enum):
-    """Why one was turned away; its value is what callers and figures are told."""
+class RejectReason(Enum):
+    """Why a request or connection was rejected; callers and counters get the value."""
 
-    RATE = "rate"  # its own is used, and nothing can be borrowed
+    RATE = "rate"  # its own rate is used up, and nothing can be borrowed
     CEILING = "ceiling"
     AT_ONCE = "at_once"
     HOURS = "hours"
     BYTES = "bytes"
     BUDGET = "budget"
     CONNECTIONS = "connections"
-    SPENDING = "spending"  # nothing may be spent that is not on the disk yet
+    SPENDING = "spending"  # the budget's next ceiling is not on the disk yet
 
 
 @dataclass(slots=True, eq=False)
 class Node:
-    """``rate`` is what it is guaranteed, ``most`` its ceiling."""
+    """A department, team or service, with its guaranteed ``rate`` and its ``ceiling``."""
 
     name: str
     rate: Rate
-    most: Rate = field(default_factory=lambda: Rate(math.inf, 1.0))
-    at_once: AtOnce = field(default_factory=AtOnce)
-    above: "Node | None" = None
-    priority: int = 0
-    borrows: bool = True
+    ceiling: Rate = field(default_factory=lambda: Rate(math.inf, 1.0))
+    concurrency: ConcurrencyLimit = field(default_factory=ConcurrencyLimit)
+    parent: "Node | None" = None
+    priority: int = 0  # of a service within its team; 0 is the highest
+    borrows: bool = True  # whether it may use the spare rate of the nodes above
 
     def path(self) -> Iterator["Node"]:
-        """Itself first."""
+        """Iterate over this node and its ancestors, this node first."""
         node: Node | None = self
         while node is not None:
             yield node
-            node = node.above
+            node = node.parent
 
 
 @dataclass(frozen=True, slots=True)
-class Let:
+class Admission:
+    """A request that was let through; ``borrowed``: by the rate of a node above its own."""
+
     borrowed: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Turned:
-    why: Why
-    back_s: float
-    at: str = ""  # the node that was full
+class Rejection:
+    """A request that was not let through."""
+
+    reason: RejectReason
+    retry_after_s: float
+    node: str = ""  # name of the node that rejected it
 
 
-AT_ONCE_BACK_S = 0.1  # when one of many ends, nobody knows
+CONCURRENCY_RETRY_AFTER_S = 0.1  # fixed, as nobody knows when an open request ends
 
 
-def ask(now: float, leaf: Node, holds: bool = True) -> Let | Turned:
-    """Charge the whole path, or nothing. ``holds``: whether the contract's hours do; else it only borrows."""
+def admit(now: float, leaf: Node, in_hours: bool = True) -> Admission | Rejection:
+    """Charge the whole path of a service, or nothing.
+
+    ``in_hours``: whether it is within the contract's hours; outside of them it only borrows.
+    """
     for node in leaf.path():
-        if not node.at_once.has():
-            return Turned(Why.AT_ONCE, AT_ONCE_BACK_S, node.name)
-        if not node.most.has(now):
-            return Turned(Why.CEILING, node.most.back_s(now), node.name)
-    lender = leaf if holds and leaf.rate.has(now) else _lender(now, leaf)
+        if not node.concurrency.has_room():
+            return Rejection(RejectReason.AT_ONCE, CONCURRENCY_RETRY_AFTER_S, node.name)
+        if not node.ceiling.has_room(now):
+            return Rejection(RejectReason.CEILING, node.ceiling.retry_after_s(now), node.name)
+    lender = leaf if in_hours and leaf.rate.has_room(now) else _lender(now, leaf)
     if lender is None:
-        return Turned(Why.RATE if holds else Why.HOURS, leaf.rate.back_s(now), leaf.name)
+        return Rejection(
+            RejectReason.RATE if in_hours else RejectReason.HOURS, leaf.rate.retry_after_s(now), leaf.name
+        )
     for node in leaf.path():
         node.rate.charge(now)
-        node.most.charge(now)
-        node.at_once.begin()
-    return Let(lender is not leaf)
+        node.ceiling.charge(now)
+        node.concurrency.begin()
+    return Admission(lender is not leaf)
 
 
 def _lender(now: float, leaf: Node) -> Node | None:
-    """The nearest above with room. From its team a service borrows beyond a reserve for those before it."""
+    """Return the nearest ancestor that can lend, or None.
+
+    What a service borrows from its team leaves a reserve for the services of higher priority.
+    """
     below = leaf
-    while below.borrows and (node := below.above) is not None:
-        reserve = node.rate.burst * leaf.priority / LEVELS if below is leaf else 0.0
-        # ``has`` takes a burst below one for whole; beside a reserve the plain number counts.
-        if node.rate.has(now) and node.rate.free(now) >= reserve:
+    while below.borrows and (node := below.parent) is not None:
+        reserve = node.rate.burst * leaf.priority / PRIORITY_LEVELS if below is leaf else 0.0
+        # ``has_room`` also passes where a burst below 1 is available in full; the reserve needs the count.
+        if node.rate.has_room(now) and node.rate.available(now) >= reserve:
             return node
         below = node
     return None
 
 
 def end(path: tuple[Node, ...], ran: bool) -> None:
-    """Of one that was let through, by the path that it was let through on. What never ran is given back."""
+    """End an admitted request on the path that it was admitted on; refund its rates if it never ran."""
     for node in path:
-        node.at_once.end()
+        node.concurrency.end()
         if not ran:
             node.rate.refund()
-            node.most.refund()
+            node.ceiling.refund()
--- a/tests/limits/test_part.py
+++ b/tests/limits/test_part.py
@@ -1,4 +1,4 @@
-"""What the decision module is told by the limits, and what the operator's file may say of them."""
+"""The decision module's two tenants, and the checks of the table ``[limits]`` in the operator's file."""
 
 from dataclasses import replace
 from pathlib import Path
@@ -9,23 +9,23 @@
 from beechrock import interface as api
 from beechrock.config.errors import ConfigError
 from beechrock.limits.part import OVER, TENANTS, WITHIN
-from beechrock.limits.told import Told, read
+from beechrock.limits.told import LimitsSettings, read
 from beechrock.policy import Node
 from beechrock.settings import settings_from
 
 
-def test_the_module_needs_two_tenants_and_takes_the_over_one_for_less() -> None:
+def test_the_module_has_two_tenants_and_gives_the_one_over_its_share_less_weight() -> None:
     settings = replace(settings_from(SETTINGS)[0], tenants=TENANTS, over_quota_weight=0.25)
     node, now = Node(settings, 1, 0.0), 0.0
-    for at in range(6000):
+    for ident in range(6000):
         now += 0.01
-        # Those that are over are all retries, which the module does not count as traffic.
-        over = at % 10 == 0
+        # All requests of the tenant "over" are retries, which the module does not count as traffic.
+        over = ident % 10 == 0
         node.decide(
             now,
             [
-                api.Arrived(api.Request(at, 0, 1.0, tenant_index=OVER if over else WITHIN, is_retry=over)),
-                api.RunFinished(at, api.Outcome.OK, 0.01),
+                api.Arrived(api.Request(ident, 0, 1.0, tenant_index=OVER if over else WITHIN, is_retry=over)),
+                api.RunFinished(ident, api.Outcome.OK, 0.01),
             ],
         )
     assert len(node.shares.traffic) == len(node.budgets.spent) == 2
@@ -33,8 +33,8 @@
 
 
 def test_the_table_is_checked(tmp_path: Path) -> None:
-    assert read({"enabled": True}, "f: limits", tmp_path) == Told()
-    assert read({"state": "s", "slack_ms": 500}, "f: limits", tmp_path) == Told(tmp_path / "s", 0.5)
-    for bad in ({"state": ""}, {"slack_ms": 5}, {"slack_ms": "x"}):
+    assert read({"enabled": True}, "f: limits", tmp_path) == LimitsSettings()
+    assert read({"state": "s", "slack_ms": 500}, "f: limits", tmp_path) == LimitsSettings(tmp_path / "s", 0.5)
+    for invalid in ({"state": ""}, {"slack_ms": 5}, {"slack_ms": "x"}):
         with pytest.raises(ConfigError, match="f: limits: s"):
-            read(bad, "f: limits", tmp_path)
+            read(invalid, "f: limits", tmp_path)
--- a/tests/limits/test_places.py
+++ b/tests/limits/test_places.py
@@ -1,4 +1,4 @@
-"""Who of a team keeps a connection, over random histories."""
+"""Which connections of a team are kept, over random histories."""
 
 import random
 from dataclasses import dataclass
@@ -6,14 +6,14 @@
 import pytest
 
 from beechrock.connections.table import CROSSING_S, Placement
-from beechrock.limits.places import place
+from beechrock.limits.places import place_for_team
 
 
 @dataclass(eq=False)
-class One:
+class FakeConnection:
     opened_at: float
-    heard: bool = False  # the first bytes were read
-    waits: bool = False  # they are in the kernel still
+    was_read: bool = False  # whether its first bytes were read
+    unread_input: bool = False  # whether its first bytes are still in the kernel
     closing: bool = False
     uses: int = 0
     back_at: float = 0.0
@@ -25,42 +25,55 @@
         return self.uses > 0 and not self.closing
 
     def input_waits(self) -> bool:
-        return self.waits
+        return self.unread_input
 
     def begun(self) -> bool:
-        return False  # SCGI connections have an answer before they end, whatever was said of their request
+        return False  # an SCGI connection is answered before it ends, whatever came of its request
 
     def is_silent(self) -> bool:
-        return not self.heard
+        return not self.was_read
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_a_team_stays_within_its_places_and_only_its_silent_ones_end(seed: int) -> None:
-    rng, own, now, most, seen = random.Random(seed), list[One](), 0.0, 6, set[Placement]()
+def test_a_team_stays_within_its_connection_limit_and_only_its_silent_connections_end(seed: int) -> None:
+    rng, held, now, max_connections, placements = (
+        random.Random(seed),
+        list[FakeConnection](),
+        0.0,
+        6,
+        set[Placement](),
+    )
     for _ in range(2000):
         now += rng.choice((0.0, 0.01, CROSSING_S * 2))
         if rng.random() < 0.02:
-            most = rng.choice((2, 6))
-        if rng.random() < 0.5 and own:
-            one = rng.choice(own)
-            if one.heard:
-                one.closing = one.uses > 0
-                one.uses = 1
+            max_connections = rng.choice((2, 6))
+        if rng.random() < 0.5 and held:
+            connection = rng.choice(held)
+            if connection.was_read:
+                connection.closing = connection.uses > 0
+                connection.uses = 1
             elif rng.random() < 0.6:
-                one.heard, one.waits = one.waits, not one.waits
-            own = [c for c in own if not c.closing or rng.random() < 0.5]
+                connection.was_read, connection.unread_input = (
+                    connection.unread_input,
+                    not connection.unread_input,
+                )
+            held = [c for c in held if not c.closing or rng.random() < 0.5]
             continue
-        before = sum(not c.closing for c in own)
-        silent = [c for c in own if not (c.closing or c.heard or c.waits) and now - c.opened_at > CROSSING_S]
-        room, gone = place(own, most, now)
-        seen.add(room)
-        assert room is (
-            Placement.FREE if before < most else Placement.REPLACE if silent else Placement.REJECT
+        before = sum(not c.closing for c in held)
+        silent = [
+            c
+            for c in held
+            if not (c.closing or c.was_read or c.unread_input) and now - c.opened_at > CROSSING_S
+        ]
+        placement, replaced = place_for_team(held, max_connections, now)
+        placements.add(placement)
+        assert placement is (
+            Placement.FREE if before < max_connections else Placement.REPLACE if silent else Placement.REJECT
         )
-        assert gone is (silent[0] if room is Placement.REPLACE else None)
-        if gone is not None:
-            gone.closing = True
-        if room is not Placement.REJECT:
-            own.append(One(now))
-        assert sum(not c.closing for c in own) <= max(before, most)
-    assert len(seen) == 3 and place(own, float("inf"), now) == (Placement.FREE, None)
+        assert replaced is (silent[0] if placement is Placement.REPLACE else None)
+        if replaced is not None:
+            replaced.closing = True
+        if placement is not Placement.REJECT:
+            held.append(FakeConnection(now))
+        assert sum(not c.closing for c in held) <= max(before, max_connections)
+    assert len(placements) == 3 and place_for_team(held, float("inf"), now) == (Placement.FREE, None)
--- a/tests/limits/test_process.py
+++ b/tests/limits/test_process.py
@@ -1,4 +1,4 @@
-"""A node as a process with [limits]: a flood, a burnt budget, silence, a crash and an orderly end."""
+"""A node process with [limits]: a flood, a spent budget, silent connections, a crash and an orderly stop."""
 
 import asyncio
 import os
@@ -17,9 +17,9 @@
 from beechrock.net.scgi_codec import parts_of, request_bytes
 
 ROOT = Path(__file__).parent.parent.parent
-TEAMS = [f"t{at}" for at in range(10)]
-BUDGETS = {"t8": 5, "t9": 64}
-KEYS = count()
+TEAMS = [f"t{index}" for index in range(10)]
+BUDGETS = {"t8": 5, "t9": 64}  # amount by team
+KEYS = count()  # numbers of idempotency keys
 
 
 def inventory(port: int) -> str:
@@ -44,6 +44,7 @@
     folder: Path,
     program: tuple[str, str] = ("-m", "beechrock"),
 ) -> Iterator[tuple["subprocess.Popen[str]", int]]:
+    """Run a node and yield its process and port."""
     with subprocess.Popen(
         [sys.executable, *program],
         cwd=ROOT,
@@ -67,7 +68,11 @@
 async def ask(
     port: int, team: str, whole: bool = True, key: str = "", host: str = "127.0.0.1"
 ) -> tuple[int, dict[str, str], bytes]:
-    """Comes back where the next piece of the budget is not on the disk yet, as it is told to."""
+    """Send a request and return its answer.
+
+    Retries after the given time where the budget's next ceiling is not on the disk yet. ``whole`` False: the
+    body is not sent.
+    """
     data = request_bytes(
         {"HTTP_X_TEAM": team, "HTTP_X_ROUTE": "s", "HTTP_IDEMPOTENCY_KEY": key or f"k{next(KEYS)}"},
         b"x" * 60_000,
@@ -76,24 +81,25 @@
         reader, writer = await asyncio.open_connection("127.0.0.1", port, local_addr=(host, 0))
         try:
             writer.write(data if whole else data[:-60_000])
-            found = parts_of(await asyncio.wait_for(reader.read(), 30))
+            answer = parts_of(await asyncio.wait_for(reader.read(), 30))
         finally:
             writer.close()
-        if found[1].get("x-limit") != "spending":
-            return found
-        await asyncio.sleep(int(found[1]["x-retry-after-ms"]) / 1000)
+        if answer[1].get("x-limit") != "spending":
+            return answer
+        await asyncio.sleep(int(answer[1]["x-retry-after-ms"]) / 1000)
 
 
 async def many(port: int, team: str, tries: int, at_once: int, pause_s: float = 0.0) -> Counter[int]:
-    got: Counter[int] = Counter()
+    """Send requests from ``at_once`` callers; return the number of answers by status."""
+    statuses: Counter[int] = Counter()
 
-    async def one() -> None:
+    async def caller() -> None:
         for _ in range(tries // at_once):
-            got[(await ask(port, team))[0]] += 1
+            statuses[(await ask(port, team))[0]] += 1
             await asyncio.sleep(pause_s)
 
-    await asyncio.gather(*(one() for _ in range(at_once)))
-    return got
+    await asyncio.gather(*(caller() for _ in range(at_once)))
+    return statuses
 
 
 async def play(folder: Path) -> None:
@@ -105,46 +111,47 @@
         f'[limits]\nenabled = true\nstate = "{folder}/state"\n'
     )
     with node(folder) as (process, port):
-        # One team at fifty times its rate, or as near as this machine comes; seven have all they ask for.
+        # One team asks at fifty times its rate, or as near to it as this machine can; seven others get
+        # everything they ask for.
         began = time.monotonic()
         flood, *others = await asyncio.gather(
             many(port, "t0", 600, 8), *(many(port, t, 12, 2, 0.3) for t in TEAMS[1:8])
         )
-        took = time.monotonic() - began
-        assert all(got == {200: 12} for got in others), others
-        assert flood[200] <= 41 + 4 * took and flood[200] + flood[503] == 600, (flood, took)
-        # A budget of five, and then retries without limit. The repeat of what ran has its answer.
+        took_s = time.monotonic() - began
+        assert all(statuses == {200: 12} for statuses in others), others
+        assert flood[200] <= 41 + 4 * took_s and flood[200] + flood[503] == 600, (flood, took_s)
+        # A budget of five starts, then retries without limit; a repeated key gets its stored answer.
         assert (await ask(port, "t8", key="ran"))[0] == 200
         assert await many(port, "t8", 205, 5) == {200: 4, 503: 201}
         ran = server.runs
         assert (await ask(port, "t8", key="ran"))[0] == 200 and server.runs == ran
-        status, told, _ = await ask(port, "t8", whole=False)  # no body came, and none was waited for
-        assert (status, told["x-limit"], told["x-budget-left"]) == (503, "budget", "0")
-        assert int(told["retry-after"]) >= int(told["x-budget-ends-ms"]) // 1000 > 0
+        status, headers, _ = await ask(port, "t8", whole=False)  # rejected without waiting for the body
+        assert (status, headers["x-limit"], headers["x-budget-left"]) == (503, "budget", "0")
+        assert int(headers["retry-after"]) >= int(headers["x-budget-ends-ms"]) // 1000 > 0
         assert (await many(port, "t9", 10, 1))[200] == 10
         ran = server.runs
         process.kill()
-    with node(folder) as (process, port):  # after a crash: nothing is forgotten, a piece at most is lost
-        status, told, _ = await ask(port, "t8")
-        assert (status, told["x-limit"]) == (503, "budget")
-        status, told, _ = await ask(port, "t9")
-        assert status == 200 and 64 - 11 - 3 <= float(told["x-budget-left"]) <= 64 - 11
-        left = float(told["x-budget-left"])
+    with node(folder) as (process, port):  # after a crash no spending is forgotten and little is lost
+        status, headers, _ = await ask(port, "t8")
+        assert (status, headers["x-limit"]) == (503, "budget")
+        status, headers, _ = await ask(port, "t9")
+        assert status == 200 and 64 - 11 - 3 <= float(headers["x-budget-left"]) <= 64 - 11
+        left = float(headers["x-budget-left"])
         process.send_signal(signal.SIGTERM)
         assert await asyncio.to_thread(process.wait, 60) == 0
-    with node(folder) as (process, port):  # after an orderly end: exactly what was left
-        status, told, _ = await ask(port, "t9")
-        assert (status, float(told["x-budget-left"])) == (200, left - 1)
-        assert server.runs == ran + 2  # what was turned away never ran
-        # A budget that is cut below what is spent, while the node runs.
+    with node(folder) as (process, port):  # after an orderly stop exactly what was left is there
+        status, headers, _ = await ask(port, "t9")
+        assert (status, float(headers["x-budget-left"])) == (200, left - 1)
+        assert server.runs == ran + 2  # no rejected request ran
+        # The budget is cut below what is spent, while the node runs.
         path = folder / "i.yaml"
         path.write_text(path.read_text().replace("amount: 64", "amount: 11"))
         for _ in range(50):
-            status, told, _ = await ask(port, "t9")
-            if status == 503 and told.get("x-limit") == "budget":
+            status, headers, _ = await ask(port, "t9")
+            if status == 503 and headers.get("x-limit") == "budget":
                 break
             await asyncio.sleep(0.5)
-        assert status == 503 and told["x-budget-left"] == "0"
+        assert status == 503 and headers["x-budget-left"] == "0"
     server.close()
 
 
@@ -152,17 +159,19 @@
     asyncio.run(play(tmp_path))
 
 
-PLACES = 40  # of the node, 5/8 of its descriptors: a node with few, so that a slow machine can fill them
-FEW = (
+PLACES = (
+    40  # the node's connection limit, 5/8 of its 64 descriptors; low, so that a slow machine can reach it
+)
+FEW_SOCKETS = (
     "-c",
     "from beechrock.config import platform; platform.SOCKETS = 64.0\n"
     "from beechrock.__main__ import main; main()",
 )
-BOUND = "127.0.0.2"  # the front end of t1 alone
+BOUND = "127.0.0.2"  # address of a front end that is bound to the team t1
 
 
-async def say(port: int, host: str, data: bytes) -> bytes:
-    """What comes back to no more than this; nothing where the connection was cut."""
+async def send(port: int, host: str, data: bytes) -> bytes:
+    """Send these bytes and return all that comes back; empty where the connection was reset."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port, local_addr=(host, 0))
     try:
         writer.write(data)
@@ -190,40 +199,41 @@
         ]
         for team in ("t1", "t2")
     }
-    cases = [  # who holds, with what; who comes then; what one of them hears
+    cases = [  # held connections (address, bytes sent); a new one; the answer that one of them gets
         ((BOUND, b""), (BOUND, b""), b"a newer connection of its team"),
         ((BOUND, heads["t1"][:9]), (BOUND, b""), b"X-Limit: connections"),
         (("127.0.0.1", heads["t2"]), ("127.0.0.1", heads["t2"]), b"X-Limit: connections"),
     ]
-    with node(folder, FEW) as (_, port):
-        for held, came, heard in cases:
-            for _ in range(10):  # on a machine that lags those that hold may be too new, or stalled before
-                holding = [asyncio.create_task(say(port, *held)) for _ in range(4)]
+    with node(folder, FEW_SOCKETS) as (_, port):
+        for held, new, expected in cases:
+            for _ in range(10):  # on a slow machine the held connections may be too new, or timed out already
+                holding = [asyncio.create_task(send(port, *held)) for _ in range(4)]
                 await asyncio.sleep(0.3)
-                told = [await say(port, *came), *await asyncio.gather(*holding)]
-                if any(heard in one for one in told):
+                answers = [await send(port, *new), *await asyncio.gather(*holding)]
+                if any(expected in answer for answer in answers):
                     break
-            assert any(heard in one for one in told), (held, told)
-        # Every place of the node, and more, held by who says nothing; cut or told off, it comes again.
+            assert any(expected in answer for answer in answers), (held, answers)
+        # A caller holds every connection of the node and more without sending anything; when one is reset or
+        # answered, it opens another.
         evicted = 0
 
-        async def silent(at: int) -> None:
+        async def silent(index: int) -> None:
             nonlocal evicted
-            await asyncio.sleep(at / 50)  # a short backlog holds up those that all come at one moment
+            await asyncio.sleep(index / 50)  # a short backlog delays connections that open all at once
             while True:
-                heard = await say(port, "127.0.0.1", b"")  # apart, as += reads the count before it waits
-                evicted += b"this connection ends" in heard
+                answer = await send(port, "127.0.0.1", b"")  # not inside +=, which reads the count first
+                evicted += b"this connection ends" in answer
                 await asyncio.sleep(0.2)
 
-        flood = [asyncio.create_task(silent(at)) for at in range(PLACES + 20)]
+        flood = [asyncio.create_task(silent(index)) for index in range(PLACES + 20)]
         try:
             async with asyncio.timeout(60):
                 while evicted < 20:  # the table is full
                     await asyncio.sleep(0.1)
             before, ran = evicted, server.runs
-            # Also of the team that is bound, and has its own places.
-            got = await asyncio.gather(many(port, "t3", 30, 3, 0.2), many(port, "t4", 30, 3, 0.2))
-            assert got == [{200: 30}, {200: 30}] and server.runs == ran + 60, got
+            # Other teams are served, and so is t1, for whose bound front end own connections are counted.
+            statuses = await asyncio.gather(many(port, "t3", 30, 3, 0.2), many(port, "t4", 30, 3, 0.2))
+            assert statuses == [{200: 30}, {200: 30}] and server.runs == ran + 60, statuses
             assert evicted > before and (await ask(port, "t1", host=BOUND))[0] == 200
         finally:
             for task in flood:
@@ -232,5 +242,5 @@
     server.close()
 
 
-def test_who_holds_connections_and_says_nothing_costs_the_others_no_request(tmp_path: Path) -> None:
+def test_silent_connections_cost_other_teams_no_request(tmp_path: Path) -> None:
     asyncio.run(silence(tmp_path))
--- a/tests/limits/test_spending_disk.py
+++ b/tests/limits/test_spending_disk.py
@@ -1,4 +1,4 @@
-"""Spending on a disk that fails for a while: no ceiling counts before it lasts, and it goes on by itself."""
+"""Spending on a disk that fails for a while: no ceiling counts before it is durable, and writes recover."""
 
 from pathlib import Path
 
@@ -14,6 +14,7 @@
 
 
 def entry(ceiling: int) -> bytes:
+    """Return an entry with one account of one team."""
     return journal.written({"team": State(60.0, 0, (Account(1, 0, 0, ceiling, 0, ceiling, 0),))})
 
 
@@ -22,7 +23,9 @@
 
 
 @pytest.mark.parametrize("fails", ["write", "sync", "write sync sync_names"])
-def test_spending_is_durable_after_a_fault_and_after_a_kill_within_it(tmp_path: Path, fails: str) -> None:
+def test_spending_is_durable_after_a_disk_fault_and_after_a_kill_during_it(
+    tmp_path: Path, fails: str
+) -> None:
     control, folder = tmp_path / "disk.json", tmp_path / "state"
     tell(control, Faults())
     disk = SpendingDisk(LyingFiles(folder, control))
@@ -35,7 +38,7 @@
     with pytest.raises(StoreFailedError):
         disk.compact(entry(9), 0.0)
     assert ceiling(disk.states) == 5
-    assert ceiling(SpendingDisk(Files(folder)).states) == 5  # killed now: all that was promised
+    assert ceiling(SpendingDisk(Files(folder)).states) == 5  # after a kill at this moment
     tell(control, Faults())
     disk.write(entry(9))
     disk.compact(entry(9), 0.0)
--- a/tests/limits/test_terms.py
+++ b/tests/limits/test_terms.py
@@ -1,4 +1,4 @@
-"""What the inventory says of limits: its terms, and each fault with line and key."""
+"""Terms of contracts and budgets in the inventory, and errors that name line and key."""
 
 from pathlib import Path
 
@@ -35,27 +35,39 @@
 """
 
 
-def test_terms_are_the_nodes_part_and_survive_the_written_form(tmp_path: Path) -> None:
+def test_terms_are_the_nodes_share_and_survive_encoding(tmp_path: Path) -> None:
     (tmp_path / "i.yaml").write_text(TEXT)
     problems = Problems()
-    found = model.read(tmp_path / "i.yaml", problems)
-    assert found is not None, problems.lines()
-    terms = found[1].terms
+    read = model.read(tmp_path / "i.yaml", problems)
+    assert read is not None, problems.lines()
+    terms = read[1].terms
     assert terms is not None
-    p, r = terms.services["packagers", "resolve"], terms.services["releases", "resolve"]
-    assert (p.rate, p.burst, p.outside, p.hours.offset_s) == (30, 15, False, 3600)
-    assert (r.rate, r.burst, r.most, r.priority, r.bytes_per_s, r.price) == (10, 10, 25, 1, 500, 5 * MILLION)
+    packagers, releases = terms.services["packagers", "resolve"], terms.services["releases", "resolve"]
+    assert (packagers.rate, packagers.burst, packagers.outside, packagers.hours.offset_s) == (
+        30,
+        15,
+        False,
+        3600,
+    )
+    assert (
+        releases.rate,
+        releases.burst,
+        releases.most,
+        releases.priority,
+        releases.bytes_per_s,
+        releases.price,
+    ) == (10, 10, 25, 1, 500, 5 * MILLION)
     assert terms.departments["build"].rate == 50 and terms.root.rate == 60
     team = terms.teams["packagers"]
     assert (team.weight, team.at_once, team.connections) == (3, 5, 7)
     plan = terms.teams["releases"].budget
     assert plan is not None and plan.amount == 50 * MILLION and plan.warn == (0.5, 0.9)
-    again = generation.from_content(1, generation.content(found[0])).meaning
-    assert again.terms == terms == unpacked(ujson.loads(ujson.dumps(packed(terms))))
+    decoded = generation.from_content(1, generation.content(read[0])).meaning
+    assert decoded.terms == terms == unpacked(ujson.loads(ujson.dumps(packed(terms))))
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "line", "key", "said"),
+    ("old", "new", "line", "key", "message"),
     [
         ("08:00-18:00", "08:00-25:00", 17, "hours", "has no time of a day"),
         ("rate: 100", "rate: 59", 6, "rate", "below what is promised to those in it, 60"),
@@ -70,11 +82,11 @@
         ("most: 50", "outside: borrow", 18, "outside", "needs hours"),
     ],
 )
-def test_each_fault_has_its_line_and_key(
-    tmp_path: Path, old: str, new: str, line: int, key: str, said: str
+def test_each_inventory_error_names_its_line_and_key(
+    tmp_path: Path, old: str, new: str, line: int, key: str, message: str
 ) -> None:
     (tmp_path / "i.yaml").write_text(TEXT.replace(old, new, 1))
     with pytest.raises(InventoryError) as caught:
         model.load(tmp_path / "i.yaml")
-    told = [text for text in caught.value.problems.lines() if f"i.yaml:{line}:" in text]
-    assert any(f"{key}:" in text and said in text for text in told), caught.value.problems.lines()
+    problems = [text for text in caught.value.problems.lines() if f"i.yaml:{line}:" in text]
+    assert any(f"{key}:" in text and message in text for text in problems), caught.value.problems.lines()
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -1,4 +1,4 @@
-"""Whose a request is, as frames carry it; the hint of its work, which they carry too, is passed over."""
+"""The tenant of a request, as its frame names it; the frame's hint of its work is ignored."""
 
 from typing import Any
 
@@ -14,7 +14,7 @@
     {"name": "walkers", "portion": 0.6, "quotaPerS": 60.0},
     {"name": "couriers", "portion": 0.4, "quotaPerS": 40.0},
 ]
-UP = (
+CONNECT = (
     'g = accept agent\ng < "subscribe 0\\r\\n"\ng > "greeting LOADED 60000\\r\\n"\nup agent\n'
     "a = connect frames\n"
 )
@@ -30,11 +30,11 @@
 }
 
 
-def ask(number: int, **more: str) -> str:
-    """A request whose frame has these fields beside those that all have."""
-    told = {"trace": f"{number:016x}", **FIELDS, **more}
-    fields = " ".join(f'{len(name):02x}"{name}" {len(value):04x}"{value}"' for name, value in told.items())
-    return f'a > {{01 {number:08x} {len(told):02x} {fields} "one"}}\n'
+def request(number: int, **more: str) -> str:
+    """Return a request frame with these fields beside those that all requests have."""
+    values = {"trace": f"{number:016x}", **FIELDS, **more}
+    fields = " ".join(f'{len(name):02x}"{name}" {len(value):04x}"{value}"' for name, value in values.items())
+    return f'a > {{01 {number:08x} {len(values):02x} {fields} "one"}}\n'
 
 
 def launch(number: int) -> str:
@@ -55,14 +55,14 @@
         (None, {"customer": "couriers", "weight": "1e9"}, None),
     ],
 )
-def test_the_module_is_told_whose_a_request_is_and_no_hint_of_its_work(
+def test_the_module_gets_the_tenant_of_a_request_and_no_work_hint(
     tenants: Any,
     more: dict[str, str],
     tenant: int | None,
 ) -> None:
     async def work(stand: Stand) -> None:
         await stand.open(settings={**SETTINGS, "tenants": tenants, "overShareWorth": 0.1})
-        await stand.play(UP + ask(1, **more) + launch(1))
+        await stand.play(CONNECT + request(1, **more) + launch(1))
         (job,) = stand.program.module.node.table.requests.values()
         assert (job.request.tenant_index, job.request.work_hint_s) == (tenant, None)
         assert not stand.program.counters["intake.tenants_unknown"]
@@ -70,23 +70,25 @@
     run(work)
 
 
-def test_the_share_of_a_tenant_is_counted_by_what_its_frames_say() -> None:
+def test_a_tenants_traffic_share_is_counted_by_the_customer_that_frames_name() -> None:
     async def work(stand: Stand) -> None:
         await stand.open(settings={**SETTINGS, "tenants": TENANTS, "overShareWorth": 0.1})
         before = list(stand.program.module.node.shares.traffic)
-        await stand.play(UP + "".join(ask(n, customer="couriers") + launch(n) for n in (1, 2)))
+        await stand.play(
+            CONNECT + "".join(request(number, customer="couriers") + launch(number) for number in (1, 2))
+        )
         walkers, couriers = stand.program.module.node.shares.traffic
         assert walkers < before[0] and couriers > before[1]
 
     run(work)
 
 
-def test_a_tenant_that_the_settings_do_not_list_is_served_as_nobodys_and_answered_once() -> None:
+def test_a_request_of_an_unlisted_tenant_is_served_without_a_tenant_and_answered_once() -> None:
     async def work(stand: Stand) -> None:
         await stand.open(settings={**SETTINGS, "tenants": TENANTS, "overShareWorth": 0.1})
         await stand.play(
-            UP
-            + ask(1, customer="strangers")
+            CONNECT
+            + request(1, customer="strangers")
             + launch(1)
             + 'g > "outcome 1 0000000000000001 PASS 5 3\\r\\ntwo\\r\\n"\n'
             + 'a < {02 00000001 00 01 06"advice" 0006"0.0000" "two"}\n'
@@ -116,9 +118,9 @@
     assert FrameServer(Desk().actor, 8, customers=False).tenant("couriers") is None
 
 
-def test_a_long_run_of_a_tenant_beyond_its_share_is_taken_where_nobody_waits() -> None:
-    """Seen on a calm day: one long run, half the worth of 5 s, was refused beside hardly a line."""
-    told = api.Settings(
+def test_a_long_run_of_a_tenant_beyond_its_share_is_accepted_while_the_queue_is_short() -> None:
+    """Seen on a calm day: one long run, half the worth of 5 s, was rejected beside an almost empty queue."""
+    settings = api.Settings(
         cores=1,
         memory_kb=1e6,
         classes=(api.ClassSettings(latency_objective_s=2.0, deadline_s=6.0),),
@@ -126,13 +128,13 @@
         priority_weight_per_work=True,
         tenants=(api.TenantSettings(0.5, 100.0), api.TenantSettings(0.5, 2.0)),
     )
-    node, now = Node(told, 1, 100.0), 100.0
-    for ident in range(1, 61):  # 10 a second of the second tenant, which is five times its share
+    node, now = Node(settings, 1, 100.0), 100.0
+    for ident in range(1, 61):  # the second tenant sends 10 a second, five times its quota
         now += 0.05
         node.decide(now, [api.Arrived(api.Request(ident, 0, 5.0, work_hint_s=0.05, tenant_index=1))])
         now += 0.05
         node.decide(now, [api.RunFinished(ident, api.Outcome.OK, 0.05)])
-    said = node.decide(
+    actions = node.decide(
         now,
         [
             api.Arrived(api.Request(61, 0, 5.0, work_hint_s=0.05, tenant_index=1)),
@@ -140,4 +142,4 @@
             api.Arrived(api.Request(63, 0, 5.0, work_hint_s=0.8, tenant_index=1)),
         ],
     )
-    assert api.Run(61) in said and not [a for a in said if isinstance(a, (api.Reject, api.Fail))]
+    assert api.Run(61) in actions and not [a for a in actions if isinstance(a, (api.Reject, api.Fail))]
