--- a/beechrock/limits/gate.py
+++ b/beechrock/limits/gate.py
@@ -213,11 +213,11 @@
         self.teams = {}
         for name, group in terms.teams.items():
             parent = self.departments.get(group.above, self.root) if group.above != ROOT else self.root
-            node = known.get(name)
+            existing = known.get(name)
             if (
-                node is not None
+                existing is not None
                 and name not in self.removed_teams
-                and node.parent is parent
+                and existing.parent is parent
                 and before.teams.get(name) == group
             ):
                 self.teams[name] = known.pop(name)
--- a/tests/limits/test_gate.py
+++ b/tests/limits/test_gate.py
@@ -105,7 +105,7 @@
     gate.settle(tickets[0], 1.0)
     moved = replace(both, teams={**both.teams, "team1": replace(both.teams["team1"], above="")})
     gate.change_terms(0, WALL, moved)
-    left = gate.balance(WALL, "team1")
+    balance = gate.balance(WALL, "team1")
     assert (
         balance is not None and balance.remaining == 1 * M and gate.teams["team1"].concurrency.open_count == 8
     )
