--- a/beechrock/limits/budgets.py
+++ b/beechrock/limits/budgets.py
@@ -24,7 +24,7 @@
     carried_out: int = 0  # amount given to the next period; not available here if the clock goes back
     spent: int = 0  # amount settled and reserved
     reserved: int = 0  # amount of open reservations
-    ceiling: int = 0  # most that may be spent, as it is durable on the disk
+    ceiling: int = 0  # highest value of ``spent`` that the entry on the disk allows
     warnings_given: int = 0  # number of the plan's warnings that were given
 
 
@@ -56,7 +56,9 @@
     accounts: dict[int, Account] = field(default_factory=dict)  # by period number
     last_closed_period: int = -1  # periods up to this number never open again
     current: Account | None = None  # the account that was looked up last
-    warnings: list[tuple[int, float]] = field(default_factory=list)  # not logged yet: period, share spent
+    warnings: list[tuple[int, float]] = field(
+        default_factory=list
+    )  # not logged yet: period number, share reached
 
     # --- queries
 
@@ -79,7 +81,7 @@
         return account
 
     def _carry_over(self, period: int) -> int:
-        """Take the unspent amount of the period before, and return it.
+        """Carry over unspent budget from the period before; return the amount.
 
         What is still reserved there counts as spent, even if it is refunded later.
         """
--- a/beechrock/limits/disk.py
+++ b/beechrock/limits/disk.py
@@ -8,13 +8,13 @@
 from beechrock.store.limits import StoreLimits
 from beechrock.store.log import Store
 
-PREFIX = "spending"  # of the store's file names
+PREFIX = "spending"  # prefix of the store's file names
 MAX_ENTRIES = 4096  # number of log entries beyond which a snapshot replaces them
 STORE_LIMITS = StoreLimits(max_bytes=64 << 20)
 
 
 class SpendingDisk:
-    """The spending of all teams, on the disk and as last written.
+    """Budget spending of all teams: the log on the disk, and the states it holds.
 
     Errors of the store pass through, but a ``write`` to a full store raises SpendingFullError; nothing was
     written then.
--- a/beechrock/limits/gate.py
+++ b/beechrock/limits/gate.py
@@ -16,7 +16,7 @@
 from beechrock.limits.shares import Shares
 from beechrock.limits.tree import Node, Rejection, RejectReason
 
-DISK_RETRY_AFTER_S = 0.1  # until the next ceiling is on the disk: a sync takes some ms, if busy some tens
+DISK_RETRY_AFTER_S = 0.1  # for the next ceiling's sync: some milliseconds, on a busy disk some tens
 MIN_COST_GAIN = 0.05  # least weight of one run's cost in the mean cost of its contract's runs
 
 
@@ -303,5 +303,5 @@
 
 
 def _still_counts(now: float, node: Node) -> bool:
-    """Return whether requests of a removed node are open, or its rate is not free of them yet."""
+    """Return whether a removed node has open requests, or its burst is not fully available yet."""
     return node.concurrency.open_count > 0 or node.rate.tat > now
--- a/beechrock/limits/journal.py
+++ b/beechrock/limits/journal.py
@@ -15,7 +15,7 @@
 from beechrock.limits.errors import SpendingRecordError
 
 FORMAT = 1  # version of an entry's format
-MAX_TEAMS_PER_ENTRY = 4096  # some 400 KB
+MAX_TEAMS_PER_ENTRY = 4096  # an entry of so many teams has some 400 KB
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,7 +55,7 @@
         self.in_progress.clear()
 
     def failed(self) -> None:
-        """Keep the old ceilings: the entry may be durable or not, and they are asked for again."""
+        """Keep the old ceilings: the entry may be durable or not, and higher ones are requested again."""
         self.in_progress.clear()
 
 
--- a/beechrock/limits/part.py
+++ b/beechrock/limits/part.py
@@ -38,7 +38,7 @@
     api.TenantSettings(name="within"),
     api.TenantSettings(traffic_share=0.001, quota_per_s=1e-290, name="over"),
 )
-DEFAULT_OVER_WEIGHT = 0.25  # weight of a request beyond its share, where the settings give none
+DEFAULT_OVER_WEIGHT = 0.25  # factor on the worth of a request beyond its share, where the settings give none
 BATCH_S = 0.005  # budgets that need a higher ceiling within this time are written with one sync
 DISK_RETRY_S = 5.0  # seconds until the next write after one that failed
 
--- a/beechrock/limits/rates.py
+++ b/beechrock/limits/rates.py
@@ -21,7 +21,7 @@
     burst: float
     tat: float = -math.inf  # theoretical arrival time, in the seconds of ``now``
     latest: float = -math.inf  # latest ``now`` seen: where the clock goes back, time stands still
-    last_retry_at: float = -math.inf  # the last retry time that was given out
+    last_retry_at: float = -math.inf  # retry time given to the last rejected caller
 
     def available(self, now: float) -> float:
         """Return how many units would conform now."""
@@ -64,9 +64,8 @@
             return MAX_RETRY_AFTER_S
         earliest = max(now, self.tat - (self.burst - min(units, self.burst)) / self.rate)
         retry_at = max(earliest, self.last_retry_at + units / self.rate)
-        if (
-            retry_at > now + MAX_RETRY_AFTER_S
-        ):  # callers beyond the bound get the bound, and no time of their own
+        if retry_at > now + MAX_RETRY_AFTER_S:
+            # Later callers all get the bound, and no time of their own.
             return MAX_RETRY_AFTER_S
         self.last_retry_at = retry_at
         return retry_at - now
--- a/beechrock/limits/shares.py
+++ b/beechrock/limits/shares.py
@@ -21,9 +21,8 @@
 MIN_WEIGHT, MAX_WEIGHT = 0.001, 1000.0
 MILLION = 1_000_000
 SPARE_ENTRIES = 64  # heap entries beyond twice the active teams before the heap is rebuilt
-SOLE_ACTIVE_SLACKS = (
-    4.0  # a team that was the only active one for this many slacks of work may fill the queue
-)
+# A team that was the only active one for this many slacks of work is within its share.
+SOLE_ACTIVE_SLACKS = 4.0
 ROUNDING = 1e-3  # rounding error of sums of doubles, in millionths of a second of work
 REBASE_ABOVE = 1e9  # largest V; above it doubles would lose the small steps of a heavy team
 T = TypeVar("T", bound=Hashable)
@@ -38,7 +37,7 @@
 
 @dataclass(slots=True)
 class _Team:
-    weight: int  # in millionths
+    weight: int  # whole millionths
     finish_tag: float = 0.0  # virtual time at which its charged work would be done
     heap_entry: int = 0  # number of its newest heap entry; older ones are stale
 
@@ -141,7 +140,8 @@
             self.active_weight += state.weight
             needs_entry = True
         else:
-            # An entry with a later tag would come up too late; one with an earlier tag is corrected there.
+            # The team's heap entry has an older tag. A later tag is corrected when that entry comes up; an
+            # earlier tag needs a new entry, as the old one would come up too late.
             needs_entry = finish_tag < state.finish_tag
         state.finish_tag = finish_tag
         if needs_entry:
--- a/beechrock/limits/told.py
+++ b/beechrock/limits/told.py
@@ -16,7 +16,7 @@
 class LimitsSettings:
     """The checked settings of ``[limits]``."""
 
-    state: Path | None = None  # folder of the spending journal; None: in memory, a restart begins anew
+    state: Path | None = None  # folder of the spending journal; None: in memory, lost at a restart
     slack_s: float = 0.25  # how far a team may be ahead of its fair share, in seconds of work of all cores
 
 
--- a/beechrock/limits/tree.py
+++ b/beechrock/limits/tree.py
@@ -1,4 +1,4 @@
-"""The tree of departments, teams and services: each passes by its own rate or borrows above. Pure, O(depth).
+"""Tree of departments, teams and services: own rates, and borrowing from the nodes above. Pure, O(depth).
 
 Invariants: a request within a node's own rate passes whatever others have borrowed, if all rates below a node
 add up to no more than its own (the inventory checks that). Over any time T a node lets through at most
@@ -12,13 +12,13 @@
 
 from beechrock.limits.rates import ConcurrencyLimit, Rate
 
-PRIORITY_LEVELS = 4  # between the services of a team; level 0 is the highest priority
+PRIORITY_LEVELS = 4  # number of priorities of a team's services; 0 is the highest
 
 
 class RejectReason(Enum):
     """Why a request or connection was rejected; callers and counters get the value."""
 
-    RATE = "rate"  # its own rate is used up, and nothing can be borrowed
+    RATE = "rate"  # the service's own rate is used up, and nothing can be borrowed
     CEILING = "ceiling"
     AT_ONCE = "at_once"
     HOURS = "hours"
@@ -37,7 +37,7 @@
     ceiling: Rate = field(default_factory=lambda: Rate(math.inf, 1.0))
     concurrency: ConcurrencyLimit = field(default_factory=ConcurrencyLimit)
     parent: "Node | None" = None
-    priority: int = 0  # of a service within its team; 0 is the highest
+    priority: int = 0  # priority of a service within its team; 0 is the highest
     borrows: bool = True  # whether it may use the spare rate of the nodes above
 
     def path(self) -> Iterator["Node"]:
@@ -64,7 +64,7 @@
     node: str = ""  # name of the node that rejected it
 
 
-CONCURRENCY_RETRY_AFTER_S = 0.1  # fixed, as nobody knows when an open request ends
+CONCURRENCY_RETRY_AFTER_S = 0.1  # a fixed time, as nobody knows when an open request ends
 
 
 def admit(now: float, leaf: Node, in_hours: bool = True) -> Admission | Rejection:
--- a/tests/limits/test_budgets.py
+++ b/tests/limits/test_budgets.py
@@ -184,9 +184,8 @@
     budget.account(150)
     entries = Journal()
     assert entries.next_entry([(budget, M)]) is not None and entries.next_entry([(budget, M)]) is None
-    assert budget.reserve(150, M) is None and budget.waits_for_disk(
-        150, M
-    )  # nothing may be spent before the sync
+    # Nothing may be spent before the sync.
+    assert budget.reserve(150, M) is None and budget.waits_for_disk(150, M)
     entries.synced()
     assert budget.reserve(150, M) is not None
     held = journal.read(journal.final_entry([budget]))
--- a/tests/limits/test_gate.py
+++ b/tests/limits/test_gate.py
@@ -65,9 +65,8 @@
     assert gate.leaves["team0", "s"].node.rate.available(0) == 995  # retries use up none of its rate
     assert gate.shares.backlog_s("team0") == 0 and len(gate.budgets["team0"].accounts) == 1
     admitted(gate.ask(0, WALL, ("team1", "s")))
-    admitted(
-        gate.ask(0, WALL + rejected.rejection.retry_after_s + 10, ("team0", "s"))
-    )  # in the next period it is admitted
+    # In the next period it is admitted.
+    admitted(gate.ask(0, WALL + rejected.rejection.retry_after_s + 10, ("team0", "s")))
 
 
 def test_a_contract_cut_to_a_tenth_ends_no_open_request_and_binds_new_ones_at_once() -> None:
@@ -111,9 +110,8 @@
     )
     for ticket in tickets[1:]:
         gate.settle(ticket, 0.1)
-    assert (
-        gate.departments["dept"].concurrency.open_count == 0 == gate.root.concurrency.open_count
-    )  # ended on the path it began on
+    # All tickets ended on the path they began on.
+    assert gate.departments["dept"].concurrency.open_count == 0 == gate.root.concurrency.open_count
     gate.change_terms(99, WALL + 999, one)
     assert not gate.removed_leaves and not gate.removed_budgets
 
@@ -126,9 +124,8 @@
         and rejected.rejection.reason is RejectReason.HOURS
         and rejected.rejection.retry_after_s == 2 * 86_400
     )
-    admitted(
-        gate.ask(0, 2 * 86_400, ("team0", "s"), 5000)
-    )  # more than the burst passes while the whole burst is available
+    # A body larger than the burst passes while the whole burst is available.
+    admitted(gate.ask(0, 2 * 86_400, ("team0", "s"), 5000))
     rejected = gate.ask(1, 2 * 86_400, ("team0", "s"), 1)
     assert (
         isinstance(rejected, RejectedRequest)
--- a/tests/limits/test_process.py
+++ b/tests/limits/test_process.py
@@ -159,9 +159,8 @@
     asyncio.run(play(tmp_path))
 
 
-PLACES = (
-    40  # the node's connection limit, 5/8 of its 64 descriptors; low, so that a slow machine can reach it
-)
+# Connection limit of a node with 64 descriptors, 5/8 of them; low, so that a slow machine can reach it.
+MAX_CONNECTIONS = 40
 FEW_SOCKETS = (
     "-c",
     "from beechrock.config import platform; platform.SOCKETS = 64.0\n"
@@ -225,13 +224,13 @@
                 evicted += b"this connection ends" in answer
                 await asyncio.sleep(0.2)
 
-        flood = [asyncio.create_task(silent(index)) for index in range(PLACES + 20)]
+        flood = [asyncio.create_task(silent(index)) for index in range(MAX_CONNECTIONS + 20)]
         try:
             async with asyncio.timeout(60):
                 while evicted < 20:  # the table is full
                     await asyncio.sleep(0.1)
             before, ran = evicted, server.runs
-            # Other teams are served, and so is t1, for whose bound front end own connections are counted.
+            # The other teams are served, and t1 by its bound front end, which has connections of its own.
             statuses = await asyncio.gather(many(port, "t3", 30, 3, 0.2), many(port, "t4", 30, 3, 0.2))
             assert statuses == [{200: 30}, {200: 30}] and server.runs == ran + 60, statuses
             assert evicted > before and (await ask(port, "t1", host=BOUND))[0] == 200
--- a/tests/limits/test_shares.py
+++ b/tests/limits/test_shares.py
@@ -63,7 +63,7 @@
 @pytest.mark.parametrize(
     ("wants", "weights"),
     [
-        ([40, 3, 3, 3], [1, 1, 1, 1]),  # a flood beside three teams that ask for less than their share
+        ([40, 3, 3, 3], [1, 1, 1, 1]),  # a flood beside three teams, each with its quarter of the capacity
         ([10, 10, 0.5, 0.1], [1, 3, 1, 1]),  # what two teams leave unused is divided by weight
         ([20, 20, 20], [1000, 1, 1]),
         ([20, 20], [0.001, 1000]),
--- a/tests/limits/test_tree.py
+++ b/tests/limits/test_tree.py
@@ -73,9 +73,8 @@
     first, last = (Node(name, Rate(1, 1), parent=team, priority=p) for name, p in (("first", 0), ("last", 2)))
     while isinstance(admit(0, last), Admission):
         pass
-    assert team.rate.available(0) == pytest.approx(
-        3
-    )  # ``last`` got its own rate, and the team's down to its reserve of a half
+    # ``last`` has used its own rate, and the team's down to the reserve of half its burst.
+    assert team.rate.available(0) == pytest.approx(3)
     assert isinstance(admit(0, first), Admission) and isinstance(admit(0, first), Admission)
     team.concurrency.limit = team.concurrency.open_count
     assert admit(9, first) == Rejection(RejectReason.AT_ONCE, 0.1, "team")
