--- a/beechrock/core/__init__.py
+++ b/beechrock/core/__init__.py
@@ -1,1 +1,1 @@
-"""Requests, attempts and outcomes of one node; nothing here knows a wire."""
+"""Requests, attempts and outcomes of one node, independent of any network protocol."""
--- a/beechrock/core/action_executor.py
+++ b/beechrock/core/action_executor.py
@@ -1,4 +1,4 @@
-"""What the decision module asks for, carried out."""
+"""Executes the actions that the decision module returns."""
 
 import logging
 
@@ -14,7 +14,7 @@
 
 
 class ActionExecutor:
-    """Hands each action to the party that does it; an action about a request that is over does nothing."""
+    """Passes each action to the port or table that performs it; actions on finished requests are ignored."""
 
     def __init__(
         self,
@@ -31,7 +31,7 @@
         self._status = status
 
     def execute(self, action: api.Action, now: float) -> None:
-        """Carry out one action."""
+        """Execute one action."""
         match action:
             case api.SetTimer(token, delay):
                 self._timers.set(token, now + delay)
@@ -50,13 +50,13 @@
     def _execute_for(self, request: Request, action: api.Action, now: float) -> None:
         match action:
             case api.Run() | api.Stop():
-                self._steer_run(request, action, now)
+                self._control_run(request, action, now)
             case api.Reject(_, after, no_retry):
                 self._table.answer(request, Answer(Verdict.REFUSED, b"", after, no_retry), now)
             case api.Fail():
                 self._table.answer(request, Answer(Verdict.FAILED), now)
             case api.Call() | api.SkipCall():
-                self._steer_call(request, action)
+                self._control_call(request, action)
             case api.Remember(_, ttl):
                 self._remember(request, now + ttl, now)
             case api.Forget():
@@ -64,7 +64,7 @@
             case api.ShareResult():
                 self._share(request, now)
 
-    def _steer_run(self, request: Request, action: api.Run | api.Stop, now: float) -> None:
+    def _control_run(self, request: Request, action: api.Run | api.Stop, now: float) -> None:
         work = self._ports.work
         if work is None:
             return
@@ -82,7 +82,7 @@
             request.paused = False
             work.resume(request)
 
-    def _steer_call(self, request: Request, action: api.Call | api.SkipCall) -> None:
+    def _control_call(self, request: Request, action: api.Call | api.SkipCall) -> None:
         body = request.call_body
         if body is None:
             return
@@ -98,7 +98,7 @@
     def _remember(self, request: Request, until: float, now: float) -> None:
         if self._table.remember(request, until, now) or request.running:
             return
-        # Not remembered it must not run: a repeat would run again.
+        # A keyed request that is not remembered must not run, as a retry of it would run a second time.
         self._table.answer(request, Answer(Verdict.REFUSED), now)
         self._table.next_events.append(api.RunFinished(request.id, api.Outcome.REJECTED, 0.0))
 
--- a/beechrock/core/actor.py
+++ b/beechrock/core/actor.py
@@ -1,4 +1,4 @@
-"""The module's actor: what happened goes in as one batch a tick, what the module decides is carried out."""
+"""The actor around the decision module: passes it events in batches and executes the actions it returns."""
 
 import asyncio
 import logging
@@ -40,18 +40,20 @@
 
 log = logging.getLogger("beechrock")
 
-MAILBOX_CAPACITY = 40_000  # what runs and calls report must find room; new requests have a bound of their own
-SWEEP_S = 1.0
-MAX_BATCHES = 16  # in a tick: of tries of one key each has its own
-NEW_WORKERS_S = 1.0  # workers that started this long after those the node knows are others; links take less
+# Messages. Sized for the reports of runs and calls; new requests are bounded by ``MemoryBudget``.
+MAILBOX_CAPACITY = 40_000
+SWEEP_S = 1.0  # period of the sweep over entries and timers, and of the clock readings at least
+MAX_BATCHES = 16  # per tick; new requests with the same key need a batch each
+# Workers that started later than the known ones by more than this are new; setting up a link takes less.
+NEW_WORKERS_S = 1.0
 DEFAULT_TICK_S = 0.004
-# The settings' tick is the simulator's. A longer one here would make all answers late, and a shorter one wake
-# for nothing.
+# Bounds of the tick taken from the settings, which is the simulator's: a longer one would delay all answers,
+# and a shorter one would wake the process without need.
 MIN_TICK_S, MAX_TICK_S = 0.001, 0.02
 
 
 class ModuleActor:
-    """Owns the decision module, the mailbox and the loop of one node, and wires what it is made of."""
+    """Owns the decision module, the mailbox and the main loop of one node, and connects their components."""
 
     def __init__(
         self,
@@ -62,7 +64,7 @@
         memory_mb: float = DEFAULT_MEMORY_MB,
         unix_clock: Callable[[], float] | None = None,
     ) -> None:
-        """``clock``: steady seconds; ``unix_clock``: what requests are stamped with, if not the same."""
+        """``clock``: steady seconds; ``unix_clock``: clock of the requests' stamps, default ``clock``."""
         self.seed = seed
         self.clock = clock
         self.counters = counters
@@ -85,39 +87,40 @@
         self.executor = ActionExecutor(counters, self.table, self.module_timers, self.ports, self.status)
         self.node = Node(settings, seed, now)
         self.leaving_until: float | None = None
-        self.replaced = False  # another process of this node goes on
+        self.replaced = False  # whether another process takes over this node at shutdown
         self.able: Callable[[], bool] = lambda: True  # whether runs can be started
-        self.offered: Callable[[], bool] = lambda: True  # whether operators want it listed
+        self.offered: Callable[[], bool] = lambda: True  # whether operators want the node listed
         self.timers.at(now + SWEEP_S, self._sweep)
 
     @property
     def settings(self) -> api.Settings:
-        """Return the settings by which requests are read now; the module may still go by the ones before."""
+        """Return the settings for requests read now; the module may still use the previous ones."""
         return self.intake.settings
 
     def trace(self, tracer: Tracer) -> None:
-        """Record all from now on; to be called before the first tick."""
+        """Record events, actions and answers with ``tracer``; to be called before the first tick."""
         self.ports.tracer = tracer
         tracer.started(self.node.now_s, self.seed, self.node.settings, self.node.started_s)
 
     def update_settings(self, settings: api.Settings) -> bool:
-        """Go by other classes and tenants from here on. What was read before is still answered by its own.
+        """Apply new classes and tenants to requests read from now on; earlier requests keep their own.
 
-        The lists are there at once for the fronts; the module learns of them before any request that is
-        posted from now on, as its mailbox keeps the order. False, and nothing done, where that is full.
+        Front ends see the new lists at once. The module receives them before any request that is posted from
+        now on, as the mailbox keeps the order. Returns False and changes nothing if the mailbox is full.
         """
         if not self.mailbox.put(SettingsUpdated(settings)):
             return False
         self.intake.settings = settings
         self.node_clock.update_classes(settings.classes)
         fresh = self.memory.idempotency_table(settings)
-        # Entries that are there keep their end, and linger for the longest due time that any had.
+        # Existing entries keep their window. Neither bound shrinks below their needs: retries that arrived
+        # under the previous classes may still be read.
         self.idempotency.capacity = max(fresh.capacity, len(self.idempotency))
         self.idempotency.linger_s = max(fresh.linger_s, self.idempotency.linger_s)
         return True
 
     def post(self, message: Message) -> bool:
-        """Put a message into the mailbox; False where it is full, which is counted too."""
+        """Put a message into the mailbox; return False, and count it, if there is no room for it."""
         if isinstance(message, RequestReceived):
             if len(self.mailbox) + len(self.table.by_id) >= self.memory.max_open_requests:
                 self.counters.add("intake.beyond_memory")
@@ -129,28 +132,28 @@
         if self.mailbox.put(message):
             return True
         if isinstance(message, RequestReceived):
-            self.table.counts.on_cancelled()  # its front answers it
+            self.table.counts.on_cancelled()  # the front end sends its own answer
         self.counters.add("trouble.mailbox_full")
         return False
 
     def _cancel_unread(self, request: Request) -> None:
-        """Cancel a request that is still in the mailbox, and is passed over there."""
+        """Cancel a request that is still in the mailbox; its batch drops it."""
         if not request.cancelled and not request.answered:
             request.cancelled = True
             self.table.counts.on_cancelled()
 
     def birth(self, klass: int, unix_s: float, patience_s: float | None = None) -> Birth:
-        """Return when a request of this class that is read now was born, by its Unix stamp."""
+        """Return when a request of this class, read now, reached the machine, from its Unix stamp."""
         longest_s = max(self.settings.classes[klass].deadline_s, patience_s or 0.0)
         return self.node_clock.birth(unix_s, longest_s)
 
     def load(self) -> api.OtherProcessLoad:
-        """Return what this process has on the cores, holds and has in calls, for the other's module."""
+        """Return the runs, memory and calls of this process, to report to the other process of this node."""
         runs, kb, calls = self.node.load()
         return api.OtherProcessLoad(max(runs, self.node.recent_launches(self.clock())), kb, calls)
 
     def report(self) -> None:
-        """Print the counters, and what each tenant's runs took from its budget in this period."""
+        """Log the counters, among them each tenant's spending from its budget in this period."""
         for tenant, spending in zip(self.node.settings.tenants, self.node.tenant_spending(), strict=True):
             self.counters.set("spent." + tenant.name, spending.spent)
         now = self.clock()
@@ -164,10 +167,10 @@
         self.counters.set("open.keys", len(self.idempotency))
         self.counters.report()
 
-    # --- time
+    # --- ticks and batches
 
     async def run(self) -> None:
-        """Tick when something came in or a timer is due, at most once every ``tick_s``."""
+        """Tick when a message has arrived or a timer is due, at most once every ``tick_s``."""
         loop = asyncio.get_running_loop()
         last = -math.inf
         while True:
@@ -183,20 +186,20 @@
             last = self.clock()
             try:
                 self.tick(last)
-            except Exception as error:  # one bad batch must not end the node and lose all it holds
+            except Exception as error:  # a fault in one batch must not end the node and lose all its requests
                 self.counters.record_error("tick", error)
 
     def tick(self, now: float) -> None:
-        """Run batches until no try waits for another of its key, as far as a tick has time for them.
+        """Run batches until no request waits for another with its key, up to ``MAX_BATCHES`` of them.
 
-        One a tick, many tries of one key would be read long after they came.
+        With one batch a tick, many requests with one key would be read long after their arrival.
         """
         for _ in range(MAX_BATCHES):
             if not self._batch(now):
                 break
 
     def _batch(self, now: float) -> int:
-        """Fire timers, handle messages, carry out the module's decisions; return how many tries wait."""
+        """Fire timers, handle messages, execute the module's actions; return how many were deferred."""
         self.timers.advance(now)
         batch = Batch(now, self.table.drain_next_events())
         events = batch.events
@@ -207,7 +210,7 @@
             try:
                 self._handle(message, batch)
             except Exception as error:
-                # One message's fault must not take with it all that came in the same batch.
+                # One message's fault must not discard the other messages of its batch.
                 self.counters.record_error("tick", error)
                 if isinstance(message, RequestReceived):
                     self.table.answer(message.request, Answer(Verdict.FAILED, b"internal error"), now)
@@ -222,7 +225,7 @@
         return len(batch.deferred)
 
     def _decide(self, now: float, events: list[api.Event]) -> None:
-        """Give the events to the module and carry out what it decides."""
+        """Pass the events to the module and execute the actions that it returns."""
         actions = self.node.decide(now, events)
         if self.ports.tracer is not None:
             self.ports.tracer.batch(now, events, actions)
@@ -275,8 +278,8 @@
                 events.append(message)
 
     def _on_settings(self, settings: api.Settings, events: list[api.Event], now: float) -> None:
-        # Whether the workers started without what a warm start has is no part of the inventory: a change
-        # within the ramp must not end it.
+        # The inventory does not know whether the workers started cold, so a settings change during their slow
+        # start must not end it.
         slow_start = settings.slow_start or self.node.settings.slow_start
         changed = replace(self._with_budget_parts(settings, now), slow_start=slow_start)
         events.append(api.SettingsChanged(changed))
@@ -287,7 +290,8 @@
 
     def _on_shutdown(self, message: ShutdownRequested, events: list[api.Event], now: float) -> None:
         end = now + message.remaining_s
-        if self.leaving_until is None or end < self.leaving_until:  # a loop that runs late ends earlier
+        # A notice that is repeated because the event loop runs late names an earlier end.
+        if self.leaving_until is None or end < self.leaving_until:
             self.leaving_until = end
             self.replaced = message.replaced
             events.append(api.ShutdownNotice(message.remaining_s, message.replaced))
@@ -298,9 +302,9 @@
     def _on_workers_started(
         self, needs_warm_up: bool, age_s: float, events: list[api.Event], now: float
     ) -> None:
-        """Ramp up from the start of the workers, which may come long after that of this process.
+        """Restart the slow start for cold workers, which may start long after this process.
 
-        Without it a node whose workers started anew, or after its first request, would go on as a warm one.
+        Otherwise a node whose workers restarted, or started after its first request, would count as warm.
         """
         if self.table.last_id and needs_warm_up and now - age_s > self.node.started_s + NEW_WORKERS_S:
             warm = replace(self.node.settings, slow_start=False)
@@ -310,14 +314,14 @@
             self._restart_module(needs_warm_up, age_s, now)
 
     def _restart_module(self, needs_warm_up: bool, age_s: float, now: float) -> None:
-        """Begin with a new module that counts its start from that of the workers."""
+        """Replace the module with a new one whose start time is that of the workers."""
         self.module_timers.drop_all()
         slow_start = self.settings.slow_start or needs_warm_up
         settings = replace(self._with_budget_parts(self.settings, now), slow_start=slow_start)
         other = self.node.other_process.load
         self.node = Node(settings, self.seed, now)
         self.node.set_started(now - age_s)
-        # The other process reports only what changes, so the new module has to be given its last report.
+        # The other process reports only changes of its load, so the new module needs its last report.
         received: list[api.Event] = [other] if other.present else []
         actions = self.node.decide(now, received)
         if self.ports.tracer is not None:
--- a/beechrock/core/counters.py
+++ b/beechrock/core/counters.py
@@ -1,4 +1,4 @@
-"""Counts of what a node takes in, sends and answers, printed on request and at exit."""
+"""Counters of a node's requests, messages, answers and errors, logged on request and at exit."""
 
 import asyncio
 import logging
@@ -13,7 +13,7 @@
 
     def __init__(self) -> None:
         self._counts: dict[str, float] = {}
-        self._tasks: set[asyncio.Task[None]] = set()  # the loop itself holds its tasks only weakly
+        self._tasks: set[asyncio.Task[None]] = set()  # running; the event loop holds only weak references
 
     def add(self, name: str, amount: float = 1) -> None:
         """Add to a count."""
@@ -24,7 +24,7 @@
         self._counts[name] = value
 
     def top(self, name: str, value: float) -> None:
-        """Raise a maximum to ``value``."""
+        """Raise a maximum to ``value`` if that is greater."""
         if value > self._counts.get(name, 0):
             self._counts[name] = value
 
@@ -32,7 +32,7 @@
         return self._counts.get(name, 0)
 
     def lines(self) -> list[str]:
-        """Return one line for each count, by name."""
+        """Return one line (name and value) per counter, sorted by name."""
         return [f"{name} {value:.10g}" for name, value in sorted(self._counts.items())]
 
     def report(self) -> None:
@@ -40,7 +40,7 @@
         log.info("counters: %s", ", ".join(self.lines()) or "none")
 
     def record_error(self, where: str, error: BaseException) -> None:
-        """Count and log an exception that must neither pass in silence nor end the node."""
+        """Count and log an exception that must neither be ignored nor end the node."""
         self.add("trouble." + where)
         log.error("%s: %s: %s", where, type(error).__name__, error, exc_info=error)
 
@@ -48,10 +48,10 @@
         """Start a task whose exception is logged and counted."""
         task = asyncio.get_running_loop().create_task(work, name=where)
         self._tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._on_task_done)
         return task
 
-    def _ended(self, task: "asyncio.Task[None]") -> None:
+    def _on_task_done(self, task: "asyncio.Task[None]") -> None:
         self._tasks.discard(task)
         if not task.cancelled() and (error := task.exception()) is not None:
             self.record_error(task.get_name(), error)
--- a/beechrock/core/idempotency.py
+++ b/beechrock/core/idempotency.py
@@ -1,15 +1,15 @@
-"""The idempotency table: which remembered request a retry of its key repeats."""
+"""The idempotency table: remembered requests by key, so that a retry is recognised as a repeat."""
 
 import math
 from itertools import chain
 
 from beechrock.core.requests import Request
 
-SLACK_S = 0.05  # a caller may judge a time limit by this much longer than this node
+SLACK_S = 0.05  # tolerance at a window's end: a caller's clock may read this much later than this node's
 
 
 class Entry:
-    """The request that holds a key, and until when a try that arrives is a repeat of it."""
+    """A remembered request, and the end of its window: a retry born by then is a repeat of it."""
 
     __slots__ = ("request", "until")
 
@@ -19,38 +19,38 @@
 
 
 class IdempotencyTable:
-    """Entries by key. They outlive their end by ``linger_s``, as a repeat can be read late."""
+    """Entries by key, kept until ``linger_s`` after their window, as a retry born in it may be read late."""
 
     def __init__(self, capacity: int, linger_s: float) -> None:
         self.capacity = capacity
         self.linger_s = linger_s
         self._entries: dict[tuple[str, str], Entry] = {}
-        # Entries whose place another try of the key took after their window, the newest last.
+        # Entries that a later request with the same key replaced after their window, by key, newest last.
         self._replaced: dict[tuple[str, str], list[Entry]] = {}
         self._replaced_count = 0
-        self.dropped_until = -math.inf  # the latest end of keyed entries dropped for room
+        self.dropped_until = -math.inf  # latest window end among the keyed entries dropped to make room
 
     def __len__(self) -> int:
         return len(self._entries) + self._replaced_count
 
     @staticmethod
     def key(request: Request) -> tuple[str, str] | None:
-        """Return a request's key, or None.
+        """Return the table key of a request, or None if it has neither an idempotency key nor a subject.
 
-        By service, not by class or team: a retry may come over another front, which knows no teams.
+        It contains the service, not the class or team: a retry may arrive at another front end, which does
+        not know teams.
         """
         name = request.nonce or request.entity
         return None if name is None else (request.route, name)
 
     def find(self, request: Request) -> Request | None:
-        """Return the request that this one repeats: it arrived while that one's entry was alive."""
+        """Return the remembered request that this one repeats, as it was born in its window, or None."""
         key = self.key(request)
         entry = self._entries.get(key) if key else None
         if key is None or entry is None:
             return None
-        # Windows of one key end in the order in which they began, so a repeat belongs to the first that is
-        # not over: by the newest entry it would get another window's result. ``SLACK_S``, as a caller's clock
-        # may read that much more than this node's.
+        # The windows of one key end in the order in which they began, so a retry repeats the oldest entry
+        # whose window had not ended at its birth; the newest entry may hold the result of a later window.
         return next(
             (
                 known.request
@@ -61,19 +61,20 @@
         )
 
     def knows(self, route: str, nonce: str, born: float) -> bool:
-        """Return whether a try of this key, read at ``born``, would be a repeat."""
+        """Return whether a request with this key, born at ``born``, would be a repeat."""
         entry = self._entries.get((route, nonce))
         return entry is not None and born <= entry.until + SLACK_S
 
     def keep(self, request: Request, until: float, now: float) -> bool:
-        """Remember a request; a full table first drops what only lingers. False if all of it is alive.
+        """Remember a request; return False if no room can be made, or if its key may have run already.
 
-        An entry whose place it takes goes on lingering: the newer request may be rejected and forgotten, and
-        a try from within the older window may still be read.
+        A full table first drops lingering entries, whose windows have ended. An entry that is replaced goes
+        on lingering: the newer request may be rejected and forgotten, and a retry from the older window may
+        still be read.
         """
         key = self.key(request)
         if key is None:
-            return True  # nothing to remember it by, and nothing to mistake it for
+            return True  # without a key it has no entry, and no request can repeat it
         entry = self._entries.get(key)
         window_over = entry is not None and request.earliest > entry.until + SLACK_S
         if entry is None and self.in_doubt(request.earliest) and request.nonce is not None:
@@ -90,34 +91,34 @@
         return True
 
     def forget(self, request: Request) -> None:
-        """Drop this request's entry; if it had taken another one's place, that one stands again."""
+        """Drop this request's entry; if it had replaced another one, that one becomes current again."""
         key = self.key(request)
         entry = self._entries.get(key) if key else None
         if key is None or entry is None:
             return
         replaced = self._replaced.get(key, [])
         if entry.request is not request:
-            self._keep_replaced(key, [old for old in replaced if old.request is not request])
+            self._set_replaced(key, [old for old in replaced if old.request is not request])
         elif replaced:
             self._entries[key] = replaced[-1]
-            self._keep_replaced(key, replaced[:-1])
+            self._set_replaced(key, replaced[:-1])
         else:
             del self._entries[key]
 
-    def _keep_replaced(self, key: tuple[str, str], entries: list[Entry]) -> None:
-        """Have these as the key's replaced entries, and no others."""
+    def _set_replaced(self, key: tuple[str, str], entries: list[Entry]) -> None:
+        """Set the replaced entries of a key."""
         before = self._replaced.pop(key, [])
         if entries:
             self._replaced[key] = entries
         self._replaced_count += len(entries) - len(before)
 
     def holds(self, request: Request) -> bool:
-        """Return whether a request is the one that its key stands for."""
+        """Return whether the current entry of the request's key is its own."""
         key = self.key(request)
         return key is not None and (entry := self._entries.get(key)) is not None and entry.request is request
 
     def entry(self, request: Request) -> Entry | None:
-        """Return what the request's key stands for now."""
+        """Return the current entry of the request's key, or None."""
         key = self.key(request)
         return self._entries.get(key) if key is not None else None
 
@@ -126,35 +127,35 @@
         return list(self._entries.values())
 
     def replaced(self, request: Request) -> list[Entry]:
-        """Return the entries of the request's key whose place a later try took, the newest last."""
+        """Return the replaced entries of the request's key, newest last."""
         key = self.key(request)
         return list(self._replaced.get(key, ())) if key is not None else []
 
     def replaced_entries(self) -> list[Entry]:
-        """Return all entries whose place a later try took; of one key the newest last."""
+        """Return all replaced entries, those of one key with the newest last."""
         return list(chain.from_iterable(self._replaced.values()))
 
     def sweep(self, now: float) -> None:
-        """Drop the entries whose time is over."""
+        """Drop the expired entries."""
         for key, replaced in list(self._replaced.items()):
-            self._keep_replaced(key, [old for old in replaced if not self._over(old, now)])
-        dead = [key for key, entry in self._entries.items() if self._over(entry, now)]
-        for key in dead:
-            self._keep_replaced(key, [])
+            self._set_replaced(key, [old for old in replaced if not self._expired(old, now)])
+        expired = [key for key, entry in self._entries.items() if self._expired(entry, now)]
+        for key in expired:
+            self._set_replaced(key, [])
             del self._entries[key]
 
     def in_doubt(self, born: float) -> bool:
-        """Return whether a try of an unknown key may repeat a run that a full table no longer knows."""
+        """Return whether a request born then may repeat a run whose entry was dropped to make room."""
         return born <= self.dropped_until + SLACK_S
 
     def doubt_ends(self) -> float:
-        """Return until when such a try can still be read."""
+        """Return the time after which no request can be in doubt any more."""
         return self.dropped_until + SLACK_S + self.linger_s
 
     def _drop_lingering(self, now: float) -> None:
-        """Drop the entries whose windows are over, and remember until when their tries are in doubt.
+        """Drop the entries whose windows have ended, and note the latest of these ends.
 
-        A try of a dropped window may still be read late, and must not run then.
+        A retry born in a dropped window may still be read late, and must not run then.
         """
         dropped = [
             entry.until
@@ -164,12 +165,15 @@
         self.dropped_until = max([self.dropped_until, *dropped])
         self.sweep(now + self.linger_s)
 
-    def _over(self, entry: Entry, now: float) -> bool:
-        """Return whether no try from within an entry's window can still be read."""
+    def _expired(self, entry: Entry, now: float) -> bool:
+        """Return whether a retry born in the entry's window can no longer be read."""
         return entry.until + SLACK_S + self.linger_s < now
 
     def trim(self, max_bytes: int) -> int:
-        """Drop the oldest results beyond ``most`` bytes; their repeats fail, as they ran. Gives how many."""
+        """Drop the oldest results beyond ``max_bytes`` in total; return how many were dropped.
+
+        Repeats of their requests fail, as these have run.
+        """
         entries = [*chain.from_iterable(self._replaced.values()), *self._entries.values()]
         held = [entry.request for entry in entries if entry.request.result]
         over = sum(len(request.result or b"") for request in held) - max_bytes
--- a/beechrock/core/intake.py
+++ b/beechrock/core/intake.py
@@ -1,4 +1,4 @@
-"""Whether a request that was read enters the request table, and as which event the module learns of it."""
+"""Validates received requests, enters them into the request table and reports them to the module."""
 
 import hashlib
 from dataclasses import dataclass, field
@@ -13,21 +13,21 @@
 from beechrock.core.requests import Answer, Request, RequestReceived, Verdict
 from beechrock.core.timer_wheel import TimerWheel
 
-OVERDUE_S = 0.02  # the module answers before the due time; what it leaves until then fails
+OVERDUE_S = 0.02  # time from the due time until a request that the module has not answered fails
 
 
 @dataclass(slots=True)
 class Batch:
-    """What one batch has gathered for the module so far."""
+    """The events for the module in one batch, and the requests left for the next one."""
 
     now: float
     events: list[api.Event]
-    keys: set[tuple[str, str]] = field(default_factory=set)  # of the tries in it
-    deferred: list[RequestReceived] = field(default_factory=list)  # for the next batch
+    keys: set[tuple[str, str]] = field(default_factory=set)  # idempotency keys of its requests
+    deferred: list[RequestReceived] = field(default_factory=list)  # requests left for the next batch
 
 
 class Intake:
-    """Checks the form of requests and turns them into arrivals; decides nothing about load."""
+    """Validates requests and reports them to the module as arrivals; makes no decisions about load."""
 
     def __init__(
         self,
@@ -46,15 +46,15 @@
         self._table = table
         self._ports = ports
         self._status = status
-        # Where the limits are on: the tenant, by place, of what they do not list.
+        # Index of the tenant for requests that the limits do not list; None while the limits are off.
         self.limits_tenant: int | None = None
 
-    # --- which batch
+    # --- assignment to batches
 
     def joins(self, message: RequestReceived, batch: Batch) -> bool:
-        """Return whether a request belongs to this batch; else it is dropped, or waits for another batch."""
+        """Return whether a request is received in this batch; else it was dropped, answered or deferred."""
         request = message.request
-        # Dropped at once: launched in vain, many of one key would be read one a batch and wait for long.
+        # Dropped first: cancelled requests with one key would each take up a batch and delay the others.
         if request.cancelled:
             self._counters.add("intake.gone_unread")
             self._table.finish(request)
@@ -65,21 +65,21 @@
         if key is None:
             return True
         if key in batch.keys and not self._repeats_known_request(request):
-            batch.deferred.append(message)  # whether the first of them is kept shows only after this batch
+            batch.deferred.append(message)  # the first one is remembered, or not, only after this batch
             return False
         batch.keys.add(key)
         return True
 
     def _repeats_known_request(self, request: Request) -> bool:
-        """Return whether its key is known already: such tries join at once, however many they are.
+        """Return whether a request repeats a remembered one; any number of these may share a batch.
 
-        One a batch, many of one key would be read after their due time, and the module's memory would not
-        know of them meanwhile. Reads whose first one is over may each run, which does them no harm.
+        With one of them a batch, many would be read after their due time, and the module would not count
+        their memory until then. Reads whose first request has ended may each run, which does no harm.
         """
         return self._idempotency.find(request) is not None
 
     def _cleared_by_partner(self, request: Request) -> bool:
-        """Return whether the other process of this node has no say in a try, or has agreed to it."""
+        """Return whether a request needs no consent of the other process of this node, or has it."""
         partner = self._ports.partner
         if (
             partner is None
@@ -88,26 +88,26 @@
             or self._idempotency.find(request) is not None
         ):
             return True
-        if request.born == FAR_OFF.born:  # rejected as soon as it is received
+        if request.born == FAR_OFF.born:  # ``receive`` rejects it
             return True
         if not request.digest:
             request.digest = _digest(request)
         return partner.request_run(request)
 
     def reject_in_doubt(self, request: Request, after_s: float) -> None:
-        """Reject a try of which nobody can say whether its key ran; it is in no table yet."""
+        """Reject a request whose key may have run in the other process; it is not in the table yet."""
         if not request.answered and not request.cancelled:
             self._counters.add("intake.in_doubt")
             retry_after_s = None
             if self.settings.sends_retry_after:
                 retry_after_s = min(after_s, self.settings.max_retry_after_s or after_s)
             self._table.send(request, Answer(Verdict.REFUSED, b"", retry_after_s))
-        self._table.finish(request)  # also where the caller has gone: else its place in the limits is lost
+        self._table.finish(request)  # also if it was cancelled: this frees its place in the limits
 
-    # --- into the table
+    # --- entry into the table
 
     def receive(self, request: Request, events: list[api.Event], now: float) -> None:
-        """Enter a request into the table, and add its arrival to the module's events."""
+        """Validate a request, enter it into the table and append its arrival to the module's events."""
         self._counters.add("intake.requests")
         problem = self._form_problem(request, now)
         if problem is not None:
@@ -134,17 +134,17 @@
         request.overdue = self._timers.at(overdue_at, lambda: self._table.overdue.append(request))
 
     def _form_problem(self, request: Request, now: float) -> tuple[str, bytes] | None:
-        """Return the counter and the text of what is wrong with a request's form, or None."""
-        if request.trace in self._table.by_trace:  # two runs under one name could not be told apart
+        """Return the counter and the message for an invalid request, or None if it is valid."""
+        if request.trace in self._table.by_trace:  # runs are identified by their trace
             return "reused_traces", b"this trace is in use"
-        # A birth of long ago would make the module believe that requests wait unread for decades; one far
-        # ahead lies outside each window in which its key is known.
+        # With a birth far in the past the module would assume that requests wait unread for decades; one far
+        # ahead lies outside every window in which its key is remembered.
         if not -BORN_AHEAD_S <= now - request.born <= self.due_after_s(request) + BORN_BEHIND_S:
             return "born_far_off", b"born: too far from now"
         return None
 
     def _shared_first(self, request: Request, first: Request | None, now: float) -> Request | None:
-        """Return the request whose result this one shares; a read does not share one that is too old."""
+        """Return the request whose result this one shares, or None; a read shares no outdated result."""
         idempotency = self.settings.classes[request.klass].idempotency
         if first is None or not first.over or idempotency is not api.Idempotency.IDEMPOTENT:
             return first
@@ -154,9 +154,10 @@
     def _description(self, request: Request, now: float) -> api.Request:
         """Return a request as the module sees it.
 
-        Where a step of the wall clock leaves the birth in doubt, the module counts from the latest: by the
-        earliest, all that is read soon after a step back would be refused as late, and keys be forgotten
-        early. The due time is held by ``RequestTable.overdue``, which counts from the earliest.
+        If a step of the wall clock leaves the birth uncertain, the module gets the latest possible one: with
+        the earliest, requests read soon after a backward step would be refused as late, and keys forgotten
+        early. The due time is enforced by ``RequestTable.overdue``, which counts from ``born``, the earliest
+        birth that leaves any time.
         """
         idempotency = self.settings.classes[request.klass].idempotency
         return api.Request(
@@ -175,7 +176,7 @@
         )
 
     def _reject_form(self, request: Request, counter: str, problem: bytes) -> None:
-        """Fail a request whose form is wrong; the module never learns of it, as it says nothing of load."""
+        """Fail an invalid request; it is not reported to the module, as it says nothing about the load."""
         self._counters.add("intake." + counter)
         if self._ports.tracer is not None:
             self._ports.tracer.rejected(self._table.clock(), request, self._team(request), counter)
@@ -184,30 +185,30 @@
         self._table.finish(request)
         request.answer(Answer(Verdict.FAILED, problem, advice=self._status.advice))
 
-    # --- what is derived from a request
+    # --- values derived from a request
 
     def due_after_s(self, request: Request) -> float:
-        """Return how long after its birth a request is due: as its caller says, else as its class has it.
+        """Return the seconds from a request's birth to its due time: its caller's patience, or its class's.
 
-        A retry may have less time than its class.
+        A retry's caller may wait for less time than the class allows.
         """
         patience_s = request.patience_s if self.settings.propagates_deadline else None
         return self.settings.classes[request.klass].deadline_s if patience_s is None else patience_s
 
     def _remaining_s(self, request: Request, now: float) -> float | None:
-        """Return the time left until its caller gives up; None where callers do not say that."""
+        """Return the seconds until the caller gives up; None if callers do not say when."""
         if request.patience_s is None or not self.settings.propagates_deadline:
             return None
         return max(0.0, request.born + request.patience_s - now)
 
     def _team(self, request: Request) -> str:
-        """Return the name of a request's team; empty where it has none."""
+        """Return the name of a request's team, or an empty string if it has none."""
         place = request.tenant
         tenants = self.settings.tenants
         return tenants[place].name if place is not None and place < len(tenants) else ""
 
     def _tenant_index(self, request: Request) -> int | None:
-        """Return the tenant for the module: that of the limits, where they are on, else the team's place."""
+        """Return the index of the tenant for the module: the limits' tenant if they are on, else the team."""
         if self.limits_tenant is None:
             return request.tenant
         return self.limits_tenant if request.limits_tenant is None else request.limits_tenant
@@ -218,7 +219,7 @@
 
 
 def _key_number(text: str | None) -> int | None:
-    """Return a key as the module's number: a hexadecimal one as it is, others by their first 8 bytes."""
+    """Return a key as a 64-bit number, or None: a hexadecimal key by value, others by their first 8 bytes."""
     if not text:
         return None
     try:
--- a/beechrock/core/link_lifecycle.py
+++ b/beechrock/core/link_lifecycle.py
@@ -1,11 +1,11 @@
-"""The life of one link to a peer that we connect to, without any input or output.
+"""State machine of an outgoing link to a peer, with its reconnections; does no I/O.
 
-States: WAITING (for the next attempt), CONNECTING, GREETING (handshake sent, no answer yet), SYNCING (what
-was missed comes in), UP, PROBING (a probe is out, as the peer was quiet), CLOSING, OVER (of links made once).
+States: WAITING (for the next attempt), CONNECTING, GREETING (handshake sent, no answer yet), SYNCING (missed
+messages arrive), UP, PROBING (probe sent to a silent peer), CLOSING, OVER (ended, without reconnection).
 Events: ``Opened``, ``Refused``, ``Greeted``, ``Synced``, ``MessageReceived``, ``Closing``, ``Ended``,
-``Moved`` and ``Due``; those of a link carry its number, and what comes of an earlier one changes nothing.
-Invariants: one link at a time; each state but OVER, and UP without ``quiet_s``, has a moment at which it
-ends by itself; no attempt is made at an address that was left.
+``Moved`` and ``Due``; those of a link carry its number, and those of an earlier link are ignored.
+Invariants: there is one link at a time; each state has a deadline, except OVER, and UP without ``quiet_s``;
+no attempt is made at an address from which the peer has moved.
 """
 
 import math
@@ -13,13 +13,13 @@
 from enum import Enum
 
 Address = tuple[str, int]
-# An alarm later than this: the process was stopped, and what its peer sent meanwhile has not been read yet.
-# Without the allowance each pause of the machine would cost the link.
+# A deadline handled later than this: the process was paused, and the peer's messages may still be unread.
+# The deadline is then extended once, or each pause of the machine would cost the link.
 LATE_S = 0.1
 
 
 class LinkState(Enum):
-    """Where a link stands."""
+    """State of a link."""
 
     WAITING = "waiting"
     CONNECTING = "connecting"
@@ -32,7 +32,7 @@
 
 
 class CloseReason(Enum):
-    """What ended a link from our side."""
+    """Why we cut a link."""
 
     NO_CONNECT = "no_connect"
     NO_GREETING = "no_greeting"
@@ -44,71 +44,72 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """Seconds. ``greet_s`` and ``reconnect_s`` (the pause before a new link) double from first to second.
+    """Time limits in seconds. ``greet_s`` and ``reconnect_s`` (pause before an attempt): first and maximum.
 
-    Without ``greet_s`` a link is up once it is open; without ``reconnect_s`` it is made once.
+    Both double with each failure. Without ``greet_s`` a link is up once it is open; without ``reconnect_s``
+    it is not made again after its end.
     """
 
     connect_s: float
     greet_s: tuple[float, float] | None = None
     sync_s: float = math.inf
-    quiet_s: float = math.inf  # after which a peer that sends nothing is probed
+    quiet_s: float = math.inf  # silence after which the peer is probed
     answer_s: float = math.inf
     close_s: float = math.inf
     reconnect_s: tuple[float, float] | None = None
-    broken_s: float = 0.0  # still counted able for so long after a link that was up broke
-    suspect_s: float = 0.0  # the same after one that only fell silent
+    broken_s: float = 0.0  # time for which the link counts as able after it was up and broke
+    suspect_s: float = 0.0  # the same after it was cut because the peer was silent
 
 
 @dataclass(frozen=True, slots=True)
-class OfLink:
-    """An event of the link, or attempt, of this number; one dataclass for all, as each takes memory."""
+class LinkEvent:
+    """An event of the link or attempt with this number; a shared base, as each dataclass takes memory."""
 
     link: int
 
 
 @dataclass(frozen=True, slots=True)
-class Bare:
+class WithoutData:
     """An event or action without data."""
 
 
-class Opened(OfLink):
+class Opened(LinkEvent):
     """The connection was made."""
 
     __slots__ = ()
 
 
-class Refused(OfLink):
+class Refused(LinkEvent):
     """The connection could not be made."""
 
     __slots__ = ()
 
 
-class Greeted(OfLink):
+class Greeted(LinkEvent):
     """The peer answered the handshake."""
 
     __slots__ = ()
 
 
-class Synced(OfLink):
-    """All that was missed has come."""
+class Synced(LinkEvent):
+    """All missed messages have arrived."""
 
     __slots__ = ()
 
 
-class MessageReceived(OfLink):
-    """A complete message came; an event in PROBING only, elsewhere ``last_received_at`` is enough."""
+class MessageReceived(LinkEvent):
+    """A complete message arrived; needed in PROBING only, elsewhere ``last_received_at`` is enough."""
 
     __slots__ = ()
 
 
-class Closing(OfLink):
-    """Nothing is open on the link any more, and it is being closed by us."""
+class Closing(LinkEvent):
+    """We are closing the link, as nothing is open on it any more."""
 
     __slots__ = ()
 
 
-class Ended(OfLink):
+class Ended(LinkEvent):
     """The connection ended."""
 
     __slots__ = ()
@@ -116,13 +117,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Moved:
-    """The peer is to be reached at another address."""
+    """The peer has another address now."""
 
     address: Address
 
 
-class Due(Bare):
-    """``LinkLifecycle.due`` has come."""
+class Due(WithoutData):
+    """The time ``LinkLifecycle.due`` has been reached."""
 
     __slots__ = ()
 
@@ -138,19 +139,19 @@
     address: Address
 
 
-class SendHandshake(Bare):
+class SendHandshake(WithoutData):
     """Send the first message on the link."""
 
     __slots__ = ()
 
 
-class SendSync(Bare):
-    """Request the message that comes after all that was missed."""
+class SendSync(WithoutData):
+    """Send the request that the peer answers after all missed messages."""
 
     __slots__ = ()
 
 
-class SendProbe(Bare):
+class SendProbe(WithoutData):
     """Send anything that a live peer answers at once."""
 
     __slots__ = ()
@@ -158,23 +159,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Cut:
-    """End the link, or the attempt, at once; no further event of it counts."""
+    """End the link or attempt at once; its further events are ignored."""
 
     link: int
     reason: CloseReason
 
 
-class Lost(Bare):
-    """No link could be had for some attempts: the address may be an old one."""
+class Lost(WithoutData):
+    """Several attempts in a row have failed: the address may be outdated."""
 
     __slots__ = ()
 
 
 Action = Connect | SendHandshake | SendSync | SendProbe | Cut | Lost
 MAX_DOUBLINGS = 16
-LOST_AFTER = 3  # attempts in a row without a link that was up
+LOST_AFTER = 3  # failures in a row, each time, after which the link is reported as lost
 
-_ENDS = {
+_TIMEOUT_REASONS = {
     LinkState.CONNECTING: CloseReason.NO_CONNECT,
     LinkState.GREETING: CloseReason.NO_GREETING,
     LinkState.SYNCING: CloseReason.NO_SYNC,
@@ -183,12 +184,12 @@
 }
 
 
-def _doubled(first_s: float, failures: int, max_s: float) -> float:
+def _backoff_s(first_s: float, failures: int, max_s: float) -> float:
     return min(first_s * 2.0 ** min(failures, MAX_DOUBLINGS), max_s)
 
 
 class LinkLifecycle:
-    """One link: events go into ``handle``, actions come out; at ``due`` it wants the event ``Due``."""
+    """One link; ``handle`` turns events into actions. The owner passes the event ``Due`` at ``due``."""
 
     def __init__(self, limits: Limits, address: Address, now: float) -> None:
         self.limits = limits
@@ -196,16 +197,16 @@
         self.state, self.link, self.due = LinkState.WAITING, 0, now
         self.last_received_at = now  # set by the owner at each complete message
         self.able_until = -math.inf
-        self.failures = 0  # attempts since a link was up
+        self.failures = 0  # links and attempts that failed since a link was last up
         self._limit_s = 0.0
-        self._excused = False  # this state's end was put off once
+        self._extended = False  # whether this state's deadline was extended after a pause
 
     def able(self, now: float) -> bool:
-        """Return whether a link is up, or was so lately that the next one is under way."""
+        """Return whether the link is up, or was up so recently that it is expected to be up again soon."""
         return self.state in (LinkState.UP, LinkState.PROBING) or now < self.able_until
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Return what to do about an event."""
+        """Process an event and return the resulting actions."""
         match event:
             case Due():
                 return self._due(now) if now >= self.due else []
@@ -227,13 +228,13 @@
         return []
 
     def _on_progress(self, now: float, event: Opened | Greeted | Synced) -> list[Action]:
-        """Return the next step towards a link that is up; nothing where the state waits for another event."""
+        """Return the next step in setting up the link; none if the state does not expect the event."""
         match event:
             case Opened() if self.state is LinkState.CONNECTING:
                 if self.limits.greet_s is None:
                     return self._up(now)
                 first_s, max_s = self.limits.greet_s
-                self._enter(LinkState.GREETING, now, _doubled(first_s, self.failures, max_s))
+                self._enter(LinkState.GREETING, now, _backoff_s(first_s, self.failures, max_s))
                 return [SendHandshake()]
             case Greeted() if self.state is LinkState.GREETING:
                 self._enter(LinkState.SYNCING, now, self.limits.sync_s)
@@ -265,12 +266,12 @@
             case LinkState.SYNCING if now < self.last_received_at + self._limit_s:
                 self.due = (
                     self.last_received_at + self._limit_s
-                )  # a long list of missed notices is still coming
+                )  # a long list of missed messages is still arriving
                 return []
-        if now > self.due + LATE_S and not self._excused:
-            self._excused, self.due = True, now + self._limit_s
+        if now > self.due + LATE_S and not self._extended:
+            self._extended, self.due = True, now + self._limit_s
             return []
-        reason = _ENDS[self.state]
+        reason = _TIMEOUT_REASONS[self.state]
         able_s = self.limits.suspect_s if reason is CloseReason.SILENT else self.limits.broken_s
         return [Cut(self.link, reason), *self._reconnect(now, able_s)]
 
@@ -281,8 +282,8 @@
         if self.state is LinkState.OVER or (
             self.limits.reconnect_s is None and self.state is not LinkState.CONNECTING
         ):
-            return []  # what is open on a link that is made once ends where it was begun
-        # An attempt under way is cut too: it would become a link to the address that was left, and last.
+            return []  # without reconnection the link ends at the old address, with all that is open on it
+        # An attempt in progress is cut too: it would become a lasting link to the old address.
         cut: list[Action] = [] if self.state is LinkState.WAITING else [Cut(self.link, CloseReason.MOVED)]
         self._reconnect(now, self.limits.broken_s)
         self.failures = 0
@@ -298,7 +299,7 @@
             self.state, self.due = LinkState.OVER, math.inf
             return []
         first_s, max_s = self.limits.reconnect_s
-        self._enter(LinkState.WAITING, now, _doubled(first_s, self.failures, max_s))
+        self._enter(LinkState.WAITING, now, _backoff_s(first_s, self.failures, max_s))
         self.failures += 1
         return [Lost()] if self.failures % LOST_AFTER == 0 else []
 
@@ -306,4 +307,4 @@
         self.state = state
         self._limit_s = limit_s
         self.due = now + limit_s
-        self._excused = False
+        self._extended = False
--- a/beechrock/core/mailbox.py
+++ b/beechrock/core/mailbox.py
@@ -1,4 +1,4 @@
-"""The bounded mailbox that every actor owns."""
+"""The bounded message queue of an actor."""
 
 import asyncio
 from collections import deque
@@ -8,7 +8,7 @@
 
 
 class Mailbox(Generic[T]):
-    """Messages for one actor, in the order in which they came."""
+    """Messages for one actor, in order of arrival."""
 
     def __init__(self, capacity: int) -> None:
         self.capacity = capacity
@@ -19,7 +19,7 @@
         return len(self._messages)
 
     def put(self, message: T) -> bool:
-        """Add a message; False where the mailbox is full."""
+        """Add a message; return False if the mailbox is full."""
         if len(self._messages) >= self.capacity:
             return False
         self._messages.append(message)
@@ -27,11 +27,11 @@
         return True
 
     def wake(self) -> None:
-        """Let the owner look, also without a message."""
+        """Wake the owner from ``wait``, even without a message."""
         self._wake.set()
 
     def drain(self) -> list[T]:
-        """Return all messages that are there now, and begin anew."""
+        """Remove and return all messages, and clear the wake-up."""
         messages = list(self._messages)
         self._messages.clear()
         self._wake.clear()
--- a/beechrock/core/memory.py
+++ b/beechrock/core/memory.py
@@ -1,17 +1,17 @@
-"""How much a node may hold within its memory limit: open requests, idempotency entries and results."""
+"""Bounds on open requests, idempotency entries and results that follow from a node's memory limit."""
 
 from beechrock import interface as api
 from beechrock.core.idempotency import IdempotencyTable
 
 DEFAULT_MEMORY_MB = 192.0
-# The program itself takes a fixed part of a small limit, so that the shares are of what it leaves.
+# Memory of the program itself, a large part of a small limit; the rest of the limit is the free memory.
 PROGRAM_MB = 18.0
-MIN_FREE_SHARE = 0.25  # of the limit, counted as free whatever the program takes
-ENTRIES_SHARE = 0.5  # of the free memory: idempotency entries without their results
+MIN_FREE_SHARE = 0.25  # share of the limit that counts as free memory even if the program takes more
+ENTRIES_SHARE = 0.5  # share of the free memory for idempotency entries without their results
 ENTRY_KB = 1.5
-RESULTS_SHARE = 0.125  # of the free memory: results kept for repeats
-OPEN_SHARE = 0.125  # of the limit: open requests
-OPEN_KB = 4.0  # memory of an open request outside its body's accounting
+RESULTS_SHARE = 0.125  # share of the free memory for results of finished requests, for idempotent retries
+OPEN_SHARE = 0.125  # share of the limit for open requests
+OPEN_KB = 4.0  # memory of an open request, without its body, which is accounted for elsewhere
 SPARE_ENTRIES = 64
 
 
@@ -26,8 +26,8 @@
     def idempotency_table(self, settings: api.Settings) -> IdempotencyTable:
         """Return an empty table for these settings.
 
-        It has room for what the module may keep at a time, and for as long again what only lingers: the
-        module counts live entries alone, and a table without room for the others would let a repeat run.
+        It has room for the live entries that the module may have at a time, and for lingering ones besides.
+        The module counts only live entries, and in a table without that room a repeat could run again.
         """
         max_entries = int(ENTRIES_SHARE * self.free_kb / ENTRY_KB)
         live_entries = max_entries
--- a/beechrock/core/module_timers.py
+++ b/beechrock/core/module_timers.py
@@ -1,4 +1,4 @@
-"""Timers that the decision module asks for, and the gauges that go with their firing."""
+"""Timers that the decision module sets, and the gauges delivered with them."""
 
 import math
 
@@ -7,12 +7,12 @@
 from beechrock.core.request_table import RequestTable
 from beechrock.core.timer_wheel import TimerWheel
 
-SAMPLE_LEAD_S = 0.02  # gauges are asked for this long before the timer that carries them
-MAX_SAMPLE_AGE_S = 0.1  # older gauges say nothing of the moment at which a timer fires
+SAMPLE_LEAD_S = 0.02  # gauges are requested this long before the timer that delivers them
+MAX_SAMPLE_AGE_S = 0.1  # older gauges do not describe the moment at which a timer fires
 
 
 class ModuleTimers:
-    """Owns the last sample of the gauges; a timer of an earlier module fires nothing."""
+    """Fires the module's timers, with the last sample of the gauges; none of a replaced module."""
 
     def __init__(self, wheel: TimerWheel, table: RequestTable, ports: Ports) -> None:
         self._wheel = wheel
@@ -28,15 +28,15 @@
         self.sampled_at = now
 
     def drop_all(self) -> None:
-        """Void the timers set so far, as a new module takes the place of the one that asked for them."""
+        """Invalidate all timers set so far, as a new module replaces the one that set them."""
         self._generation += 1
 
     def set(self, token: int, at: float) -> None:
-        """Fire ``token`` as an event of the batch at ``at``, with gauges where a fresh sample is there."""
+        """Set a timer that passes ``token`` to the module at ``at``, with gauges if the sample is fresh."""
         generation = self._generation
 
         def fire() -> None:
-            """Fire unless a new module has taken the place of the one that asked."""
+            """Fire unless the module that set the timer has been replaced."""
             if generation == self._generation:
                 self._fire(token)
 
@@ -45,7 +45,7 @@
         self._wheel.at(at, fire)
 
     def _fire(self, token: int) -> None:
-        # Without a fresh sample no gauges: old ones would move the module's limit a second time.
+        # An old sample is left out, as the module would adjust its limit by it a second time.
         fresh = self._table.clock() - self.sampled_at <= MAX_SAMPLE_AGE_S
         gauges = self.gauges if fresh else api.Gauges()
         self._table.next_events.append(api.TimerFired(token, gauges))
--- a/beechrock/core/node_clock.py
+++ b/beechrock/core/node_clock.py
@@ -1,4 +1,4 @@
-"""The clocks of one node: steady time for all that it does, Unix time for what other processes stamped."""
+"""The clocks of one node: steady time for its own work, Unix time for stamps of other processes."""
 
 from collections.abc import Callable, Iterable
 
@@ -9,7 +9,7 @@
 
 
 class NodeClock:
-    """Reads both clocks together and owns the offset between them."""
+    """Reads both clocks together and tracks the offset between them."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         return now
 
     def birth(self, unix_s: float, longest_s: float) -> Birth:
-        """Return when a request that is read now was born, by its Unix stamp and its longest time to live."""
+        """Return when a request, read now, reached the machine; ``longest_s``: its longest time to live."""
         return self.offset.birth(unix_s, self.observe(), longest_s)
 
 
--- a/beechrock/core/node_status.py
+++ b/beechrock/core/node_status.py
@@ -1,13 +1,13 @@
-"""What the decision module last said of the node itself, for the fronts to pass on."""
+"""The node's health and advice as last set by the decision module; front ends report them to callers."""
 
 from dataclasses import dataclass
 
 
 @dataclass(slots=True)
 class NodeStatus:
-    """Written by the action executor alone."""
+    """Status of the node; only the action executor writes it."""
 
     healthy: bool = True
-    stored: bool = False  # the health is a stored judgement, which a probe need not try anew
-    advice: float | None = None  # the value that goes out with each answer
-    idle_s: float = 0.0  # connections idle for longer are closed; 0: by the settings
+    stored: bool = False  # whether health checks report ``healthy`` without testing whether runs can start
+    advice: float | None = None  # value sent with each answer; None: not sent
+    idle_s: float = 0.0  # seconds after which idle connections are closed; 0: as in the settings
--- a/beechrock/core/ports.py
+++ b/beechrock/core/ports.py
@@ -1,4 +1,4 @@
-"""The parties that the core of a node deals with, each connected by the program before the first batch."""
+"""The components that the core of a node calls; the program connects each before the first batch."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -9,7 +9,7 @@
 
 
 class BudgetParts(Protocol):
-    """What this node may spend of budgets now, where that is no fixed part of them."""
+    """This node's current parts of the budgets, if they are not a fixed share of them."""
 
     def settings(self, now: float, settings: api.Settings) -> api.Settings:
         """Return these settings with this node's parts in place of the undivided budgets."""
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True)
 class Ports:
-    """One attribute for each party; None where the node has none."""
+    """One attribute per component; None if the node does not have it."""
 
     work: Work | None = None
     calls: Calls | None = None
--- a/beechrock/core/request_counts.py
+++ b/beechrock/core/request_counts.py
@@ -1,8 +1,7 @@
-"""What became of requests, by class: counted by the core alone, and read for the operators' figures.
+"""Counts of received and ended requests, and of answers by service, for the operators' metrics.
 
-Invariants: each request that a front read counts once as taken; it counts once as ended, with the answer
-that it got or, where its caller had gone first, with none. ``concurrent`` is the difference, and is never
-below 0.
+Invariants: each request that a front end has read counts once as taken, and once as ended: with its answer,
+or without one if its caller disconnected first. ``concurrent`` is the difference, and is never below 0.
 """
 
 from beechrock.core.requests import Request, Verdict
@@ -18,24 +17,24 @@
 
     @property
     def concurrent(self) -> int:
-        """Return how many requests are received and not ended."""
+        """Return the number of requests received and not yet ended."""
         return self.taken - self.ended
 
     def on_received(self) -> None:
-        """Count a request that a front has read."""
+        """Count a request that a front end has read."""
         self.taken += 1
 
     def on_answered(self, request: Request, verdict: Verdict) -> None:
-        """Count the final answer of a request that was received."""
+        """Count the final answer to a request, which ends it."""
         self.ended += 1
         self._reply(request.route, verdict)
 
     def on_cancelled(self) -> None:
-        """Count a request as ended without an answer, as nobody waits any more."""
+        """Count a request as ended without an answer of the core: cancelled, or not in the mailbox."""
         self.ended += 1
 
     def on_front_answer(self, route: str, verdict: Verdict) -> None:
-        """Count an answer by the front itself, to what the core never had or has lost to the front."""
+        """Count an answer that a front end gives by itself, to a request that the core does not count."""
         self._reply(route, verdict)
 
     def _reply(self, route: str, verdict: Verdict) -> None:
--- a/beechrock/core/request_table.py
+++ b/beechrock/core/request_table.py
@@ -1,7 +1,8 @@
-"""The open requests of a node: each from its arrival until nothing is owed and nothing runs.
+"""The open requests of a node: each from its arrival until it is answered or cancelled and does not run.
 
-No I/O; the clock is handed in. Invariants: a request stands in the table until it is over; it gets precisely
-one answer, unless it is cancelled first; a keyed one runs only while the idempotency table holds it.
+Does no I/O; the clock is a parameter. Invariants: a request stays in the table until it is over; it gets
+exactly one answer, unless it is cancelled first; a keyed request is launched only if the idempotency table
+remembers it.
 """
 
 from collections.abc import Callable
@@ -17,7 +18,7 @@
 
 
 class RequestTable:
-    """Owns the requests, their answers and the events that the next batch begins with."""
+    """Owns the open requests, sends their answers and collects events for the next batch."""
 
     def __init__(
         self,
@@ -28,45 +29,45 @@
         status: NodeStatus,
         wake: Callable[[], None],
     ) -> None:
-        """``clock``: steady seconds. ``wake``: called when there are events for a batch of their own."""
+        """``clock``: steady seconds. ``wake``: called when events were added outside a batch."""
         self.clock = clock
         self._counters = counters
         self._idempotency = idempotency
         self._ports = ports
         self._status = status
         self._wake = wake
-        self.by_id: dict[int, Request] = {}  # until answered and not running
+        self.by_id: dict[int, Request] = {}  # open requests, with those that still run
         self.by_trace: dict[str, Request] = {}
         self.last_id = 0
-        self.next_events: list[api.Event] = []  # of what was carried out after a batch
-        self.overdue: list[Request] = []  # may still be owed an answer after their due time
+        self.next_events: list[api.Event] = []  # events of executed actions, for the next batch
+        self.overdue: list[Request] = []  # requests whose due time has passed, maybe unanswered
         self.counts = RequestCounts()
 
     @property
     def open(self) -> int:
-        """Return how many requests are still owed an answer."""
+        """Return the number of requests that are neither answered nor cancelled."""
         return sum(not r.answered and not r.cancelled for r in self.by_id.values())
 
     def drain_next_events(self) -> list[api.Event]:
-        """Return the events that a batch begins with, and begin a new list of them."""
+        """Remove and return the events that the next batch begins with."""
         events = self.next_events
         self.next_events = []
         return events
 
     def next_id(self) -> int:
-        """Return a new request's id; ids start at 1 and are never used again."""
+        """Return the id for a new request; ids start at 1 and are never reused."""
         self.last_id += 1
         return self.last_id
 
     def add(self, request: Request) -> None:
-        """Hold a request from here on, by its id and its trace."""
+        """Add a request to the table, by its id and its trace."""
         self.by_id[request.id] = request
         self.by_trace[request.trace] = request
 
     # --- the end of a request
 
     def cancel(self, request: Request, events: list[api.Event], now: float) -> None:
-        """Owe no answer any more, as the caller has gone."""
+        """Cancel a request whose caller has disconnected, so that it gets no answer."""
         if request.answered or request.cancelled or request.id not in self.by_id:
             return
         request.cancelled = True
@@ -76,7 +77,7 @@
         self.release(request, events, now)
 
     def finish(self, request: Request, remembered: bool = False) -> None:
-        """Tell those who account for a request that nothing of it is open; once for each."""
+        """Report the end of a request to its ``ended`` callback, once, and to the node's other process."""
         if request.ended is not None:
             ended = request.ended
             request.ended = None
@@ -85,18 +86,18 @@
             self._ports.partner.finish(request, remembered)
 
     def release(self, request: Request, events: list[api.Event], now: float) -> None:
-        """Drop a request once nothing is owed and nothing runs; its repeats get what it came to."""
+        """Drop a request once it is answered or cancelled and does not run; its repeats get its outcome."""
         if request.running or not (request.answered or request.cancelled) or request.over:
             return
         request.over = True
         request.ended_at = now
-        # What never ran has no result for its repeats: its key is free at once, not when the module says so.
+        # A request that never ran has no result for repeats: its key is freed now, not by a later ``Forget``.
         request.never_ran = not request.launched_at
         if request.never_ran and self._idempotency.holds(request):
             self.forget(request)
         remembered = self._ports.partner is not None and self._idempotency.holds(request)
         self.finish(request, remembered)
-        # A remembered request must hold neither its body nor, by ``answer``, a connection long closed.
+        # A remembered request must keep neither its body nor, through ``answer``, a closed connection.
         request.body = b""
         request.first = None
         request.answer = _ignore_answer
@@ -111,9 +112,9 @@
             self.share_with(waiter, request, events, now)
 
     def share_with(self, waiter: Request, first: Request, events: list[api.Event], now: float) -> None:
-        """Give a repeat what its first request came to: its result, or whether it may have had an effect."""
+        """Answer a repeat with its first request's result, or by whether that may have had an effect."""
         if waiter.answered or waiter.cancelled:
-            return  # a wait for a share that has been ended gets no further answer
+            return  # it was answered or cancelled while it waited
         if first.result is not None:
             outcome = api.Outcome.OK
             waiter.result = first.result
@@ -131,7 +132,7 @@
         self.release(waiter, events, now)
 
     def share_result(self, first: Request) -> None:
-        """Give the result of the other process's request, which is over, to those that wait for it."""
+        """Answer the waiting repeats of a finished request of the other process of this node."""
         waiters = first.waiters
         first.waiters = []
         now = self.clock()
@@ -140,61 +141,61 @@
         if waiters:
             self._wake()
 
-    # --- remembered
+    # --- remembered requests
 
     def remember(self, request: Request, until: float, now: float) -> bool:
-        """Remember a request, here and in the other process of this node; False: then it must not run."""
+        """Remember a request, also in the node's other process; if this returns False it must not run."""
         if not self._idempotency.keep(request, until, now):
             self._counters.add("trouble.keys_full")
             return False
         partner = self._ports.partner
         if partner is not None and request.nonce is not None and not partner.claim_run(request, until):
-            self._counters.add("intake.untold")  # killed now, this process would leave its run unknown
+            self._counters.add("intake.untold")  # the run would be unknown if this process were killed
             self.forget(request)
             return False
         return True
 
     def forget(self, request: Request) -> None:
-        """Let the next try of a request's key run."""
+        """Forget a request, so that the next request with its key may run."""
         held = self._idempotency.holds(request)
         self._idempotency.forget(request)
-        # Only for the entry's own request: with the rejection of a run that outlived its entry, the other
-        # process would take the run that holds the key now for over and failed.
+        # Only for the request of the current entry: if the release came from a rejected run that outlived its
+        # entry, the other process would assume that the run that now holds the key has ended and failed.
         if held and self._ports.partner is not None and request.nonce is not None:
             self._ports.partner.release(request)
 
-    # --- answered
+    # --- answers
 
     def reject_unroutable(self, request: Request, after_s: float, reason: bytes = b"") -> None:
-        """Reject a request whose run never ran, as routing has no place for it for ``after_s`` seconds.
+        """Reject a launched request that cannot be routed; its caller may retry it in ``after_s`` seconds.
 
-        The end of its run is posted after this, as REJECTED.
+        The caller of this method then posts the end of its run, as REJECTED.
         """
         self.answer(request, Answer(Verdict.REFUSED, reason, after_s), self.clock())
 
     def answer_overdue(self, now: float) -> None:
-        """Answer what the module still owes after the due time.
+        """Fail the requests that the module has not answered by their due time.
 
-        After a pause of the process the module's own timer falls due in the same tick, so its answer comes
-        first.
+        Called after the module's decisions: after a pause of the process the module's own timer fires in the
+        same tick, and its answer comes first.
         """
         overdue = self.overdue
         self.overdue = []
         for request in overdue:
             if request.answered or request.cancelled or request.over:
                 continue
-            # In doubt of the birth, the module counts from a later one than the due time does.
+            # If the birth is uncertain, the module counts from a later one than the due time does.
             self._counters.add("clock.cut_short" if request.later_s else "trouble.overdue")
             self.answer(request, Answer(Verdict.FAILED, b"out of time"), now)
 
     def answer(self, request: Request, answer: Answer, now: float) -> None:
-        """Send an answer if one is still owed, and drop the request if that was all."""
+        """Answer a request, unless it is answered or cancelled, and drop it if it does not run."""
         if not request.answered and not request.cancelled:
             self.send(request, answer)
         self.release(request, self.next_events, now)
 
     def send(self, request: Request, answer: Answer) -> None:
-        """Hand an answer to the request's front; the one place that does, so each gets precisely one."""
+        """Pass an answer to the request's front end. No other method does, so that each gets exactly one."""
         request.answered = True
         self._counters.add("answered." + answer.verdict.value)
         self.counts.on_answered(request, answer.verdict)
@@ -206,4 +207,4 @@
 
 
 def _ignore_answer(answer: Answer) -> None:
-    """Take the place of an answer's receiver that has had it."""
+    """Ignore an answer; replaces a request's receiver once that has its answer."""
--- a/beechrock/core/requests.py
+++ b/beechrock/core/requests.py
@@ -1,4 +1,4 @@
-"""Requests, their answers, and the parties that a node's core deals with, in terms of no wire."""
+"""Requests, answers, the components that a node's core calls, and their messages; without any protocol."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
@@ -10,7 +10,7 @@
 
 
 class Verdict(Enum):
-    """The three final answers."""
+    """The three kinds of final answer."""
 
     SERVED = "served"
     REFUSED = "refused"
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """A final answer; REFUSED says that this try never ran.
+    """A final answer; REFUSED guarantees that this request never ran.
 
     ``advice`` is the value that the module advertises.
     """
@@ -29,17 +29,17 @@
     retry_after_s: float | None = None
     no_retry: bool = False
     advice: float | None = None
-    media: str = ""  # the body's media type; empty: not known
+    media: str = ""  # media type of the body; empty: unknown
 
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """One try, from the moment a front has read it until its answer is out and its run is over."""
+    """One attempt, from when a front end has read it until it is answered and its run has ended."""
 
-    trace: str  # names it towards those who run it and those it calls
+    trace: str  # identifies it towards workers and called services
     klass: int
     route: str
-    born: float  # when it reached the machine, by the node's steady clock (``core/clock_offset.py``)
+    born: float  # when it reached the machine, in steady seconds (``core/clock_offset.py``)
     body: bytes
     answer: Callable[[Answer], None]
     kb: float = 1.0
@@ -47,101 +47,101 @@
     caller: int | None = None
     tenant: int | None = None
     retry: bool = False
-    nonce: str | None = None  # keyed classes: the same for all tries
-    entity: str | None = None  # reads: what it is about
-    limits_tenant: int | None = None  # the module's tenant for it, by the limits, in place of the team's
-    # Called once when nothing of it is open: the seconds that its run took, or None, as it never ran.
+    nonce: str | None = None  # keyed classes: idempotency key, shared by all retries
+    entity: str | None = None  # reads: key of the subject that is read
+    limits_tenant: int | None = None  # index of the limits' tenant, which replaces the team's
+    # Called once when it is over, with the seconds that its run took, or None if it never ran.
     ended: Callable[[float | None], None] | None = None
-    # Where the wall clock was stepped, it may have been born this much before ``born``, or after it.
+    # Uncertainty of ``born`` after a step of the wall clock: seconds by which it may be earlier or later.
     earlier_s: float = 0.0
     later_s: float = 0.0
-    patience_s: float | None = None  # how long its caller waits, from its birth; None: not said
+    patience_s: float | None = None  # seconds from its birth that its caller waits; None: unknown
     cost_s: float | None = None
-    generation: int = 0  # of routing policy, where another node began it; 0: it begins here
+    generation: int = 0  # of the routing policy at the node that began it; 0: this node
     overdue: Timer | None = None
     id: int = 0
-    digest: bytes = b""  # keyed classes: of the body, which itself is dropped at the end
-    granted: bool = False  # its key, by the other process of this node
-    first: "Request | None" = None  # the try that this one repeats
+    digest: bytes = b""  # keyed classes: digest of the body, which is dropped at the end
+    granted: bool = False  # the other process of this node lets it run
+    first: "Request | None" = None  # the request that this one repeats
     waiters: "list[Request]" = field(default_factory=list)  # repeats that share this one's result
     answered: bool = False
     cancelled: bool = False
     running: bool = False
     paused: bool = False
     over: bool = False
-    never_ran: bool = False  # over, and never launched: its repeats had no effect through it
+    never_ran: bool = False  # over without a launch, so that it had no effect
     shared_at: float | None = None
-    result: bytes | None = None  # of a run that went well
+    result: bytes | None = None  # result of a successful run
     media: str = ""
     launched_at: float = 0.0
     ended_at: float = 0.0
-    replied: int = 0  # the status that a server gave to its run; -1: no server was reached; 0: not known
-    call_mark: int = 0  # which call the run waits for
+    replied: int = 0  # HTTP status of its run from a server; -1: no server was reached; 0: unknown
+    call_mark: int = 0  # number of the call that its run waits for
     call_body: bytes | None = None
 
     @property
     def earliest(self) -> float:
-        """The first moment at which it may have been born: what it repeats is looked up as of then."""
+        """The earliest possible birth: whether it is a repeat is decided as of then."""
         return self.born - self.earlier_s
 
     @property
     def latest(self) -> float:
-        """The last moment at which it may have been born: a key that it opens is kept from then."""
+        """The latest possible birth: a new key is remembered from then."""
         return self.born + self.later_s
 
 
 class Work(Protocol):
-    """Who runs requests: the agent, or servers that speak SCGI. They report to the module's actor."""
+    """Runs requests: the agent, or servers that speak SCGI. Reports to the module's actor by messages."""
 
     def launch(self, request: Request) -> None:
         """Start the run of a request."""
 
     def stop(self, request: Request) -> None:
-        """Pause a run that is under way."""
+        """Pause a run."""
 
     def resume(self, request: Request) -> None:
-        """Go on with a paused run."""
+        """Resume a paused run."""
 
     def deliver(self, request: Request, reply: bytes) -> None:
-        """Hand a call's reply to the run that waits for it."""
+        """Pass a call's reply to the run that waits for it."""
 
     def forgo(self, request: Request, mark: int) -> None:
-        """Have a run go on without the call ``mark``."""
+        """Let a run continue without its call number ``mark``."""
 
     def sample(self) -> None:
-        """Ask for the gauges; they come as ``GaugesSampled``."""
+        """Request the gauges, which arrive as ``GaugesSampled``."""
 
     def exercise(self, report: Callable[[bool], None]) -> None:
-        """Try whether runs can be started; ``report`` is told the result."""
+        """Test whether runs can be started, and call ``report`` with the result."""
 
 
 class Calls(Protocol):
-    """The services below, which runs call."""
+    """Sends the calls of runs to downstream services."""
 
     def call(self, request: Request, body: bytes, wait_s: float) -> None:
-        """Make a request's call, abandoned after ``wait_s`` seconds."""
+        """Send a request's call, which is abandoned after ``wait_s`` seconds."""
 
     def abandon(self, request: Request) -> None:
-        """Give up a request's call."""
+        """Abandon a request's call."""
 
 
 class Partner(Protocol):
-    """The other process of this node, where one takes another's place: which keys may run here."""
+    """The other process of this node during a hand-over; decides with it which keys may run here."""
 
     def request_run(self, request: Request) -> bool:
-        """Return whether a keyed try may be received now; if not, it is posted once more, or is answered."""
+        """Return whether a keyed request may be received now; if not, it is posted again or answered."""
 
     def find_first(self, request: Request) -> Request | None:
-        """Return the other's request that this one repeats."""
+        """Return the other process's request that this one repeats, or None."""
 
     def claim_run(self, request: Request, until: float) -> bool:
-        """Note that a request is about to run; False where the other cannot learn of it: it must not."""
+        """Claim a request's key for its run; False, if the other process cannot be told: it must not run."""
 
     def release(self, request: Request) -> None:
-        """Note that the key of a request is free again."""
+        """Release the claim on the key of a request."""
 
     def finish(self, request: Request, held: bool) -> None:
-        """Note that nothing of a request is open; its result may be shared if it is remembered."""
+        """Note that a request is over; ``held``: it is remembered, so that its result may be shared."""
 
 
 class Tracer(Protocol):
@@ -166,26 +166,26 @@
         """Record the end of a run."""
 
 
-# Messages of the parties to the module's actor.
+# Messages to the module's actor.
 
 
 @dataclass(frozen=True, slots=True)
 class RequestReceived:
-    """A front has read a whole request; from here on it is owed one final answer."""
+    """A front end has read a complete request; it gets one final answer unless it is cancelled."""
 
     request: Request
 
 
 @dataclass(frozen=True, slots=True)
 class RequestCancelled:
-    """A front says that nobody waits for a request any more."""
+    """A front end reports that nobody waits for a request any more."""
 
     request: Request
 
 
 @dataclass(frozen=True, slots=True)
 class RunEnded:
-    """The run of a request ended; ``elapsed_s`` is its time on the cores."""
+    """The run of a request ended after ``elapsed_s`` seconds."""
 
     trace: str
     outcome: Outcome
@@ -196,7 +196,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallRequested:
-    """A run waits for a call with this body; ``mark`` tells its calls apart."""
+    """A run waits for a call with this body; ``mark`` is the call's number in the run."""
 
     trace: str
     mark: int
@@ -215,14 +215,14 @@
 
 @dataclass(frozen=True, slots=True)
 class GaugesSampled:
-    """The gauges were read."""
+    """A sample of the gauges was taken."""
 
     gauges: Gauges
 
 
 @dataclass(frozen=True, slots=True)
 class WorkersStarted:
-    """Those who run requests started ``age_s`` ago; a cold start needs a ramp of its load."""
+    """The workers that run requests started ``age_s`` seconds ago; cold ones need a slow start."""
 
     needs_warm_up: bool
     age_s: float
@@ -230,7 +230,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ShutdownRequested:
-    """The notice to leave: the process ends in ``remaining_s``. ``replaced``: another goes on as the node."""
+    """Shutdown notice: the process ends in ``remaining_s`` seconds. ``replaced``: another one takes over."""
 
     remaining_s: float
     replaced: bool = False
@@ -238,7 +238,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingsUpdated:
-    """Other classes and tenants for what is read from now on; those of before keep their places."""
+    """New classes and tenants for requests read from now on; existing ones keep their indexes."""
 
     settings: Settings
 
--- a/beechrock/core/runs.py
+++ b/beechrock/core/runs.py
@@ -1,4 +1,4 @@
-"""What those who run requests report of them: calls on the way, and the end of each run."""
+"""Handles reports about runs: the calls they wait for, the ends of these calls, and the end of each run."""
 
 from beechrock import interface as api
 from beechrock.core.counters import Counters
@@ -8,7 +8,7 @@
 
 
 class RunReports:
-    """Turns reports about runs into events for the module; a report of a run that is over changes nothing."""
+    """Turns reports about runs into events for the module; reports about ended runs are ignored."""
 
     def __init__(self, counters: Counters, table: RequestTable, ports: Ports) -> None:
         self._counters = counters
@@ -16,7 +16,7 @@
         self._ports = ports
 
     def on_call_requested(self, message: CallRequested, events: list[api.Event]) -> None:
-        """Note that a run waits for a call."""
+        """Record that a run waits for a call."""
         request = self._table.by_trace.get(message.trace)
         if request is None or not request.running:
             return
@@ -26,7 +26,7 @@
         events.append(api.CallNeeded(request.id))
 
     def on_call_done(self, message: CallDone, events: list[api.Event]) -> None:
-        """Deliver a call's reply to the run that waits for it."""
+        """Report the end of a call, and pass a reply to the run that waits for it."""
         request = message.request
         if not request.running or request.call_body is None:
             return
@@ -37,7 +37,7 @@
         events.append(api.CallEnded(request.id, message.outcome, message.elapsed_s))
 
     def on_run_ended(self, end: RunEnded, events: list[api.Event], now: float) -> None:
-        """End a run; with OK and ERROR the outcome is the answer itself, unless one went out earlier."""
+        """End a run; its outcome is the answer, unless the request was answered earlier or is cancelled."""
         request = self._table.by_trace.get(end.trace)
         if request is None or not request.running:
             return
@@ -49,12 +49,12 @@
         if not outcome.never_ran and request.replied >= 0:
             request.cost_s = end.elapsed_s
         if request.call_body is not None and self._ports.calls is not None:
-            self._ports.calls.abandon(request)  # an end of the run voids its call
+            self._ports.calls.abandon(request)  # nobody waits for the reply any more
             request.call_body = None
         if outcome is api.Outcome.OK:
             request.result = end.result
             request.media = end.media
-        if outcome in (api.Outcome.REJECTED, api.Outcome.MOOT):  # a retry of its key is no repeat
+        if outcome in (api.Outcome.REJECTED, api.Outcome.MOOT):  # it had no effect, so a retry may run
             self._table.forget(request)
         if not request.answered and not request.cancelled:
             self._table.send(request, _answer_of(end))
--- a/beechrock/core/servers.py
+++ b/beechrock/core/servers.py
@@ -1,8 +1,8 @@
-"""Which servers run a service, which of them drain, and which is asked first. Pure.
+"""The servers of each service, their state, and the order in which they are tried. Pure.
 
-A server is SERVING while its service lists it and nobody has it out, then DRAINING until the last run on it
-has ended, then forgotten. A service that is taken out keeps its last servers for the requests that were read
-while it was there. One that is out stays so whatever is listed anew.
+A server is SERVING while a service lists it and it is not taken out, then DRAINING until its last run has
+ended, then forgotten. For a service that is removed, the last servers are remembered for requests that were
+read before. A server that is taken out stays out even if it is listed again.
 """
 
 from collections.abc import Callable
@@ -11,75 +11,75 @@
 from beechrock.core.link_lifecycle import Address
 
 MAX_REMOVED_SERVICES = (
-    1_000  # services taken out whose last servers are remembered; the oldest are dropped first
+    1_000  # removed services whose last servers are remembered; the oldest are dropped first
 )
 
 Upstreams = dict[str, tuple[Address, ...]]
 
 
 class ServerState(Enum):
-    """Whether new runs go to a server."""
+    """Whether a server gets new runs."""
 
     SERVING = "serving"
     DRAINING = "draining"
 
 
 class Servers:
-    """The runs open at each server, and the lists by service."""
+    """The servers by service, and the number of open runs at each server."""
 
     def __init__(self, upstreams: Upstreams) -> None:
         self.upstreams = upstreams
         self.out: frozenset[Address] = frozenset()
-        self.load: dict[Address, int] = {}  # open runs; a server without any is not in it
-        self._past: Upstreams = {}
-        # Where the table [replica] has advice: the least is asked first, by address and open runs.
+        self.load: dict[Address, int] = {}  # open runs by server; servers without any are left out
+        self._removed: Upstreams = {}
+        # Cost of a run at a server, from its address and open runs, while the replica part gives advice.
         self.cost: Callable[[Address, int], float] | None = None
 
     def state(self, address: Address) -> ServerState | None:
-        """Return a server's state; None: nothing goes there, and nothing is open there."""
+        """Return a server's state, or None if it gets no new runs and has none open."""
         if address not in self.out and any(address in places for places in self.upstreams.values()):
             return ServerState.SERVING
         return ServerState.DRAINING if address in self.load else None
 
     def draining(self) -> list[Address]:
-        """Return the servers that only finish what runs on them."""
+        """Return the servers that get no new runs but have open ones."""
         serving = {address for places in self.upstreams.values() for address in places}
         return [address for address in self.load if address in self.out or address not in serving]
 
     def renew(self, upstreams: Upstreams) -> None:
-        """Go by other lists for all runs that begin from now on."""
+        """Replace the lists of servers, for all runs that begin from now on."""
         for service, places in self.upstreams.items():
             if service not in upstreams and places:
-                self._past.pop(service, None)
-                self._past[service] = places
+                self._removed.pop(service, None)
+                self._removed[service] = places
         for service in upstreams:
-            self._past.pop(service, None)
-        while len(self._past) > MAX_REMOVED_SERVICES:
-            del self._past[next(iter(self._past))]
+            self._removed.pop(service, None)
+        while len(self._removed) > MAX_REMOVED_SERVICES:
+            del self._removed[next(iter(self._removed))]
         self.upstreams = upstreams
 
     def choose(self, service: str) -> list[Address]:
-        """Return the servers of a service that are not out, the least busy first."""
+        """Return the servers of a service that are not taken out, those with the least weight first."""
         return sorted(
             (address for address in self.listed(service) if address not in self.out), key=self.weight
         )
 
     def weight(self, address: Address) -> float:
-        """Return by what servers are ordered, the least first: open runs, or the cost where one is given."""
+        """Return the weight by which servers are ordered: their cost if that is set, else their open runs."""
         load = self.load.get(address, 0)
         return load if self.cost is None else self.cost(address, load)
 
     def listed(self, service: str) -> tuple[Address, ...]:
-        """Return all servers of a service, those that are out among them."""
+        """Return all servers of a service, including those that are taken out."""
         places = self.upstreams.get(service)
-        return self._past.get(service, ()) if places is None else places
+        return self._removed.get(service, ()) if places is None else places
 
     def began(self, address: Address) -> None:
-        """Count a run that starts at a server."""
+        """Count the start of a run at a server."""
         self.load[address] = self.load.get(address, 0) + 1
 
     def ended(self, address: Address) -> None:
-        """Count a run that ended at a server."""
+        """Count the end of a run at a server."""
         self.load[address] -= 1
         if not self.load[address]:
             del self.load[address]
--- a/beechrock/core/timer_wheel.py
+++ b/beechrock/core/timer_wheel.py
@@ -1,13 +1,13 @@
-"""A timer wheel of coarse ticks."""
+"""A hashed timer wheel; timers fire with the resolution of a tick."""
 
 from collections.abc import Callable
 
 SLOTS = 1024
-SWEEP_FROM = 8192  # timers: fewer cost less to keep than to look through
+MIN_TIMERS_TO_SWEEP = 8192  # timers; keeping fewer costs less than searching them
 
 
 class Timer:
-    """One entry of the wheel; ``cancel`` keeps it from firing."""
+    """One timer: the tick in which it is due, and its action."""
 
     __slots__ = ("action", "due")
 
@@ -16,38 +16,38 @@
         self.action = action
 
     def cancel(self) -> None:
-        """Keep it from firing."""
-        self.action = _nothing
+        """Keep the timer from firing."""
+        self.action = _no_action
 
 
-def _nothing() -> None:
-    """Take the place of a cancelled timer's action."""
+def _no_action() -> None:
+    """Do nothing; replaces the action of a cancelled timer."""
 
 
 class TimerWheel:
-    """Timers by the tick in which they fall due; a slot also holds those of later turns."""
+    """Timers in slots by their due tick modulo ``SLOTS``; a slot also holds those of later turns."""
 
     def __init__(self, tick_s: float, now: float) -> None:
         self.tick_s = tick_s
         self._slots: list[list[Timer]] = [[] for _ in range(SLOTS)]
-        self._done = int(now / tick_s)  # the last tick that was worked off
+        self._last_tick = int(now / tick_s)  # last tick whose timers have fired
         self._armed = 0
 
     def at(self, when: float, action: Callable[[], None]) -> Timer:
-        """Fire in the first tick that is not before ``when``, and never in the one that is under way."""
-        due = max(-int(-when / self.tick_s // 1), self._done + 1)
+        """Set a timer for the first tick not before ``when``; it never fires in the current tick."""
+        due = max(-int(-when / self.tick_s // 1), self._last_tick + 1)
         timer = Timer(due, action)
         self._slots[due % SLOTS].append(timer)
         self._armed += 1
         return timer
 
     def advance(self, now: float) -> int:
-        """Fire what is due by ``now``, in order of ticks; return the number of timers fired."""
+        """Fire the timers due by ``now``, in order of slots; return the number of timers fired."""
         target = int(now / self.tick_s)
         fired = 0
-        # After a long pause a whole turn sees every slot; more turns would see nothing new.
-        first = max(self._done + 1, target - SLOTS + 1)
-        self._done = max(self._done, target)  # so that what is set meanwhile waits for the next tick
+        # After a long pause, one turn of the wheel visits every slot.
+        first = max(self._last_tick + 1, target - SLOTS + 1)
+        self._last_tick = max(self._last_tick, target)  # so that timers set meanwhile wait for the next tick
         for tick in range(first, target + 1):
             slot = self._slots[tick % SLOTS]
             if not slot:
@@ -61,9 +61,9 @@
         return fired
 
     def _fire(self, due: list[Timer], tick: int) -> None:
-        """Fire these; if one raises, the next call goes on behind it, with its tick's and all later ones.
+        """Fire due timers of one slot; if one raises, put the rest back for the next call.
 
-        Else the alarms of links, the sweeps and the ends of due requests would be lost with it.
+        Otherwise deadlines of links, sweeps and timeouts of requests would be lost with the failed timer.
         """
         for place, timer in enumerate(due, 1):
             try:
@@ -71,24 +71,24 @@
             except Exception:
                 self._slots[tick % SLOTS] += due[place:]
                 self._armed += len(due) - place
-                self._done = tick - 1
+                self._last_tick = tick - 1
                 raise
 
     def sweep(self) -> None:
-        """Drop what was cancelled, which else stays until it is due; to be called now and then."""
-        if self._armed < SWEEP_FROM:
+        """Drop cancelled timers, which otherwise stay until they are due; to be called from time to time."""
+        if self._armed < MIN_TIMERS_TO_SWEEP:
             return
-        self._slots = [[timer for timer in slot if timer.action is not _nothing] for slot in self._slots]
+        self._slots = [[timer for timer in slot if timer.action is not _no_action] for slot in self._slots]
         self._armed = sum(len(slot) for slot in self._slots)
 
     def worked_off(self, now: float) -> bool:
-        """Return whether all that falls due by ``now`` has fired."""
-        return self._done >= int(now / self.tick_s)
+        """Return whether all timers due by ``now`` have fired."""
+        return self._last_tick >= int(now / self.tick_s)
 
     def next_due(self) -> float:
-        """Return when the next timer may fire; at most a turn of the wheel from now."""
+        """Return when the next timer is due, or the end of this turn of the wheel if that is earlier."""
         if self._armed:
-            for tick in range(self._done + 1, self._done + SLOTS):
+            for tick in range(self._last_tick + 1, self._last_tick + SLOTS):
                 if any(timer.due <= tick for timer in self._slots[tick % SLOTS]):
                     return tick * self.tick_s
-        return (self._done + SLOTS) * self.tick_s
+        return (self._last_tick + SLOTS) * self.tick_s
--- a/beechrock/core/work_router.py
+++ b/beechrock/core/work_router.py
@@ -1,4 +1,4 @@
-"""Runs in two places: each request goes where its service runs."""
+"""Routing of runs between two ``Work`` ports, by which of them runs the service."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -7,56 +7,56 @@
 
 
 class Holder(Work, Protocol):
-    """A place that knows which services and which requests it runs."""
+    """A ``Work`` port that knows which services and which requests it runs."""
 
     def runs_here(self, route: str) -> bool:
-        """Return whether a service runs in this place."""
+        """Return whether this port runs a service."""
 
     def holds(self, request: Request) -> bool:
-        """Return whether the run of a request is in this place."""
+        """Return whether this port runs a request."""
 
 
 class WorkRouter:
-    """Launches what has servers there and all else here; the rest of a run stays where it was launched."""
+    """Launches runs at ``here`` if it runs their service, else at ``others``; runs stay where they began."""
 
     def __init__(self, here: Holder, others: Work) -> None:
         self.here = here
         self.others = others
 
-    def _of(self, request: Request) -> Work:
+    def _port_of(self, request: Request) -> Work:
         return self.here if self.here.holds(request) else self.others
 
     def launch(self, request: Request) -> None:
-        """Start a run in the place of its service."""
+        """Start a run at the port that runs its service."""
         (self.here if self.here.runs_here(request.route) else self.others).launch(request)
 
     def stop(self, request: Request) -> None:
-        """Pause a run where it is."""
-        self._of(request).stop(request)
+        """Pause a run at its port."""
+        self._port_of(request).stop(request)
 
     def resume(self, request: Request) -> None:
-        """Resume a run where it is."""
-        self._of(request).resume(request)
+        """Resume a run at its port."""
+        self._port_of(request).resume(request)
 
     def deliver(self, request: Request, reply: bytes) -> None:
-        """Hand a call's reply to the run."""
-        self._of(request).deliver(request, reply)
+        """Pass a call's reply to the run."""
+        self._port_of(request).deliver(request, reply)
 
     def forgo(self, request: Request, mark: int) -> None:
-        """Have a run go on without its call."""
-        self._of(request).forgo(request, mark)
+        """Let a run continue without its call."""
+        self._port_of(request).forgo(request, mark)
 
     def sample(self) -> None:
-        """Ask both places for the gauges."""
+        """Request the gauges from both ports."""
         self.here.sample()
         self.others.sample()
 
     def exercise(self, report: Callable[[bool], None]) -> None:
-        """Report whether both places can start runs, once both have said so."""
+        """Call ``report`` with whether both ports can start runs, once both results are in."""
         results: list[bool] = []
 
         def on_result(good: bool) -> None:
-            """Note one place's result; the second one completes the report."""
+            """Record the result of one port; the second one completes the report."""
             results.append(good)
             if len(results) == 2:
                 report(all(results))
--- a/tests/core/test_link_lifecycle.py
+++ b/tests/core/test_link_lifecycle.py
@@ -55,7 +55,7 @@
             m.state,
             m.address,
             min(m.failures, 4),
-            m._excused,
+            m._extended,
             round(m.due - self.now, 3) if m.due != float("inf") else None,
             round(min(self.now - m.last_received_at, 1.0), 2),
         )
