--- a/beechrock/core/actor.py
+++ b/beechrock/core/actor.py
@@ -246,7 +246,7 @@
         events, now = batch.events, batch.now
         match message:
             case RequestReceived(request):
-                if self.intake.joins(message, batch):
+                if self.intake.admit(message, batch):
                     self.intake.receive(request, events, now)
             case RequestCancelled(request):
                 self.table.cancel(request, events, now)
--- a/beechrock/core/clock_offset.py
+++ b/beechrock/core/clock_offset.py
@@ -33,12 +33,12 @@
 UNSEEN_STEP_S = 0.1  # too much for slewing: a step, which may hide a second one in the same gap
 MAX_SEGMENTS = 64  # a clock that is being corrected takes fewer steps in the remembered time
 # A stamp that no offset explains is taken to be from a step that was reversed between two readings, if there
-# was a gap of ``GAP_S`` without readings. The stamp must be ahead of its reading, or older than ``LATE_S``,
-# as requests are read late by no more; and off by at most ``MAX_STEP_S``, as clocks are stepped by no more.
-GAP_S, LATE_S, MAX_STEP_S = 0.12, 600.0, 7200.0
+# was a gap of ``MIN_GAP_S`` without readings. The stamp must be ahead of its reading, or too old to have been
+# read late, ``MAX_READ_DELAY_S``; and off by at most ``MAX_STEP_S``, as clocks are stepped by no more.
+MIN_GAP_S, MAX_READ_DELAY_S, MAX_STEP_S = 0.12, 600.0, 7200.0
 # Seconds by which a stamp may be ahead of its reading (both clocks are the same machine's), and by which the
 # reading may be past the request's due time.
-BORN_AHEAD_S, BORN_BEHIND_S = 1.0, 10.0
+MAX_BORN_AHEAD_S, MAX_PAST_DUE_S = 1.0, 10.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -72,14 +72,14 @@
         """``remember_s``: the greatest age, in seconds, at which a request may still be read."""
         self.remember_s = remember_s
         self.segments = [Segment(unix_s - now, -math.inf, now, now)]
-        self.gap = (-math.inf, -math.inf)  # last period of ``GAP_S`` or more without a reading
+        self.gap = (-math.inf, -math.inf)  # last period of ``MIN_GAP_S`` or more without a reading
 
     def observe(self, now: float, unix_s: float) -> bool:
         """Record one reading of both clocks; return whether it shows a step, too large for slewing."""
         offset = unix_s - now
         current = self.segments[-1]
         change = abs(offset - current.offset)
-        if now - current.last_seen >= GAP_S:
+        if now - current.last_seen >= MIN_GAP_S:
             self.gap = current.last_seen, now
         stepped = change > UNSEEN_STEP_S
         if change <= STEP_S:
@@ -97,7 +97,7 @@
         ``give_up_s``: seconds from its birth to its due time. If several segments explain the stamp, births
         whose due time has passed are skipped: if one of them is the true birth, the request is late anyway.
         """
-        oldest = now - give_up_s - BORN_BEHIND_S
+        oldest = now - give_up_s - MAX_PAST_DUE_S
         births = sorted(self._possible_births(unix_s, now, oldest))
         if births:
             in_time = [born for born in births if now - born < give_up_s]
@@ -110,7 +110,7 @@
         # malformed.
         ahead_s = unix_s - self.segments[-1].offset - now
         if self.gap[1] >= oldest and (
-            BORN_AHEAD_S < ahead_s <= MAX_STEP_S or -MAX_STEP_S <= ahead_s < -LATE_S
+            MAX_BORN_AHEAD_S < ahead_s <= MAX_STEP_S or -MAX_STEP_S <= ahead_s < -MAX_READ_DELAY_S
         ):
             return self._born_in_gap(self.gap[0], now, oldest, give_up_s)
         return FAR_OFF
@@ -126,7 +126,7 @@
         births = []
         for segment in self.segments:
             born = unix_s - segment.offset
-            ends = min(segment.ends + TOLERANCE_S, now + BORN_AHEAD_S)
+            ends = min(segment.ends + TOLERANCE_S, now + MAX_BORN_AHEAD_S)
             if max(segment.begins - TOLERANCE_S, oldest) <= born <= ends:
                 births.append(min(born, now))
         return births
--- a/beechrock/core/intake.py
+++ b/beechrock/core/intake.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 
 from beechrock import interface as api
-from beechrock.core.clock_offset import BORN_AHEAD_S, BORN_BEHIND_S, FAR_OFF
+from beechrock.core.clock_offset import FAR_OFF, MAX_BORN_AHEAD_S, MAX_PAST_DUE_S
 from beechrock.core.counters import Counters
 from beechrock.core.idempotency import IdempotencyTable
 from beechrock.core.node_status import NodeStatus
@@ -51,7 +51,7 @@
 
     # --- assignment to batches
 
-    def joins(self, message: RequestReceived, batch: Batch) -> bool:
+    def admit(self, message: RequestReceived, batch: Batch) -> bool:
         """Return whether a request is received in this batch; else it was dropped, answered or deferred."""
         request = message.request
         # Dropped first: cancelled requests with one key would each take up a batch and delay the others.
@@ -139,7 +139,7 @@
             return "reused_traces", b"this trace is in use"
         # With a birth far in the past the module would assume that requests wait unread for decades; one far
         # ahead lies outside every window in which its key is remembered.
-        if not -BORN_AHEAD_S <= now - request.born <= self.due_after_s(request) + BORN_BEHIND_S:
+        if not -MAX_BORN_AHEAD_S <= now - request.born <= self.due_after_s(request) + MAX_PAST_DUE_S:
             return "born_far_off", b"born: too far from now"
         return None
 
--- a/beechrock/core/node_clock.py
+++ b/beechrock/core/node_clock.py
@@ -4,7 +4,7 @@
 
 from beechrock import clocks
 from beechrock import interface as api
-from beechrock.core.clock_offset import BORN_BEHIND_S, Birth, ClockOffset
+from beechrock.core.clock_offset import MAX_PAST_DUE_S, Birth, ClockOffset
 from beechrock.core.counters import Counters
 
 
@@ -44,4 +44,4 @@
 
 def _max_age_s(classes: Iterable[api.ClassSettings]) -> float:
     """Return the greatest age at which a request of any class is still accepted."""
-    return max(c.deadline_s for c in classes) + BORN_BEHIND_S
+    return max(c.deadline_s for c in classes) + MAX_PAST_DUE_S
--- a/tests/actor_histories.py
+++ b/tests/actor_histories.py
@@ -1,6 +1,7 @@
-"""Whole histories of the module's actor and its request book, with stand-ins for cores and calls.
+"""Random histories of the module's actor and its request table, with simulated workers and calls.
 
-No sockets: requests are posted as a front posts them, and ``Checker`` is told what fronts and the agent see.
+There are no sockets: requests are posted as a front end posts them, and ``Checker`` gets what front ends and
+the agent would see.
 """
 
 import math
@@ -29,15 +30,15 @@
 )
 from beechrock.settings import settings_from
 
-SOCKET_SLACK_S = 0.05  # every time limit on sockets is so much longer
+SOCKET_SLACK_S = 0.05  # added to the answer slack, as each time limit on sockets is longer by this
 MEMORY_MB = [8.0, 20.0, 64.0, 192.0]
-EXIT_MARGIN_S = 0.25  # the program has ended so long before the kill
-UNREAD_S = 0.1  # a request counts against the memory so long after it was written
-REJECTED = 0.03  # part of the launches that never begin
+EXIT_MARGIN_S = 0.25  # no request arrives later than this before the kill
+UNREAD_S = 0.1  # a held request counts against the memory from this age on
+REJECTED_SHARE = 0.03  # share of the launches that are rejected and never run
 
 
 class ActorHistory:
-    """One actor from its start to its kill, or until all is over; it is its own ``Work`` and ``Calls``."""
+    """One actor from its start to its kill, or until nothing is open; also its ``Work`` and ``Calls``."""
 
     def __init__(
         self,
@@ -58,11 +59,11 @@
         self.actor.ports.work = self.actor.ports.calls = self
         self.check = Checker(self.told, self.now)
         self.check.slack_s += SOCKET_SLACK_S
-        self.tries: dict[str, Try] = {}  # by trace, until over
+        self.tries: dict[str, Try] = {}  # open requests by trace
         self.requests: dict[str, Request] = {}
-        self.results: dict[int, set[bytes]] = {}  # of runs, by key
+        self.results: dict[int, set[bytes]] = {}  # results of runs by key
         self.lingers: list[float] = []
-        self.gone_now: set[int] = set()  # not known to the actor yet
+        self.gone_now: set[int] = set()  # ids of requests cancelled since the last tick
         self.nonces: list[tuple[int, int]] = []
         self.next_id = self.ticks = 0
         self.gap_s = sum(model.works) / len(model.works) / (model.load * model.speed * self.told.cores)
@@ -73,14 +74,14 @@
         if draw.random() < 0.5:
             self.actor.post(WorkersStarted(self.told.slow_start, 0.0))
 
-    # --- those who run requests, and what they call
+    # --- the ports for runs and calls
 
     def launch(self, request: Request) -> None:
         one = self.tries[request.trace]
         assert one.state == "held", f"{one.id} is launched while {one.state}"
         self.check.run(one)
         one.ran, one.state = True, "running"
-        if self.random.random() < REJECTED:
+        if self.random.random() < REJECTED_SHARE:
             one.ran = False
             if one.key is not None and one.c.idempotency is api.Idempotency.KEYED:
                 self.check.ran[one.key].remove(one)
@@ -128,7 +129,7 @@
     def exercise(self, report: Any) -> None:
         report(True)
 
-    # --- fronts
+    # --- front ends
 
     def arrival(self) -> None:
         draw = self.random
@@ -178,7 +179,7 @@
             request.tenant = self.tenant_draw.choice([request.tenant, request.tenant, None])
         self.tries[trace], self.requests[trace] = one, request
         self.check.read(one)
-        if not self.actor.post(RequestReceived(request)):  # the front refuses it
+        if not self.actor.post(RequestReceived(request)):  # the front end refuses it
             request.answered = True
             self.answered(one, Answer(Verdict.REFUSED))
 
@@ -291,7 +292,7 @@
         return max(min(moments), self.now + self.actor.tick_s)
 
     def play(self) -> "ActorHistory":
-        """To the kill, or until nothing is open."""
+        """Run the history to the kill, or until nothing is open."""
         while self.left or self.tries or len(self.actor.mailbox) or self.actor.table.next_events:
             at, self.ticks = self.next_moment(), self.ticks + 1
             if self.ticks > 4000:
--- a/tests/checker.py
+++ b/tests/checker.py
@@ -1,4 +1,4 @@
-"""The rules of the operators' pages over a whole history; told of what was read, done and answered."""
+"""Checks the documented rules over a whole history, from reports of what was read, run and answered."""
 
 import math
 from collections import deque
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True, eq=False)
 class Try:
-    """One request in the world: where it stands, and what the checker must know of it."""
+    """One simulated request: its state, and the facts that the checker needs."""
 
     id: int
     klass: int
@@ -20,13 +20,13 @@
     c: api.ClassSettings
     key: int | None
     first: "Try | None"
-    parts: list[float]  # seconds on a core that are left, a call between two
+    parts: list[float]  # remaining core seconds of the sections of its run; a call separates two
     state: str = "held"
     ran: bool = False
     answered: bool = False
     gone: bool = False
-    sure: bool = True  # no call of it may have had its effect
-    served: bool = False  # with a result that repeats may share
+    sure: bool = True  # whether its pending call cannot have had an effect
+    served: bool = False  # whether it has a result that repeats may share
     ended_at: float = math.inf
     call_end: float = 0.0
     outcome: api.Outcome = api.Outcome.OK
@@ -34,44 +34,48 @@
 
 
 class Window:
-    """The mean of a level over a sliding time, against a limit that may change."""
+    """The mean of a level over a sliding window, and the mean of its limit, which may change."""
 
-    def __init__(self, over_s: float) -> None:
-        self.over_s, self.sum, self.room = over_s, 0.0, 0.0
+    def __init__(self, window_s: float) -> None:
+        self.window_s, self.sum, self.limit_sum = window_s, 0.0, 0.0
         self.parts: deque[tuple[float, float, float]] = deque()  # seconds, level, limit
 
     def add(self, seconds: float, level: float, limit: float) -> None:
         self.parts.append((seconds, level, limit))
-        self.sum, self.room = self.sum + seconds * level, self.room + seconds * limit
+        self.sum, self.limit_sum = self.sum + seconds * level, self.limit_sum + seconds * limit
         length = sum(part[0] for part in self.parts) if len(self.parts) < 8 else self.length + seconds
         self.length = length
-        while self.length > self.over_s:
+        while self.length > self.window_s:
             old, was, most = self.parts[0]
-            cut = min(old, self.length - self.over_s)
-            self.sum, self.room, self.length = self.sum - cut * was, self.room - cut * most, self.length - cut
+            cut = min(old, self.length - self.window_s)
+            self.sum, self.limit_sum, self.length = (
+                self.sum - cut * was,
+                self.limit_sum - cut * most,
+                self.length - cut,
+            )
             self.parts.popleft()
             if cut < old:
                 self.parts.appendleft((old - cut, was, most))
                 break
 
     def over(self) -> bool:
-        """At a start the time that is not yet over counts as idle, under the limit of now."""
+        """Return whether the mean is over the limit; until the window is full, the rest counts as idle."""
         now = self.parts[-1][2] if self.parts else 0.0
-        most = self.room + max(0.0, self.over_s - self.length) * now
+        most = self.limit_sum + max(0.0, self.window_s - self.length) * now
         return self.sum > most * (1 + 1e-9) + 1e-9
 
 
 class Checker:
-    """The rules of the wire's page, over a whole history."""
+    """Asserts the documented rules over a whole history; a broken rule is an AssertionError."""
 
     def __init__(self, told: api.Settings, started: float) -> None:
         self.told, self.started, self.grace_end, self.kill_at = told, started, math.inf, math.inf
         self.slack_s = told.answer_slack_s or 0.0
         self.owed: dict[int, Try] = {}
         self.dues: list[tuple[float, int]] = []
-        self.ran: dict[int, list[Try]] = {}  # by key
+        self.ran: dict[int, list[Try]] = {}  # launched requests by key
         self.stalled_s = 0.0
-        self.crowd = (
+        self.run_window = (
             Window(told.overload_window_s) if told.overload_window_s and told.overload_multiple else None
         )
         shared = told.downstream is api.Downstream.SHARED and told.shared_call_limit is not None
@@ -82,7 +86,7 @@
         heappush(self.dues, (one.due + self.slack_s - self.stalled_s, one.id))
 
     def over(self, one: Try) -> None:
-        """Answered, or gone: nothing is owed."""
+        """Record that a request was answered, or that its caller has disconnected."""
         self.owed.pop(one.id, None)
 
     def run(self, one: Try) -> None:
@@ -103,29 +107,29 @@
         assert after is None or (self.told.sends_retry_after and 0 <= after < 1e9), f"stay away for {after}"
 
     def passed(self, seconds: float, now: float, running: int, calls: float) -> None:
-        """So long that many were on the cores, and in calls."""
+        """Account for ``seconds`` with that many requests running, and that many calls on average."""
         s = self.told
-        if self.crowd is not None:
+        if self.run_window is not None:
             share = 1.0
             if s.slow_start and s.slow_start_s:
                 cold = s.slow_start_speed_share or 0.0
                 share = min(1.0, cold + (1 - cold) * (now - seconds - self.started) / s.slow_start_s)
             most = s.cores * (1 + ((s.overload_multiple or 0.0) - 1) * share)
-            self.crowd.add(seconds, running, max(most, 1.0))
-            assert not self.crowd.over(), f"fall-over: {running} on {s.cores} cores, {most:.2f} survive"
-        self._called(seconds, calls)
+            self.run_window.add(seconds, running, max(most, 1.0))
+            assert not self.run_window.over(), f"fall-over: {running} on {s.cores} cores, {most:.2f} survive"
+        self._add_calls(seconds, calls)
 
-    def _called(self, seconds: float, calls: float) -> None:
-        """So long with that many calls in the mean."""
+    def _add_calls(self, seconds: float, calls: float) -> None:
+        """Account for ``seconds`` with that many calls on average."""
         limit = self.told.shared_call_limit
         if self.below is not None:
             self.below.add(seconds, calls, limit or 0.0)
             assert not self.below.over(), f"fall-over: {calls} calls in hand, {limit} allowed"
 
     def stalled(self, seconds: float, calls: float) -> None:
-        """So long the process and its cores stood still, with that many calls in the mean, which go on."""
+        """Account for ``seconds`` in which the process and its cores were paused, while calls went on."""
         self.stalled_s += seconds
-        self._called(seconds, calls)
+        self._add_calls(seconds, calls)
 
     def batch_done(self, now: float, memory_kb: float) -> None:
         while self.dues and (self.dues[0][1] not in self.owed or self.dues[0][0] < now - self.stalled_s):
--- a/tests/core/test_actor.py
+++ b/tests/core/test_actor.py
@@ -1,4 +1,4 @@
-"""The core without any wire: key table, and the module's actor."""
+"""The core without any network: the idempotency table and the module's actor."""
 
 from dataclasses import replace
 
@@ -24,20 +24,20 @@
 from beechrock.policy.slow_start import speed_share
 
 
-def test_a_repeat_counts_by_its_arrival_and_50_ms_beyond_the_entry() -> None:
+def test_a_repeat_is_found_by_its_birth_until_50_ms_after_the_window() -> None:
     table = IdempotencyTable(2, linger_s=4.0)
     first = request("a", "n")
     table.keep(first, 110.0, 100.0)
     assert table.find(request("b", "n", born=110.05)) is first
     assert table.find(request("c", "n", born=110.06)) is None
-    # Read late, it still is a repeat: entries outlive their end.
+    # A repeat may be read late, as entries stay in the table after their window.
     table.sweep(113.9)
     assert table.find(request("d", "n", born=109.0)) is first
     table.sweep(114.1)
     assert len(table) == 0
 
 
-def test_the_table_is_bounded_and_forgets_only_for_the_holder_of_the_entry() -> None:
+def test_the_idempotency_table_is_bounded_and_only_the_current_request_removes_an_entry() -> None:
     table = IdempotencyTable(2, linger_s=4.0)
     one, two = request("a", "n"), request("b", "n")
     assert table.keep(one, 110.0, 100.0) and table.keep(request("c", "m"), 110.0, 100.0)
@@ -45,13 +45,13 @@
     assert table.keep(two, 111.0, 100.0)
     table.forget(one)
     assert table.find(request("e", "n")) is two
-    # What only lingers makes room for what is alive.
+    # A lingering entry is dropped to make room for a live one.
     assert table.keep(request("f", "o"), 120.0, 110.5)
     assert table.find(request("g", "m")) is None
 
 
-def test_the_table_has_room_for_all_that_the_module_keeps_and_for_what_lingers() -> None:
-    """At one keyed request every 20 ms, with memory for 24 entries alive at a time."""
+def test_the_idempotency_table_has_room_for_live_and_lingering_entries() -> None:
+    """One keyed request arrives every 20 ms, with memory for 24 live entries at a time."""
     desk = Desk(
         memory_kb=3000.0,
         idempotency_entry_kb=100.0,
@@ -66,7 +66,7 @@
     assert desk.counters["trouble.keys_full"] == 0
 
 
-def test_the_outcome_is_the_answer_and_only_one_answer_goes_out() -> None:
+def test_a_run_that_is_reported_ended_twice_is_answered_once() -> None:
     desk = Desk()
     desk.tell(RequestReceived(request("a", "n1")))
     assert desk.launched() == ["a"]
@@ -111,7 +111,7 @@
     assert verdicts("a") == [Verdict.FAILED]
 
 
-def test_a_trace_in_use_is_refused_a_second_run() -> None:
+def test_a_request_with_a_trace_in_use_fails_without_a_run() -> None:
     desk = Desk()
     desk.tell(RequestReceived(request("a", "n5")), RequestReceived(request("a", "n6")))
     assert desk.launched() == ["a"]
@@ -119,19 +119,21 @@
     assert desk.counters["intake.reused_traces"] == 1
 
 
-def test_the_end_of_a_run_voids_its_call_and_late_words_of_the_call_reach_nobody() -> None:
+def test_the_end_of_a_run_abandons_its_call_and_a_late_reply_is_dropped() -> None:
     desk = Desk(downstream=api.Downstream.SHARED, shared_call_limit=6.0, abandoned_call_linger_s=0.2)
     made = request("a", klass=0)
     desk.tell(RequestReceived(made))
     desk.tell(CallRequested("a", 1, b"c"))
-    assert ("call", "a") in desk.work.told
+    assert ("call", "a") in desk.work.invocations
     desk.tell(RunEnded("a", api.Outcome.STOPPED, 0.1))
-    assert desk.work.told[-1] == ("abandon", "a")
+    assert desk.work.invocations[-1] == ("abandon", "a")
     desk.tell(CallDone(made, api.Outcome.OK, 0.1, b"x"))
-    assert ("deliver", "a") not in desk.work.told
+    assert ("deliver", "a") not in desk.work.invocations
 
 
-def test_what_the_module_leaves_past_the_due_time_gets_an_error(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_request_that_the_module_leaves_unanswered_fails_after_its_due_time(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     desk = Desk()
     monkeypatch.setattr(desk.actor.node, "decide", lambda now, events: [])
     desk.tell(RequestReceived(request("a", "n7")))
@@ -142,7 +144,7 @@
     assert desk.counters["trouble.overdue"] == 1
 
 
-def test_spending_shows_in_the_counters() -> None:
+def test_the_report_counts_the_spending_of_each_tenant() -> None:
     desk = Desk(tenants=(api.TenantSettings(1.0, 9.0, name="releases", budget=10.0, budget_period_s=60.0),))
     made = request("a", "n8")
     made.tenant = 0
@@ -151,7 +153,7 @@
     assert desk.counters["spent.releases"] == 1.0
 
 
-def test_work_goes_where_its_route_runs() -> None:
+def test_a_run_starts_where_its_service_runs_and_stays_there_when_it_moves() -> None:
     here, others = Worker(), Worker()
     a, b, runs = request("a", klass=0), request("b", klass=1), {"r0"}
     here.runs_here = lambda route: route in runs  # type: ignore[attr-defined]
@@ -160,13 +162,16 @@
     routed.launch(a)
     routed.launch(b)
     runs.clear()
-    runs.add("r1")  # services move; the rest of a run stays where it was launched
+    runs.add("r1")  # the services move
     routed.stop(a)
     routed.stop(b)
-    assert (here.told, others.told) == ([("launch", "a"), ("stop", "a")], [("launch", "b"), ("stop", "b")])
+    assert (here.invocations, others.invocations) == (
+        [("launch", "a"), ("stop", "a")],
+        [("launch", "b"), ("stop", "b")],
+    )
 
 
-def test_cores_that_came_up_cold_stay_so_under_another_inventory() -> None:
+def test_a_settings_update_does_not_end_the_slow_start_of_cold_workers() -> None:
     desk = Desk(slow_start_s=20.0, slow_start_speed_share=0.2)
     desk.tell(WorkersStarted(True, 0.0))
     assert desk.actor.node.settings.slow_start and not desk.actor.settings.slow_start
@@ -187,7 +192,7 @@
         (WorkersStarted(False, 0.5), 40.0, False),
     ],
 )
-def test_cores_that_come_up_empty_after_a_request_are_cold_and_a_mere_new_link_changes_nothing(
+def test_only_workers_that_started_anew_and_cold_restart_the_slow_start(
     up: WorkersStarted, since_s: float, cold: bool
 ) -> None:
     desk = Desk(slow_start_s=20.0, slow_start_speed_share=0.2)
@@ -198,7 +203,7 @@
         return speed_share(node.settings, node.now_s - node.started_s)
 
     warm = share()
-    for _ in range(2):  # and once more, with cores that were cold before and have become warm
+    for _ in range(2):  # the second time, the workers were cold and have become warm
         desk.tell(up, after=since_s)
         assert share() == (0.2 if cold else warm)
         assert "a1" in desk.launched()
@@ -206,20 +211,22 @@
 
 
 def test_a_timer_without_a_fresh_sample_carries_no_gauges(monkeypatch: pytest.MonkeyPatch) -> None:
-    desk, heard = Desk(), []
+    desk, received = Desk(), []
     decide = desk.actor.node.decide
-    monkeypatch.setattr(desk.actor.node, "decide", lambda now, some: heard.extend(some) or decide(now, some))
+    monkeypatch.setattr(
+        desk.actor.node, "decide", lambda now, some: received.extend(some) or decide(now, some)
+    )
     desk.actor.module_timers.set(7, 100.5)
     desk.tell(GaugesSampled(api.Gauges(cpu_busy=0.5)), after=0.45)
     desk.tell(after=0.06)
     desk.actor.module_timers.set(8, 101.0)
     desk.tell(after=0.5)
     desk.tell(after=0.01)
-    fired = [(e.token, e.gauges.cpu_busy) for e in heard if isinstance(e, api.TimerFired)]
+    fired = [(e.token, e.gauges.cpu_busy) for e in received if isinstance(e, api.TimerFired)]
     assert [pair for pair in fired if pair[0]] == [(7, 0.5), (8, None)]
 
 
-def test_open_requests_and_kept_results_keep_to_their_parts_of_the_memory() -> None:
+def test_open_requests_and_kept_results_are_bounded_by_memory() -> None:
     desk = Desk()
     small = ModuleActor(desk.actor.settings, 1, lambda: 100.0, Counters(), memory_mb=1.0)
     taken = [small.post(RequestReceived(request(f"t{n}"))) for n in range(40)]
@@ -233,7 +240,7 @@
     assert [made.result is None for made in kept] == [True, False, False]
 
 
-def test_a_launch_that_never_ran_leaves_its_key_free_and_is_no_work_done() -> None:
+def test_a_rejected_launch_frees_its_key_and_counts_as_no_work() -> None:
     desk = Desk()
     desk.tell(RequestReceived(request("a", "n")))
     desk.tell(RunEnded("a", api.Outcome.REJECTED, 0.0), after=0.1)
@@ -243,7 +250,7 @@
     assert desk.launched() == ["a", "b"]
 
 
-def test_requests_taken_back_before_their_batch_never_reach_the_module() -> None:
+def test_requests_cancelled_before_their_batch_never_reach_the_module() -> None:
     desk = Desk()
     burst = [request(f"{n:x}", "n") for n in range(1, 201)]
     good = request("good", "other")
@@ -254,14 +261,14 @@
     assert desk.launched() == ["good"]
     assert desk.actor.node.health.unread_s == 0.0
     assert (len(desk.actor.table.by_id), len(desk.actor.mailbox)) == (1, 0)
-    # One that was read is taken back as ever.
+    # A request that has reached the module is cancelled as usual.
     desk.tell(RequestCancelled(good))
     assert good.cancelled
     assert desk.counters["intake.gone"] == 1
 
 
 @pytest.mark.parametrize("memory_mb", [32.0, 64.0, 192.0])
-def test_keys_results_and_open_requests_fit_what_the_program_leaves_of_the_memory(memory_mb: float) -> None:
+def test_keys_results_and_open_requests_fit_into_the_free_memory(memory_mb: float) -> None:
     actor = ModuleActor(settings(idempotency_entry_kb=None), 1, lambda: 100.0, Counters(), memory_mb)
     parts_kb = (
         1.5 * actor.idempotency.capacity
@@ -272,7 +279,7 @@
     assert actor.idempotency.capacity > 1000
 
 
-def test_a_request_that_finds_no_room_among_the_keys_is_refused_and_never_runs() -> None:
+def test_a_keyed_request_is_refused_and_never_runs_when_the_idempotency_table_is_full() -> None:
     desk = Desk()
     desk.actor.idempotency.capacity = 1
     desk.tell(RequestReceived(request("a", "n1")))
@@ -285,14 +292,14 @@
         len(desk.actor.node.table.requests),
         len(desk.actor.node.keys.ids),
     ) == (1, 1, 1)
-    # A further try of it may run once there is room.
+    # A retry may run once there is room.
     desk.actor.idempotency.capacity = 2
     desk.tell(RequestReceived(request("b2", "n2")))
     assert desk.launched() == ["a", "b2"]
 
 
-def test_repeats_of_a_key_that_is_kept_come_in_as_one_batch() -> None:
-    """Seen with drawn settings: one a batch, so that the memory of the others was not known for that long."""
+def test_repeats_of_a_remembered_key_are_received_in_one_batch() -> None:
+    """With one repeat a batch, the module would not count the memory of the others until they are read."""
     desk = Desk()
     desk.tell(RequestReceived(request("k0", "n")))
     assert desk.launched() == ["k0"]
@@ -303,7 +310,7 @@
     assert all(verdicts(f"k{n}") == [Verdict.SERVED] for n in range(30))
 
 
-def test_a_cold_node_tells_the_other_process_what_it_launched_lately() -> None:
+def test_a_cold_node_reports_its_recent_launches_to_the_other_process() -> None:
     desk = Desk(slow_start=True)
     for n in range(3):
         desk.tell(RequestReceived(request(f"t{n}", klass=0)))
@@ -313,7 +320,7 @@
     assert desk.actor.load().running == 0
 
 
-def test_cores_that_come_up_later_make_no_node_that_forgot_the_other_process() -> None:
+def test_a_module_restarted_for_new_workers_keeps_the_load_of_the_other_process() -> None:
     desk = Desk()
     desk.tell(api.OtherProcessLoad(2, 500.0, 1))
     desk.tell(WorkersStarted(True, 0.0))
--- a/tests/core/test_link_lifecycle.py
+++ b/tests/core/test_link_lifecycle.py
@@ -1,4 +1,4 @@
-"""The life of a link over all orders of events, and how soon a good address is taken up."""
+"""The link state machine over all orders of events, and how soon it connects to a working address."""
 
 import copy
 import itertools
@@ -17,13 +17,13 @@
 
 
 class World:
-    """A machine, its time, and the links that are open as its actions have it."""
+    """A state machine, its simulated time, and the links that its actions have opened."""
 
     def __init__(self, limits: life.Limits) -> None:
         self.now, self.life = NOW, LinkLifecycle(limits, OLD, NOW)
         self.open: dict[int, life.Address] = {}
 
-    def tell(self, event: life.Event) -> list[life.Action]:
+    def apply(self, event: life.Event) -> list[life.Action]:
         if isinstance(event, life.Refused | life.Ended):
             self.open.pop(event.link, None)
         actions = self.life.handle(self.now, event)
@@ -32,7 +32,7 @@
                 case life.Connect(number, address):
                     self.open[number] = address
                 case life.Cut(number, _):
-                    assert self.open.pop(number, None) is not None, "cut what is not open"
+                    assert self.open.pop(number, None) is not None, "cut a link that is not open"
         self.check()
         return actions
 
@@ -44,10 +44,10 @@
         assert not held or machine.link in self.open
         quiet = machine.state is LinkState.UP and machine.limits.quiet_s == float("inf")
         if machine.state is not LinkState.OVER and not quiet:
-            assert machine.due < self.now + 10, "a state without an end"
+            assert machine.due < self.now + 10, "a state without a deadline"
         if machine.limits.reconnect_s is not None:
             assert machine.state is not LinkState.OVER
-            assert set(self.open.values()) <= {machine.address}, "a link to an address that was left"
+            assert set(self.open.values()) <= {machine.address}, "a link to the old address"
 
     def key(self) -> tuple[object, ...]:
         m = self.life
@@ -61,7 +61,10 @@
         )
 
     def moves(self) -> list[life.Event | float]:
-        """Events, and passages of time after which the machine is told that it is due."""
+        """Return possible next events, and numbers: seconds after which the event ``Due`` follows.
+
+        The number -1 stands for a message, which only sets ``last_received_at``.
+        """
         number = self.life.link
         kinds = (
             life.Opened,
@@ -85,12 +88,12 @@
 
     def make(self, move: "life.Event | float") -> None:
         if move == -1.0:
-            self.life.last_received_at = self.now  # as its owner notes it, where the machine need not be told
+            self.life.last_received_at = self.now  # set by the owner at each message
         elif isinstance(move, float):
             self.now += move
-            self.tell(life.Due())
+            self.apply(life.Due())
         else:
-            self.tell(move)  # type: ignore[arg-type]
+            self.apply(move)  # type: ignore[arg-type]
 
 
 def reachable(limits: life.Limits) -> list[World]:
@@ -108,7 +111,7 @@
 
 
 def until_able(world: World) -> float:
-    """Seconds until a link is up at a peer that answers at once, but only on links made from now on."""
+    """Return the seconds until a link is up at a peer that answers at once, but only on new links."""
     start, served_from = world.now, world.life.link + 1
     todo: list[life.Action] = []
     for _ in range(200):
@@ -116,16 +119,16 @@
             return world.now - start
         if not todo:
             world.now = max(world.now, world.life.due)
-            todo = world.tell(life.Due())
+            todo = world.apply(life.Due())
             continue
         number = world.life.link
         match todo.pop(0):
             case life.Connect(n, _):
-                todo += world.tell(life.Opened(n))
+                todo += world.apply(life.Opened(n))
             case life.SendHandshake() if number >= served_from:
-                todo += world.tell(life.Greeted(number))
+                todo += world.apply(life.Greeted(number))
             case life.SendSync() if number >= served_from:
-                todo += world.tell(life.Synced(number))
+                todo += world.apply(life.Synced(number))
     raise AssertionError(f"never able, from {world.key()}")
 
 
@@ -138,13 +141,13 @@
     assert states == expected
 
 
-def test_from_each_state_a_move_to_a_good_address_makes_it_able_at_once() -> None:
+def test_from_each_state_a_move_to_a_working_address_brings_the_link_up_at_once() -> None:
     worst = 0.0
     for world in reachable(agent.LIMITS):
         start, number, there = world.now, world.life.link, ("127.0.0.1", 3)
-        assert life.Connect(number + 1, there) in world.tell(life.Moved(there))
+        assert life.Connect(number + 1, there) in world.apply(life.Moved(there))
         for event in (life.Opened, life.Greeted, life.Synced):
-            world.tell(event(number + 1))
+            world.apply(event(number + 1))
         assert world.life.state is LinkState.UP
         worst = max(worst, world.now - start)
     assert worst == 0.0
@@ -156,67 +159,67 @@
         assert until_able(world) <= longest + 0.5
 
 
-def test_silence_is_noticed_within_half_a_second_and_a_pause_of_the_process_is_none() -> None:
+def test_a_silent_link_is_cut_within_half_a_second_and_later_after_a_pause_of_the_process() -> None:
     world = World(agent.LIMITS)
-    world.tell(life.Due())
+    world.apply(life.Due())
     for event in (life.Opened, life.Greeted, life.Synced):
-        world.tell(event(1))
+        world.apply(event(1))
     world.life.last_received_at = world.now
     at = world.now
     world.now = world.life.due
-    assert world.tell(life.Due()) == [life.SendProbe()]
+    assert world.apply(life.Due()) == [life.SendProbe()]
     paused = copy.deepcopy(world)
     world.now = world.life.due
-    assert world.tell(life.Due()) == [life.Cut(1, CloseReason.SILENT)]
+    assert world.apply(life.Due()) == [life.Cut(1, CloseReason.SILENT)]
     assert world.now - at <= 0.45
-    # After a pause the peer's answer is still unread: the link gets the time for it, once.
+    # After a pause the peer's answer may be unread, so the deadline is extended once.
     paused.now = paused.life.due + 3.0
-    assert paused.tell(life.Due()) == []
+    assert paused.apply(life.Due()) == []
     paused.now = paused.life.due
-    assert paused.tell(life.Due()) == [life.Cut(1, CloseReason.SILENT)]
+    assert paused.apply(life.Due()) == [life.Cut(1, CloseReason.SILENT)]
 
 
-def test_a_node_that_only_lost_its_peers_word_stays_listed_longer_than_one_whose_link_broke() -> None:
+def test_a_link_counts_as_able_longer_after_silence_than_after_a_break() -> None:
     world = World(agent.LIMITS)
-    world.tell(life.Due())
+    world.apply(life.Due())
     for event in (life.Opened, life.Greeted, life.Synced):
-        world.tell(event(1))
+        world.apply(event(1))
     broken = copy.deepcopy(world)
-    broken.tell(life.Ended(1))
+    broken.apply(life.Ended(1))
     assert broken.life.able(world.now + 0.9) and not broken.life.able(world.now + 1.1)
     for _ in range(2):
         world.now = world.life.due
-        world.tell(life.Due())
+        world.apply(life.Due())
     assert world.life.able(world.now + 2.9) and not world.life.able(world.now + 3.1)
 
 
-def test_lost_is_told_at_every_third_attempt_in_vain() -> None:
+def test_lost_is_reported_at_every_third_failed_attempt() -> None:
     world = World(agent.LIMITS)
-    told = []
+    lost = []
     for _ in range(6):
         world.now = world.life.due
-        world.tell(life.Due())
-        told.append(life.Lost() in world.tell(life.Refused(world.life.link)))
-    assert told == [False, False, True] * 2
+        world.apply(life.Due())
+        lost.append(life.Lost() in world.apply(life.Refused(world.life.link)))
+    assert lost == [False, False, True] * 2
 
 
-def test_a_node_taken_off_the_list_for_drowning_comes_back_though_nothing_more_reaches_it() -> None:
-    """Ruled out as the cause of a reload day that fell to 0: what waited unread is forgotten slot by slot."""
-    told = api.Settings(
+def test_an_overloaded_unhealthy_node_becomes_healthy_again_without_new_requests() -> None:
+    """The record of long unread waits must expire, or an unhealthy node without traffic stays unhealthy."""
+    settings = api.Settings(
         cores=2,
         memory_kb=1e6,
         tick_s=0.01,
         classes=(api.ClassSettings(latency_objective_s=1.0, deadline_s=4.0),),
     )
-    node, ids, now = Node(told, 1, 0.0), itertools.count(1), 0.0
-    for _ in range(200):  # a good rate first
+    node, ids, now = Node(settings, 1, 0.0), itertools.count(1), 0.0
+    for _ in range(200):  # first, requests are served at a good rate
         now += 0.05
         three = [next(ids) for _ in range(3)]
         node.decide(
             now, [api.Arrived(api.Request(id=number, class_index=0, size_kb=1.0)) for number in three]
         )
         node.decide(now + 0.04, [api.RunFinished(number, api.Outcome.OK, 0.04) for number in three])
-    for _ in range(400):  # then nothing ends, and what comes has waited long
+    for _ in range(400):  # then no run ends, and new requests have waited long
         now += 0.05
         node.decide(now, [api.Arrived(api.Request(id=next(ids), class_index=0, size_kb=1.0, age_s=0.9))])
         if not node.health.healthy:
--- a/tests/core/test_timer_wheel.py
+++ b/tests/core/test_timer_wheel.py
@@ -6,7 +6,7 @@
 from beechrock.core.timer_wheel import SLOTS, TimerWheel
 
 
-def test_cancelled_timers_do_not_lie_about_until_they_are_due() -> None:
+def test_a_sweep_drops_cancelled_timers_before_they_are_due() -> None:
     fired: list[int] = []
     wheel = TimerWheel(0.004, 50.0)
     for number in range(20_000):
@@ -19,7 +19,7 @@
     assert sorted(fired) == list(range(0, 20_000, 100))
 
 
-def test_timers_fire_once_in_the_tick_after_they_fall_due_and_over_many_turns() -> None:
+def test_timers_fire_once_in_the_tick_after_their_due_time_over_many_turns() -> None:
     draw, fired = random.Random(3), []
     wheel = TimerWheel(0.004, 50.0)
     dues = [50.0 + draw.uniform(0, 3 * SLOTS * 0.004) for _ in range(300)]
@@ -54,7 +54,7 @@
     assert wheel.next_due() > 3600.0
 
 
-def test_a_full_mailbox_says_so() -> None:
+def test_a_full_mailbox_refuses_messages() -> None:
     mailbox: Mailbox[int] = Mailbox(2)
     assert [mailbox.put(1), mailbox.put(2), mailbox.put(3)] == [True, True, False]
     assert mailbox.drain() == [1, 2]
--- a/tests/desk.py
+++ b/tests/desk.py
@@ -1,4 +1,4 @@
-"""An actor without any wire whose batches the test drives, and what its requests are told."""
+"""A module actor without any network, whose batches the test drives, and the answers to its requests."""
 
 from world import settings
 
@@ -12,34 +12,34 @@
 
 
 def request(trace: str, nonce: str | None = None, born: float = 100.0, klass: int = 1) -> Request:
-    said: list[Answer] = []
+    answers: list[Answer] = []
     made = Request(
         trace=trace,
         klass=klass,
         route=f"r{klass}",
         born=born,
         body=b"b",
-        answer=said.append,
+        answer=answers.append,
         kb=10.0,
         nonce=nonce,
     )
-    SAID[trace] = said
+    SAID[trace] = answers
     return made
 
 
-SAID: dict[str, list[Answer]] = {}
+SAID: dict[str, list[Answer]] = {}  # answers by trace
 
 
 class Worker:
-    """Notes what it is told; fills Work and Calls."""
+    """Fake ``Work`` and ``Calls`` ports that record the method and the trace of each invocation."""
 
     def __init__(self) -> None:
-        self.told: list[tuple[str, str]] = []
+        self.invocations: list[tuple[str, str]] = []
 
     def __getattr__(self, name: str) -> object:
         if name in ("sample", "exercise"):
-            return lambda *_: self.told.append((name, ""))
-        return lambda told, *_: self.told.append((name, told.trace))
+            return lambda *_: self.invocations.append((name, ""))
+        return lambda request, *_: self.invocations.append((name, request.trace))
 
 
 class Desk:
@@ -48,8 +48,8 @@
     def __init__(self, **changes: object) -> None:
         self.now, self.work = 100.0, Worker()
         self.counters = Counters()
-        told = settings(propagates_deadline=False, **changes)
-        self.actor = ModuleActor(told, 1, lambda: self.now, self.counters)
+        node_settings = settings(propagates_deadline=False, **changes)
+        self.actor = ModuleActor(node_settings, 1, lambda: self.now, self.counters)
         self.actor.ports.work = self.actor.ports.calls = self.work  # type: ignore[assignment]
 
     def tell(self, *messages: object, after: float = 0.0) -> None:
@@ -59,7 +59,7 @@
         self.actor.tick(self.now)
 
     def launched(self) -> list[str]:
-        return [trace for name, trace in self.work.told if name == "launch"]
+        return [trace for name, trace in self.work.invocations if name == "launch"]
 
 
 def verdicts(trace: str) -> list[Verdict]:
--- a/tests/test_patience.py
+++ b/tests/test_patience.py
@@ -1,4 +1,4 @@
-"""Callers that say how long they wait for a try: its answer is due then, not when its class has it."""
+"""Callers that state how long they wait: the request is due then, not at its class's deadline."""
 
 from dataclasses import replace
 
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -1,4 +1,4 @@
-"""A further try of a keyed request, at each moment of the first one's life; and tries that come too late."""
+"""Retries of a keyed request at each stage of the first one, and requests that are read too late."""
 
 from collections.abc import Callable
 
@@ -39,7 +39,7 @@
 
 
 def fill(desk: Desk) -> None:
-    """Give the cores so much to do that what comes next is held."""
+    """Keep the cores so busy that the next request is held."""
     while len(desk.launched()) == len(desk.actor.table.by_id):
         desk.tell(
             RequestReceived(request(f"{len(desk.actor.table.by_id)}", klass=0, born=desk.now)), after=0.01
@@ -47,7 +47,7 @@
 
 
 def empty(desk: Desk) -> None:
-    """End each run, and those that start then."""
+    """End all runs, including those that start meanwhile."""
     while running := [trace for trace, r in desk.actor.table.by_trace.items() if r.running]:
         desk.tell(*(RunEnded(trace, api.Outcome.OK, 0.1, b"r") for trace in running), after=0.1)
 
@@ -158,13 +158,13 @@
         (ended(api.Outcome.CONNECTION_LOST), "first", FAILED),
         (its_result_dropped, "first", FAILED),
         (at_the_windows_last_millisecond, "first", SERVED),
-        # What never ran is no reason to keep a further try from running.
+        # A first request that never ran does not keep a retry from running.
         (gone_and_repeated_in_one_batch, "repeat", SERVED),
         (callers_gone_while_it_was_held, "repeat", SERVED),
         (refused_when_it_was_due, "repeat", SERVED),
     ],
 )
-def test_a_key_runs_once_and_its_repeat_gets_what_came_of_it(
+def test_a_key_runs_once_and_its_repeat_gets_the_outcome(
     history: Callable[[Desk], None],
     runs: str,
     verdict: Verdict,
@@ -193,7 +193,7 @@
 def test_a_repeat_that_waited_for_a_held_request_which_never_ran_is_refused(
     end: Callable[[Desk], None],
 ) -> None:
-    """It was failed, which keeps a caller from going elsewhere as long as the key's window is open."""
+    """FAILED instead would keep the caller from retrying elsewhere while the key's window is open."""
     desk = Desk(**BELOW)
     fill(desk)
     first(desk)
@@ -208,31 +208,31 @@
 
 
 @pytest.mark.parametrize("outcome", [api.Outcome.MOOT, api.Outcome.REJECTED])
-def test_a_try_born_in_the_window_of_a_run_is_known_though_a_later_try_of_its_key_never_ran(
+def test_a_late_retry_repeats_the_run_of_its_window_though_a_later_one_never_ran(
     outcome: api.Outcome,
 ) -> None:
     desk = Desk(**BELOW)
-    after_the_window(desk)  # whose second run is over now: begun again past its own window
+    after_the_window(desk)  # the second run, "repeat", has ended
     desk.tell(RequestReceived(request("third", "n", born=desk.now + 30.06)), after=30.06)
     desk.tell(RunEnded("third", outcome, 0.1))
-    late = desk.now - 0.05  # 10 ms before the second window's end
+    late = desk.now - 0.05  # 10 ms before the end of the second window with its tolerance
     desk.tell(RequestReceived(request("late", "n", born=late)))
     assert desk.launched() == ["first", "repeat", "third"]
-    assert verdicts("late") == [SERVED]  # with what the second run made
+    assert verdicts("late") == [SERVED]  # with the result of the second run
     desk.tell(RequestReceived(request("fresh", "n", born=desk.now)))
     assert desk.launched()[-1] == "fresh"
 
 
 @pytest.mark.parametrize("history", [after_the_window, ended(api.Outcome.MOOT), ended(api.Outcome.REJECTED)])
-def test_after_its_window_or_if_it_never_ran_a_key_is_launched_again(history: Callable[[Desk], None]) -> None:
+def test_a_key_is_launched_again_after_its_window_or_if_it_never_ran(history: Callable[[Desk], None]) -> None:
     desk = Desk(**BELOW)
     history(desk)
     assert desk.launched() == ["first", "repeat"]
 
 
 @pytest.mark.parametrize("every_s", [0.2, 1.0, 29.0])
-def test_repeats_of_a_failed_key_do_not_keep_it_alive(every_s: float) -> None:
-    """Upstream tries an edge's held write again and again: the key has to be free once its window is over."""
+def test_repeats_of_a_failed_key_do_not_extend_its_window(every_s: float) -> None:
+    """Upstream retries a held write of an edge repeatedly: the key must be free once its window has ended."""
     desk = Desk(**BELOW)
     first(desk)
     launched = desk.now
@@ -246,13 +246,13 @@
     assert all(verdicts(f"again{one}") == [FAILED] for one in range(1, number))
 
 
-def test_a_try_read_late_is_a_repeat_though_a_later_one_took_the_place_of_the_first_and_was_refused() -> None:
-    """Seen in a drawn history: refused and forgotten, the later try took the first one's entry with it."""
+def test_a_retry_read_late_is_a_repeat_though_a_later_one_replaced_the_entry_and_was_cancelled() -> None:
+    """When the later request was cancelled and forgotten, the first one's entry must not be lost with it."""
     desk = Desk(**BELOW)
     first(desk)
     desk.tell(RunEnded("first", api.Outcome.OK, 0.1, b"r"))
     desk.now += 30.2
-    for place in range(20):  # the cores have enough to do
+    for place in range(20):  # keeps the cores busy
         desk.tell(RequestReceived(request(f"{place}", klass=0, born=desk.now)))
     later = request("later", "n", born=desk.now)
     desk.tell(RequestReceived(later))
@@ -265,7 +265,7 @@
     assert desk.launched()[-1] == "repeat"
 
 
-def test_replaced_entries_have_a_bound_and_end_with_their_time() -> None:
+def test_replaced_entries_are_bounded_and_expire() -> None:
     table, tries = IdempotencyTable(3, linger_s=10.0), [request(f"t{n}", "n") for n in range(4)]
     for at, one in enumerate(tries[:3]):
         one.born = 100.0 + at
@@ -279,7 +279,9 @@
     tries[3].born = 105.0
     assert table.keep(tries[3], 105.5, 105.0) and len(table) == 2
     assert table.keep(other, 120.0, 105.0) and len(table) == 3
-    assert table.keep(request("more", "yet another"), 120.0, 105.0) and len(table) == 3  # what lingers goes
+    assert (
+        table.keep(request("more", "yet another"), 120.0, 105.0) and len(table) == 3
+    )  # drops lingering entries
     assert not table.keep(request("most", "one too many"), 120.0, 105.0)
     last = request("last", "n", born=106.0)
     assert table.keep(last, 106.5, 106.0) and len(table) == 3
@@ -287,7 +289,7 @@
     assert len(table) == 0
 
 
-def test_another_body_under_a_key_fails_and_another_class_is_another_key() -> None:
+def test_another_body_under_a_key_fails_and_another_service_is_another_key() -> None:
     desk = Desk()
     first(desk)
     changed, other = request("changed", "n"), request("other", "n")
@@ -297,7 +299,7 @@
     assert desk.launched() == ["first", "other"]
 
 
-def test_hundreds_of_repeats_of_what_runs_are_taken_in_at_once() -> None:
+def test_hundreds_of_repeats_of_a_running_key_are_received_at_once() -> None:
     desk = Desk()
     first(desk)
     desk.tell(*(RequestReceived(request(f"r{n}", "n", born=desk.now)) for n in range(300)))
@@ -309,7 +311,7 @@
 
 @pytest.mark.parametrize("klass", [0, 1, 2])
 @pytest.mark.parametrize(("late_s", "verdict"), [(0.0, REFUSED), (5.0, REFUSED), (11.0, FAILED)])
-def test_what_has_no_time_left_when_it_is_read_gets_one_answer_at_once_and_never_runs(
+def test_a_request_past_its_due_time_when_read_gets_one_answer_at_once_and_never_runs(
     klass: int,
     late_s: float,
     verdict: Verdict,
@@ -329,7 +331,7 @@
     )
 
 
-def test_a_callers_end_that_crosses_the_answer_changes_nothing() -> None:
+def test_a_cancellation_that_crosses_the_answer_changes_nothing() -> None:
     desk = Desk()
     first(desk)
     made = desk.actor.table.by_trace["first"]
@@ -341,7 +343,7 @@
 
 
 @pytest.mark.parametrize("klass", [1, 2])
-def test_what_ran_is_failed_and_never_refused_by_a_drain_or_the_kill(klass: int) -> None:
+def test_a_started_request_is_failed_and_never_refused_at_shutdown(klass: int) -> None:
     desk = Desk()
     ran = request("ran", "n" if klass == 1 else None, klass=klass)
     desk.tell(RequestReceived(ran))
@@ -352,7 +354,7 @@
 
 
 @pytest.mark.parametrize("grace_s", [0.0, None])
-def test_without_a_grace_what_is_held_at_the_notice_gets_its_answer_and_what_comes_later_never_runs(
+def test_without_a_drain_grace_held_and_new_requests_are_refused_at_shutdown(
     grace_s: float | None,
 ) -> None:
     desk = Desk(drain_grace_s=grace_s)
@@ -365,5 +367,5 @@
     assert verdicts("after") == [REFUSED] and "after" not in desk.launched()
     desk.tell(after=3.9)
     assert "first" not in desk.launched() and verdicts("first") == [REFUSED]
-    assert verdicts("repeat") == [REFUSED]  # nothing ran, so its caller may go elsewhere
+    assert verdicts("repeat") == [REFUSED]  # nothing ran, so its caller may retry elsewhere
     assert all(len(verdicts(trace)) == 1 for trace in desk.launched()) and desk.actor.table.open == 0
--- a/tests/test_repeats_replaced.py
+++ b/tests/test_repeats_replaced.py
@@ -1,4 +1,4 @@
-"""A key whose place a later try took: a try from the first window, read late, never runs again."""
+"""Keys whose entry a later request replaced: a retry from the first window, read late, must not run."""
 
 from collections.abc import Callable
 
@@ -11,11 +11,11 @@
 from beechrock.core.requests import Request, RequestCancelled, RequestReceived, RunEnded, Verdict
 
 FAILED, SERVED = Verdict.FAILED, Verdict.SERVED
-PAST_S = 30.2  # beyond the window
+PAST_S = 30.2  # longer than the window
 
 
 def ran(desk: Desk) -> None:
-    """The first run of the key, over."""
+    """Run the first request of the key to its end."""
     desk.tell(RequestReceived(request("first", "n", born=desk.now)))
     desk.tell(RunEnded("first", api.Outcome.OK, 0.1, b"first"))
 
@@ -44,7 +44,7 @@
 
 
 def second_held(desk: Desk) -> None:
-    for place in range(20):  # the cores have enough to do
+    for place in range(20):  # keeps the cores busy
         desk.tell(RequestReceived(request(f"{place}", klass=0, born=desk.now)))
     second_runs(desk)
     assert "second" not in desk.launched()
@@ -60,7 +60,7 @@
 
 @pytest.mark.parametrize("second", SECOND)
 @pytest.mark.parametrize("trimmed", [False, True])
-def test_a_late_try_gets_what_came_of_the_run_of_its_own_window(
+def test_a_late_try_gets_the_outcome_of_the_run_of_its_own_window(
     second: Callable[[Desk], None],
     trimmed: bool,
 ) -> None:
@@ -80,7 +80,7 @@
 
 
 @pytest.mark.parametrize("second", SECOND)
-def test_a_late_try_waits_for_the_first_run_that_still_goes_on(second: Callable[[Desk], None]) -> None:
+def test_a_late_try_waits_for_the_first_run_if_that_still_runs(second: Callable[[Desk], None]) -> None:
     desk = Desk(**BELOW)
     still_runs(desk)
     desk.now += PAST_S
@@ -133,10 +133,10 @@
 
 
 class PartnerSpy:
-    """A partner that lets all go, and notes whose claims are given up."""
+    """A partner that lets every request run, and records the traces whose claims are released."""
 
     def __init__(self) -> None:
-        self.forgot: list[str] = []
+        self.released: list[str] = []
 
     def request_run(self, request: Request) -> bool:
         return True
@@ -148,19 +148,19 @@
         return True
 
     def release(self, request: Request) -> None:
-        self.forgot.append(request.trace)
+        self.released.append(request.trace)
 
     def finish(self, request: Request, held: bool) -> None:
-        """Nothing to note."""
+        """Do nothing."""
 
 
-def test_a_rejected_run_whose_place_was_taken_gives_up_no_claim_of_the_run_that_took_it() -> None:
-    desk, told = Desk(**BELOW), PartnerSpy()
-    desk.actor.ports.partner = told
+def test_the_rejection_of_a_replaced_run_does_not_release_the_claim_of_the_newer_one() -> None:
+    desk, spy = Desk(**BELOW), PartnerSpy()
+    desk.actor.ports.partner = spy
     still_runs(desk)
     desk.now += PAST_S
     second_runs(desk)
     desk.tell(RunEnded("first", api.Outcome.REJECTED, 30.0))
-    assert told.forgot == []
+    assert spy.released == []
     desk.tell(RunEnded("second", api.Outcome.REJECTED, 0.1))
-    assert told.forgot == ["second"]
+    assert spy.released == ["second"]
--- a/tests/test_shared_reads.py
+++ b/tests/test_shared_reads.py
@@ -1,4 +1,4 @@
-"""Reads of one subject share an answer in the tier that clients ask, and in no tier below it."""
+"""Reads of one subject share a result in the first tier, which clients call, and in no lower tier."""
 
 from typing import Any
 
@@ -52,6 +52,6 @@
 
 
 @pytest.mark.parametrize(("tier", "shared"), TIERS)
-def test_how_long_reads_share_is_gone_by_in_the_first_tier_alone(tier: dict[str, Any], shared: bool) -> None:
+def test_the_shared_read_ttl_applies_only_in_the_first_tier(tier: dict[str, Any], shared: bool) -> None:
     told = {**SETTINGS, **tier, "extra": {**SETTINGS["extra"], "freshS": 0.4}}
     assert settings_from(told)[0].shared_read_ttl_s == (0.4 if shared else None)
