--- a/tests/checker.py
+++ b/tests/checker.py
@@ -36,8 +36,8 @@
 class Window:
     """The mean of a level over a sliding window, and the mean of its limit, which may change."""
 
-    def __init__(self, window_s: float) -> None:
-        self.window_s, self.sum, self.limit_sum = window_s, 0.0, 0.0
+    def __init__(self, over_s: float) -> None:
+        self.over_s, self.sum, self.limit_sum = over_s, 0.0, 0.0
         self.parts: deque[tuple[float, float, float]] = deque()  # seconds, level, limit
 
     def add(self, seconds: float, level: float, limit: float) -> None:
@@ -45,9 +45,9 @@
         self.sum, self.limit_sum = self.sum + seconds * level, self.limit_sum + seconds * limit
         length = sum(part[0] for part in self.parts) if len(self.parts) < 8 else self.length + seconds
         self.length = length
-        while self.length > self.window_s:
+        while self.length > self.over_s:
             old, was, most = self.parts[0]
-            cut = min(old, self.length - self.window_s)
+            cut = min(old, self.length - self.over_s)
             self.sum, self.limit_sum, self.length = (
                 self.sum - cut * was,
                 self.limit_sum - cut * most,
@@ -61,7 +61,7 @@
     def over(self) -> bool:
         """Return whether the mean is over the limit; until the window is full, the rest counts as idle."""
         now = self.parts[-1][2] if self.parts else 0.0
-        most = self.limit_sum + max(0.0, self.window_s - self.length) * now
+        most = self.limit_sum + max(0.0, self.over_s - self.length) * now
         return self.sum > most * (1 + 1e-9) + 1e-9
 
 
