--- a/beechrock/core/actor.py
+++ b/beechrock/core/actor.py
@@ -40,11 +40,11 @@
 
 log = logging.getLogger("beechrock")
 
-# Messages. Sized for the reports of runs and calls; new requests are bounded by ``MemoryBudget``.
+# Messages. Leaves room for reports of runs and calls, as ``MemoryBudget`` bounds new requests.
 MAILBOX_CAPACITY = 40_000
-SWEEP_S = 1.0  # period of the sweep over entries and timers, and of the clock readings at least
+SWEEP_S = 1.0  # seconds between sweeps of expired entries and cancelled timers, which also read the clocks
 MAX_BATCHES = 16  # per tick; new requests with the same key need a batch each
-# Workers that started later than the known ones by more than this are new; setting up a link takes less.
+# Workers that started this many seconds after the known start are new ones; setting up a link takes less.
 NEW_WORKERS_S = 1.0
 DEFAULT_TICK_S = 0.004
 # Bounds of the tick taken from the settings, which is the simulator's: a longer one would delay all answers,
--- a/beechrock/core/clock_offset.py
+++ b/beechrock/core/clock_offset.py
@@ -30,7 +30,7 @@
 
 STEP_S = 0.005  # offsets this close count as equal; the fastest slewing, 500 ppm, takes 10 s for it
 TOLERANCE_S = STEP_S + 0.002  # stamps are truncated to milliseconds, and no two clocks are read at once
-UNSEEN_STEP_S = 0.1  # too much for slewing: a step, which may hide a second one in the same gap
+UNSEEN_STEP_S = 0.1  # a greater change cannot be slewing; such a step may hide a second one in its gap
 MAX_SEGMENTS = 64  # a clock that is being corrected takes fewer steps in the remembered time
 # A stamp that no offset explains is taken to be from a step that was reversed between two readings, if there
 # was a gap of ``MIN_GAP_S`` without readings. The stamp must be ahead of its reading, or too old to have been
--- a/beechrock/core/intake.py
+++ b/beechrock/core/intake.py
@@ -13,7 +13,7 @@
 from beechrock.core.requests import Answer, Request, RequestReceived, Verdict
 from beechrock.core.timer_wheel import TimerWheel
 
-OVERDUE_S = 0.02  # time from the due time until a request that the module has not answered fails
+OVERDUE_S = 0.02  # seconds past its due time at which a request that the module has not answered fails
 
 
 @dataclass(slots=True)
--- a/beechrock/core/link_lifecycle.py
+++ b/beechrock/core/link_lifecycle.py
@@ -44,10 +44,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """Time limits in seconds. ``greet_s`` and ``reconnect_s`` (pause before an attempt): first and maximum.
+    """Time limits in seconds; ``greet_s`` and ``reconnect_s`` are exponential backoffs: (first, maximum).
 
-    Both double with each failure. Without ``greet_s`` a link is up once it is open; without ``reconnect_s``
-    it is not made again after its end.
+    ``reconnect_s`` is the pause before a new attempt. Without ``greet_s`` a link is up once it is open;
+    without ``reconnect_s`` it is not made again after its end.
     """
 
     connect_s: float
@@ -57,8 +57,8 @@
     answer_s: float = math.inf
     close_s: float = math.inf
     reconnect_s: tuple[float, float] | None = None
-    broken_s: float = 0.0  # time for which the link counts as able after it was up and broke
-    suspect_s: float = 0.0  # the same after it was cut because the peer was silent
+    broken_s: float = 0.0  # time for which a link that was up still counts as able after it broke
+    suspect_s: float = 0.0  # the same, if it was cut because the peer was silent
 
 
 @dataclass(frozen=True, slots=True)
@@ -173,7 +173,7 @@
 
 Action = Connect | SendHandshake | SendSync | SendProbe | Cut | Lost
 MAX_DOUBLINGS = 16
-LOST_AFTER = 3  # failures in a row, each time, after which the link is reported as lost
+LOST_AFTER = 3  # number of failures in a row after which, each time, ``Lost`` is returned
 
 _TIMEOUT_REASONS = {
     LinkState.CONNECTING: CloseReason.NO_CONNECT,
@@ -264,9 +264,8 @@
                 self._enter(LinkState.PROBING, now, self.limits.answer_s)
                 return [SendProbe()]
             case LinkState.SYNCING if now < self.last_received_at + self._limit_s:
-                self.due = (
-                    self.last_received_at + self._limit_s
-                )  # a long list of missed messages is still arriving
+                # A long list of missed messages is still arriving.
+                self.due = self.last_received_at + self._limit_s
                 return []
         if now > self.due + LATE_S and not self._extended:
             self._extended, self.due = True, now + self._limit_s
--- a/beechrock/core/module_timers.py
+++ b/beechrock/core/module_timers.py
@@ -12,7 +12,7 @@
 
 
 class ModuleTimers:
-    """Fires the module's timers, with the last sample of the gauges; none of a replaced module."""
+    """Timers of the current module; they fire with the last sample of the gauges, if that is fresh."""
 
     def __init__(self, wheel: TimerWheel, table: RequestTable, ports: Ports) -> None:
         self._wheel = wheel
--- a/beechrock/core/ports.py
+++ b/beechrock/core/ports.py
@@ -9,7 +9,7 @@
 
 
 class BudgetParts(Protocol):
-    """This node's current parts of the budgets, if they are not a fixed share of them."""
+    """Supplies this node's current parts of the budgets, if these are not a fixed share per node."""
 
     def settings(self, now: float, settings: api.Settings) -> api.Settings:
         """Return these settings with this node's parts in place of the undivided budgets."""
--- a/beechrock/core/request_counts.py
+++ b/beechrock/core/request_counts.py
@@ -30,7 +30,7 @@
         self._reply(request.route, verdict)
 
     def on_cancelled(self) -> None:
-        """Count a request as ended without an answer of the core: cancelled, or not in the mailbox."""
+        """Count a request as ended without an answer of the core: cancelled, or the mailbox was full."""
         self.ended += 1
 
     def on_front_answer(self, route: str, verdict: Verdict) -> None:
--- a/beechrock/core/request_table.py
+++ b/beechrock/core/request_table.py
@@ -36,7 +36,7 @@
         self._ports = ports
         self._status = status
         self._wake = wake
-        self.by_id: dict[int, Request] = {}  # open requests, with those that still run
+        self.by_id: dict[int, Request] = {}  # unanswered requests, and those that still run
         self.by_trace: dict[str, Request] = {}
         self.last_id = 0
         self.next_events: list[api.Event] = []  # events of executed actions, for the next batch
--- a/beechrock/core/requests.py
+++ b/beechrock/core/requests.py
@@ -126,7 +126,7 @@
 
 
 class Partner(Protocol):
-    """The other process of this node during a hand-over; decides with it which keys may run here."""
+    """Agrees with the other process of this node, during a hand-over, which keys may run here."""
 
     def request_run(self, request: Request) -> bool:
         """Return whether a keyed request may be received now; if not, it is posted again or answered."""
@@ -145,19 +145,19 @@
 
 
 class Tracer(Protocol):
-    """Who records the module's events and actions, and what becomes of requests. It must not block."""
+    """Records the module's events and actions, and the outcomes of requests. Must not block."""
 
     def started(self, now: float, seed: int, settings: Settings, started: float) -> None:
-        """Record that a module starts, at ``started`` by its own count."""
+        """Record the start of a module whose workers started at ``started``."""
 
     def batch(self, now: float, events: Sequence[Event], actions: Sequence[Action]) -> None:
-        """Record one batch and its decisions."""
+        """Record the events of one batch and the resulting actions."""
 
     def taken(self, now: float, request: Request, team: str) -> None:
         """Record a request that entered the table."""
 
     def rejected(self, now: float, request: Request, team: str, reason: str) -> None:
-        """Record a request whose form was wrong."""
+        """Record an invalid request."""
 
     def answered(self, now: float, request: Request, answer: Answer) -> None:
         """Record a request's final answer."""
--- a/beechrock/core/servers.py
+++ b/beechrock/core/servers.py
@@ -10,9 +10,8 @@
 
 from beechrock.core.link_lifecycle import Address
 
-MAX_REMOVED_SERVICES = (
-    1_000  # removed services whose last servers are remembered; the oldest are dropped first
-)
+# Maximum number of removed services whose last servers are remembered; the oldest are dropped first.
+MAX_REMOVED_SERVICES = 1_000
 
 Upstreams = dict[str, tuple[Address, ...]]
 
--- a/tests/actor_histories.py
+++ b/tests/actor_histories.py
@@ -32,7 +32,7 @@
 
 SOCKET_SLACK_S = 0.05  # added to the answer slack, as each time limit on sockets is longer by this
 MEMORY_MB = [8.0, 20.0, 64.0, 192.0]
-EXIT_MARGIN_S = 0.25  # no request arrives later than this before the kill
+EXIT_MARGIN_S = 0.25  # seconds before the kill by which the program has ended; no requests arrive then
 UNREAD_S = 0.1  # a held request counts against the memory from this age on
 REJECTED_SHARE = 0.03  # share of the launches that are rejected and never run
 
@@ -315,7 +315,9 @@
             and not self.actor.table.by_id
             and not self.actor.table.by_trace
         )
-        assert not self.counters["trouble.overdue"], "an answer was left to the guard behind the module"
+        assert not self.counters["trouble.overdue"], (
+            "the module left an answer to the timeout of the request table"
+        )
         return self
 
 
--- a/tests/checker.py
+++ b/tests/checker.py
@@ -25,7 +25,7 @@
     ran: bool = False
     answered: bool = False
     gone: bool = False
-    sure: bool = True  # whether its pending call cannot have had an effect
+    sure: bool = True  # False after a call that may have had its effect without a reply
     served: bool = False  # whether it has a result that repeats may share
     ended_at: float = math.inf
     call_end: float = 0.0
@@ -59,7 +59,10 @@
                 break
 
     def over(self) -> bool:
-        """Return whether the mean is over the limit; until the window is full, the rest counts as idle."""
+        """Return whether the mean is over the limit.
+
+        Until the window is full, the rest of it counts as idle, with the current limit.
+        """
         now = self.parts[-1][2] if self.parts else 0.0
         most = self.limit_sum + max(0.0, self.over_s - self.length) * now
         return self.sum > most * (1 + 1e-9) + 1e-9
--- a/tests/core/test_clock_offset.py
+++ b/tests/core/test_clock_offset.py
@@ -46,12 +46,11 @@
 HISTORIES = st.lists(
     st.tuples(
         st.floats(0.001, 1.0),  # seconds until the event
+        # The event; a number is a step of the wall clock in seconds.
         st.sampled_from(["stamp", "stamp", "read", "read", "pause"])
         | st.floats(-5000.0, 5000.0)
         | st.sampled_from(STEPS)
-        | st.sampled_from(
-            [-0.2, -0.02, 0.02, 0.2]
-        ),  # the event; a number is a step of the wall clock, in seconds
+        | st.sampled_from([-0.2, -0.02, 0.02, 0.2]),
         st.floats(0.0, 3.0),
     ),
     max_size=40,
@@ -63,7 +62,7 @@
 def test_birth_estimates_bound_the_true_birth_over_clock_steps(
     history: list[tuple[float, str | float, float]], slew: float
 ) -> None:
-    """There is at most one step between two readings; requests are read up to 13.5 s after their stamp."""
+    """There is at most one step between two readings; requests are due to be read within 13.5 s."""
     machine = Machine()
     machine.slew = slew
     steps: list[tuple[float, float]] = []
@@ -153,9 +152,8 @@
     machine.offset -= step
     machine.read_clocks()
     birth = machine.tracker.birth(stamp, machine.now, TIME_TO_LIVE_S)
-    short_s = (
-        2.0 if step == -2.0 else 0.1
-    )  # looks like a stamp of 2.3 s ago; else the birth is the last reading
+    # With a step of -2 s it looks like a stamp of 2.3 s ago; otherwise the birth is the reading before.
+    short_s = 2.0 if step == -2.0 else 0.1
     assert birth.born == pytest.approx(true - short_s, abs=TOLERANCE_S)
     if step != -2.0:
         assert birth.born - birth.earlier_s == machine.now - REMEMBER_S
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -279,9 +279,8 @@
     tries[3].born = 105.0
     assert table.keep(tries[3], 105.5, 105.0) and len(table) == 2
     assert table.keep(other, 120.0, 105.0) and len(table) == 3
-    assert (
-        table.keep(request("more", "yet another"), 120.0, 105.0) and len(table) == 3
-    )  # drops lingering entries
+    # Lingering entries are dropped.
+    assert table.keep(request("more", "yet another"), 120.0, 105.0) and len(table) == 3
     assert not table.keep(request("most", "one too many"), 120.0, 105.0)
     last = request("last", "n", born=106.0)
     assert table.keep(last, 106.5, 106.0) and len(table) == 3
