--- a/tests/actor_histories.py
+++ b/tests/actor_histories.py
@@ -43,7 +43,7 @@
     def __init__(
         self,
         seed: int,
-        told: dict[str, Any],
+        settings_json: dict[str, Any],
         model: Model,
         arrivals: int = 100,
         unnamed: bool = False,
@@ -51,7 +51,7 @@
         """``unnamed``: some requests name no tenant."""
         self.random, self.model, self.left = random.Random(seed), model, arrivals
         self.tenant_draw = random.Random(f"tenants {seed}") if unnamed else None
-        self.json, (self.told, _) = told, settings_from(told)
+        self.json, (self.told, _) = settings_json, settings_from(settings_json)
         self.now = self.start = 1000.0
         self.counters = Counters()
         memory_mb = self.random.choice(MEMORY_MB)
@@ -322,5 +322,5 @@
 
 
 def drawn_actor_history(seed: int, arrivals: int = 100, unnamed: bool = False) -> ActorHistory:
-    told, model = deployment(random.Random(seed))
-    return ActorHistory(seed, told, model, arrivals, unnamed)
+    settings_json, model = deployment(random.Random(seed))
+    return ActorHistory(seed, settings_json, model, arrivals, unnamed)
--- a/tests/test_shared_reads.py
+++ b/tests/test_shared_reads.py
@@ -53,5 +53,5 @@
 
 @pytest.mark.parametrize(("tier", "shared"), TIERS)
 def test_the_shared_read_ttl_applies_only_in_the_first_tier(tier: dict[str, Any], shared: bool) -> None:
-    told = {**SETTINGS, **tier, "extra": {**SETTINGS["extra"], "freshS": 0.4}}
-    assert settings_from(told)[0].shared_read_ttl_s == (0.4 if shared else None)
+    settings = {**SETTINGS, **tier, "extra": {**SETTINGS["extra"], "freshS": 0.4}}
+    assert settings_from(settings)[0].shared_read_ttl_s == (0.4 if shared else None)
