--- a/beechrock/core/node_clock.py
+++ b/beechrock/core/node_clock.py
@@ -1,15 +1,15 @@
-"""The clocks of one node: steady time for all that it does, Unix time for what other processes stamped."""
+"""The clocks of one node: steady time for its own work, Unix time for stamps of other processes."""
 
 from collections.abc import Callable, Iterable
 
 from beechrock import clocks
 from beechrock import interface as api
-from beechrock.core.clock_offset import BORN_BEHIND_S, Birth, ClockOffset
+from beechrock.core.clock_offset import MAX_PAST_DUE_S, Birth, ClockOffset
 from beechrock.core.counters import Counters
 
 
 class NodeClock:
-    """Reads both clocks together and owns the offset between them."""
+    """Reads both clocks together and tracks the offset between them."""
 
     def __init__(
         self,
@@ -38,10 +38,10 @@
         return now
 
     def birth(self, unix_s: float, longest_s: float) -> Birth:
-        """Return when a request that is read now was born, by its Unix stamp and its longest time to live."""
+        """Return when a request, read now, reached the machine; ``longest_s``: its longest time to live."""
         return self.offset.birth(unix_s, self.observe(), longest_s)
 
 
 def _max_age_s(classes: Iterable[api.ClassSettings]) -> float:
     """Return the greatest age at which a request of any class is still accepted."""
-    return max(c.deadline_s for c in classes) + BORN_BEHIND_S
+    return max(c.deadline_s for c in classes) + MAX_PAST_DUE_S
