--- a/beechrock/interface/__init__.py
+++ b/beechrock/interface/__init__.py
@@ -1,6 +1,6 @@
-"""The interface of the decision module: settings and events go in, actions come out.
+"""Interface of the decision module: it takes settings and events, and returns actions.
 
-Plain data only, without any protocol. Every time is in seconds, every size in kilobytes.
+The types are plain data, independent of any protocol. Times are in seconds, sizes in kilobytes.
 """
 
 from beechrock.interface.messages import (
--- a/beechrock/interface/messages.py
+++ b/beechrock/interface/messages.py
@@ -1,4 +1,4 @@
-"""Requests, events and actions: what a node's decisions take in and give out."""
+"""Requests, events and actions: the input and the output of a node's decisions."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -7,7 +7,7 @@
 
 
 class Outcome(Enum):
-    """How a run or a call ended. REJECTED, UNREACHABLE and MOOT prove that it never ran."""
+    """Result of a run or a call. REJECTED, UNREACHABLE and MOOT prove that it never ran."""
 
     OK = "ok"
     ERROR = "error"
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A request that the node has read. ``waited_s`` is the time since it reached the machine."""
+    """A request that the node has read. ``age_s`` is the time since it reached the machine."""
 
     id: int
     class_index: int
@@ -48,14 +48,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrived:
-    """A request was read and awaits its decision."""
+    """A request was read and waits to be decided."""
 
     request: Request
 
 
 @dataclass(frozen=True, slots=True)
 class RunFinished:
-    """A run (or a shared answer) is over; ``elapsed_s`` counts from the action that started it."""
+    """A run (or a shared answer) has ended; ``elapsed_s`` is the time since the action that started it."""
 
     id: int
     outcome: Outcome
@@ -64,14 +64,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CallNeeded:
-    """A running request has left the cores and waits for Call, Skip or Fail."""
+    """A running request has left the cores and waits for Call, SkipCall or Fail."""
 
     id: int
 
 
 @dataclass(frozen=True, slots=True)
 class CallEnded:
-    """A downstream call is over; ``elapsed_s`` counts from the action that started it."""
+    """A downstream call has ended; ``elapsed_s`` is the time since the action that started it."""
 
     id: int
     outcome: Outcome
@@ -80,21 +80,21 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerDisconnected:
-    """Nobody waits for this request any more; no answer is owed."""
+    """The caller of this request has disconnected; no answer is needed."""
 
     id: int
 
 
 @dataclass(frozen=True, slots=True)
 class SettingsChanged:
-    """Other settings hold from now on; classes and tenants that stay, or are ``removed``, keep places."""
+    """The settings have changed; remaining and ``removed`` classes and tenants keep their indices."""
 
     settings: Settings
 
 
 @dataclass(frozen=True, slots=True)
 class ShutdownNotice:
-    """The process will be stopped in ``remaining_s``; a successor, if any, goes on as this node."""
+    """The process will be stopped in ``remaining_s``; a successor, if any, continues as this node."""
 
     remaining_s: float
     has_successor: bool = False
@@ -102,10 +102,10 @@
 
 @dataclass(frozen=True, slots=True)
 class OtherProcessLoad:
-    """What another process of this node, beside this one, has on the same cores, holds, and has in calls.
+    """Load of another process of this node on the same cores: its runs, memory and open calls.
 
-    ``running``: of a cold node its launches of the last window, if these are more. ``present``: False once it
-    has gone.
+    ``running``: on a cold node, the larger of its runs and its launches in the last window. ``present``:
+    False once the process has ended.
     """
 
     running: int = 0
@@ -116,7 +116,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Gauges:
-    """The node's own gauges; None where the site has none."""
+    """Gauges of the node itself; None for a gauge that the site doesn't provide."""
 
     cpu_busy: float | None = None
     runnable: float | None = None
@@ -126,7 +126,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer that SetTimer asked for is due; gauges are sampled with it."""
+    """A timer that SetTimer set has fired; it carries a sample of the gauges."""
 
     token: int
     gauges: Gauges = field(default_factory=Gauges)
@@ -157,7 +157,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Reject: this attempt never ran. ``no_retry`` asks the caller not to retry at another node."""
+    """Reject an attempt that never ran. ``no_retry`` asks the caller not to retry at another node."""
 
     id: int
     retry_after_s: float | None = None
@@ -166,21 +166,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Answer with an error that promises nothing."""
+    """Answer with an error; the request may or may not have run."""
 
     id: int
 
 
 @dataclass(frozen=True, slots=True)
 class Stop:
-    """Stop running work, as the site's StopMode says."""
+    """Stop a run in the way that the site's StopMode allows."""
 
     id: int
 
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """Issue the call that a request waits for, abandoned after ``max_wait_s``."""
+    """Issue the call that a run waits for, and abandon it after ``max_wait_s``."""
 
     id: int
     max_wait_s: float
@@ -188,14 +188,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SkipCall:
-    """Let a run go on without its call."""
+    """Let a run continue without its call."""
 
     id: int
 
 
 @dataclass(frozen=True, slots=True)
 class Remember:
-    """Remember a request in the node's table, so that repeats of it are recognised."""
+    """Store a request in the node's table for ``ttl_s``, so that repeats of it are recognised."""
 
     id: int
     ttl_s: float
@@ -203,21 +203,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Forget:
-    """Drop the entry that Remember made: the request never ran."""
+    """Remove the entry that Remember stored, because the request never ran."""
 
     id: int
 
 
 @dataclass(frozen=True, slots=True)
 class ShareResult:
-    """Answer a held repeat with the result of the request it repeats."""
+    """Answer a held repeat with the result of the request that it repeats."""
 
     id: int
 
 
 @dataclass(frozen=True, slots=True)
 class Health:
-    """What health checks hear; ``stored`` answers them from this setting alone, cheaply."""
+    """Set the answer to health checks; ``cached`` lets this value alone answer them, which is cheap."""
 
     healthy: bool
     cached: bool = True
@@ -225,21 +225,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Advertise:
-    """The value attached to every answer from now on; see Say."""
+    """Set the load report attached to every answer; LoadReportKind defines its meaning."""
 
     value: float
 
 
 @dataclass(frozen=True, slots=True)
 class CloseIdleConnections:
-    """Close connections that have been idle for this long."""
+    """Close connections that have been idle for ``after_s``; 0 applies the settings' timeout."""
 
     after_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for TimerFired with this token after the delay."""
+    """Request a TimerFired event with this token after ``delay_s``."""
 
     token: int
     delay_s: float
--- a/beechrock/interface/settings.py
+++ b/beechrock/interface/settings.py
@@ -1,6 +1,6 @@
-"""What a node gets at its start: the settings of the node, of its classes and of its tenants.
+"""Settings of a node, of its request classes and of its tenants, given at the node's start.
 
-A setting that a site does not give is None; what follows from its absence is decided in ``beechrock.policy``.
+A setting that a site doesn't give is None; ``beechrock.policy`` decides what that means.
 """
 
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 
 
 class SettingsError(OperatorError, ValueError):
-    """Settings that lack, or garble, something that no decision can do without."""
+    """A required setting is missing, or a setting has an invalid value."""
 
     event: ClassVar[str] = "settings.refused"
 
@@ -25,7 +25,7 @@
 
 
 class StopMode(Enum):
-    """What stopping running work does: nothing, lose its progress, or pause it."""
+    """Effect of stopping a run: none, loss of its progress, or a pause."""
 
     NONE = "none"
     DISCARD = "discard"
@@ -33,7 +33,7 @@
 
 
 class LoadReportKind(Enum):
-    """How callers read the advertised load report."""
+    """Meaning of the advertised load report to callers."""
 
     NONE = "none"
     FLOOR = "floor"
@@ -42,7 +42,7 @@
 
 
 class Downstream(Enum):
-    """What lies below a node."""
+    """Kind of service that a node calls: none, a dependency of all nodes, or another tier."""
 
     NONE = "none"
     SHARED = "shared"
@@ -51,11 +51,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassSettings:
-    """One class of requests.
+    """Settings of one class of requests.
 
-    ``late_value_share`` and ``skip_value_share`` are the parts of its value that an answer after the latency
-    objective, and one without its downstream call, still has. ``latency_objective_per_work`` adds so many
-    seconds for each unit of work. ``may_call``: None where the file does not say.
+    ``late_value_share`` is the share of its value that an answer keeps after the latency objective,
+    ``skip_value_share`` the share that it keeps without its downstream call. ``latency_objective_per_work``
+    is the number of seconds added to the objective for each unit of work. ``may_call`` is None where the file
+    doesn't set it.
     """
 
     latency_objective_s: float
@@ -68,13 +69,13 @@
     may_call: bool | None = None
     skip_value_share: float | None = None
     name: str = ""
-    budget_cost: float = 1.0  # units that one run takes from its tenant's budget
-    removed: bool = False  # keeps its place for the requests that were read under it
+    budget_cost: float = 1.0  # Units that one run takes from its tenant's budget
+    removed: bool = False  # A removed class keeps its index for requests that were read before
 
 
 @dataclass(frozen=True, slots=True)
 class TenantSettings:
-    """One tenant: its part of the traffic, its quota and its budget, over all nodes."""
+    """Settings of one tenant: its share of the traffic, its quota and its budget, over all nodes."""
 
     traffic_share: float | None = None
     quota_per_s: float | None = None
@@ -86,16 +87,16 @@
 
 NamedEntries = tuple[
     ClassSettings | TenantSettings, ...
-]  # entries keep their places by their names, see SettingsChanged
+]  # Entries are matched by name when settings change, see SettingsChanged
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a node gets at its start; the first three are required.
+    """Settings of a node; the first three are required.
 
-    ``overload_multiple``: runs a core that a node survives for ``overload_window_s``. ``shared_call_limit``:
-    open calls, in the mean over ``shared_call_window_s``, of a dependency that all nodes share. Prices and
-    the scoring mix are kept for records alone.
+    ``overload_multiple``: runs per core that a node survives for ``overload_window_s``.
+    ``shared_call_limit``: this node's limit of open calls to a dependency that all nodes share, as a mean
+    over ``shared_call_window_s``. Prices and the scoring mix are only recorded; no decision uses them.
     """
 
     cores: int
@@ -129,7 +130,7 @@
     shared_call_limit: float | None = None
     shared_call_window_s: float | None = None
     abandoned_call_linger_s: float | None = None
-    tier: int | None = None  # 0 for the tier that clients ask
+    tier: int | None = None  # Depth of the node's tier; 0 is the tier that clients call
     shared_read_ttl_s: float | None = None
     deep_health_checks: bool = False
     idle_timeout_s: float | None = None
--- a/beechrock/policy/__init__.py
+++ b/beechrock/policy/__init__.py
@@ -1,6 +1,7 @@
-"""All decisions of one node, without I/O: events in, actions out (``beechrock.interface``).
+"""Decision logic of one node, free of I/O: it turns events into actions (``beechrock.interface``).
 
-Each concern is a module whose class owns its state; ``Node`` wires them. It imports the interface only.
+Each module holds one concern in a class that owns its state; ``Node`` connects them. The package imports
+nothing of the project except the interface.
 """
 
 from beechrock.policy.node import Node
--- a/beechrock/policy/abacus.py
+++ b/beechrock/policy/abacus.py
@@ -1,8 +1,9 @@
-"""The Abacus Filter: when rejected callers are to come back.
+"""The Abacus Filter: computes the Retry-After of rejected requests.
 
-Time is cut into slots. Each slot has tokens: requests that the node can take then beyond what it expects. A
-rejected request takes a token of a later slot, and hears how long that is away; the slots that it passes on
-its way lend it their place.
+Time is divided into slots. Each slot has tokens, one for each request that the node can take in that slot
+beyond the arrivals it expects. A rejected request takes a token of a later slot, and its Retry-After is the
+time until that slot. Each empty slot that the search passes counts one borrowed request: that many returning
+requests are sent on by one more offset, without a token, when the slot comes to the front.
 """
 
 import math
@@ -10,19 +11,21 @@
 from beechrock.policy.context import Context
 from beechrock.policy.meter import ThroughputMeter
 
-RATE_SLOTS = 6.0  # the arrival rate is averaged over this many slots
-PEAK_RATE_DECAY = 0.995  # from slot to slot, so that the peak of better days is unlearned
-FIRST_OFFSET_S = 3.0  # the settings' longest Retry-After replaces it where that is shorter,
-OFFSET_OBJECTIVES = 0.6  # and this part of the mean objective: who stays away longer comes back in a rush
-# Short objectives beside long deadlines would make very many slots, and each is copied when a slot ends.
+RATE_SLOTS = 6.0  # Time constant of the mean arrival rate, in slots
+PEAK_RATE_DECAY = 0.995  # Factor on the peak rate at each slot's end, so that an old peak is forgotten
+# The first Retry-After is the least of these two and of the settings' longest Retry-After.
+FIRST_OFFSET_S = 3.0
+OFFSET_OBJECTIVES = 0.6  # Share of the mean latency objective; callers that wait longer return all at once
+# Bounds on the slots: a short objective with a long deadline would need very many, and all are copied at
+# the end of each slot.
 MIN_SLOT_S = 0.01
 MAX_SLOTS = 4096
-OFFSET_SLOTS = (3, 9, 21)  # the first offset, then 3 * 2^k further; later is past any wait
-MIN_BUSY_OBJECTIVES = 0.5  # time of full use from which the completion rate is known
+OFFSET_SLOTS = (3, 9, 21)  # Slots until a retry: the first offset, then 3 * 2^k more; no caller waits longer
+MIN_BUSY_OBJECTIVES = 0.5  # Time of full use, in mean objectives, before the completion rate is trusted
 
 
 class AbacusFilter:
-    """Owns the slots, their tokens and what they have lent."""
+    """Owns the slots, their tokens and their counts of borrowed requests."""
 
     def __init__(self, context: Context) -> None:
         self._context = context
@@ -30,30 +33,30 @@
         self.longest_offset_s = min(FIRST_OFFSET_S, longest_s)
         self.first_offset_s = min(self.longest_offset_s, OFFSET_OBJECTIVES * context.mean_objective_s)
         self.slot_s = max(self.first_offset_s / OFFSET_SLOTS[0], MIN_SLOT_S)
-        self.slot_end_s = context.now_s + self.slot_s  # monotonic
+        self.slot_end_s = context.now_s + self.slot_s  # End of the current slot, in monotonic seconds
         self.tokens = self._empty_slots()
         self.borrowed = self._empty_slots()
-        self._token_fraction = 0.0  # carried over to the next slot's tokens
-        self.arrivals = 0.0  # in this slot; first attempts
-        self.arrival_rate = 0.0  # per second
-        self.peak_rate = 0.0  # of completions per second of full use
+        self._token_fraction = 0.0  # Fraction of a token that is carried over to the next new slot
+        self.arrivals = 0.0  # First attempts that arrived in the current slot; retries don't count
+        self.arrival_rate = 0.0  # Mean first attempts per second
+        self.peak_rate = 0.0  # Highest recent rate of completions per second of full use
 
     def _empty_slots(self) -> list[int]:
         deadline_s = max(entry.deadline_s for entry in self._context.settings.classes)
         return [0] * min(int(deadline_s / self.slot_s) + 1, MAX_SLOTS)
 
     def add_slots(self) -> None:
-        """Add slots where changed settings have a longer deadline."""
+        """Add slots if changed settings have a longer deadline."""
         more = self._empty_slots()[len(self.tokens) :]
         self.tokens = self.tokens + more
         self.borrowed = self.borrowed + more
 
     def skip_pause(self) -> None:
-        """Pass over slots of a long pause: all tokens have left long ago, more slots would only cost time."""
+        """Skip slots after a long pause: all tokens have expired, and going through more costs time."""
         self.slot_end_s = max(self.slot_end_s, self._context.now_s - MAX_SLOTS * self.slot_s)
 
     def end_slot(self, cores: ThroughputMeter) -> None:
-        """Drop the front slot and add one with W_a = (peak rate - arrival rate) T0 tokens."""
+        """Remove the front slot and append one with ``(peak rate - arrival rate) * slot_s`` tokens."""
         self.slot_end_s += self.slot_s
         self.arrival_rate += (self.arrivals / self.slot_s - self.arrival_rate) / RATE_SLOTS
         self.arrivals = 0.0
@@ -66,7 +69,7 @@
         self.borrowed = [*self.borrowed[1:], 0]
 
     def borrow(self, give_up_s: float) -> float | None:
-        """Return the seconds until the slot whose token the rejected request gets; None if none is left."""
+        """Return the Retry-After of a rejected request in seconds; None if no slot in reach has a token."""
         if self.borrowed[0] > 0:
             self.borrowed[0] -= 1
             return self.first_offset_s
--- a/beechrock/policy/admission.py
+++ b/beechrock/policy/admission.py
@@ -1,4 +1,4 @@
-"""Admission: which requests are taken, and for which reason the others are rejected."""
+"""Admission control: decides which requests are accepted and why the others are rejected."""
 
 from enum import Enum
 
@@ -19,25 +19,25 @@
 from beechrock.policy.statistics import RunStatistics
 from beechrock.policy.tenants import TenantBudgets, TenantShares
 
-MAX_WAIT_SHARE = 0.95  # of the time to its objective's end that a request's predicted wait may fill
-VALUE_EXPONENT = 0.5  # of value for work: a class at a quarter of the mean fills half of its time
-FAILING_SHARE = 0.5  # of the latest runs, from which only idempotent requests are taken
+MAX_WAIT_SHARE = 0.95  # Share of the time left to the objective that a request's predicted wait may take
+VALUE_EXPONENT = 0.5  # Exponent of relative value: a class with a quarter of the mean may wait half as long
+FAILING_SHARE = 0.5  # Share of failed runs above which only idempotent requests are accepted
 
 
 class Refusal(Enum):
-    """Why a request is rejected."""
+    """Reason for which a request is rejected."""
 
-    OVER_BUDGET = "over_budget"  # of its tenant: the same on every node
-    NEVER_FITS = "never_fits"  # its run needs more than the node's memory: the same on every node
+    OVER_BUDGET = "over_budget"  # The tenant's budget is spent; other nodes would reject it too
+    NEVER_FITS = "never_fits"  # The run needs more memory than a node has; other nodes would reject it too
     MEMORY_FULL = "memory_full"
     SHUTTING_DOWN = "shutting_down"
     RUNS_FAIL = "runs_fail"
-    OVERLOADED = "overloaded"  # the predicted wait is too long
-    NOT_REMEMBERED = "not_remembered"  # no memory for its idempotency entry
+    OVERLOADED = "overloaded"  # The predicted wait is too long
+    NOT_REMEMBERED = "not_remembered"  # There is no memory for the idempotency entry
 
 
 class AdmissionControl:
-    """Takes requests, or rejects them with a reason; owns no state of its own."""
+    """Accepts requests, or rejects them with a reason; has no state of its own."""
 
     def __init__(
         self,
@@ -74,7 +74,7 @@
         self._retry_advice = retry_advice
 
     def decide(self, entry: OpenRequest) -> None:
-        """Admit a request that was read, or answer it."""
+        """Admit a new request, or answer it at once."""
         if entry.request.repeat_of is not None and self._share_result(entry):
             return
         refusal = self._refusal(entry)
@@ -85,7 +85,7 @@
         self._budgets.spend(entry)
 
     def remember(self, entry: OpenRequest, ttl_s: float) -> bool:
-        """Remember the request, so that its repeats are known; False where memory is too full for that."""
+        """Store an idempotency entry, so that repeats are recognised; return False if memory is too full."""
         entry_kb = self._context.settings.idempotency_entry_kb or 0.0
         if self._memory.is_full(entry_kb, ADMIT_MEMORY_SHARE):
             return False
@@ -93,9 +93,10 @@
         return True
 
     def _share_result(self, entry: OpenRequest) -> bool:
-        """Answer a repeat from its first, if that is to be; False if it is a request like others.
+        """Share the first attempt's result with a repeat; return False if the repeat is decided on its own.
 
-        Rule: a repeat never runs beside its first. A first that is over and remembered did run.
+        Rule: a repeat never runs beside the first attempt. A first attempt that has finished and still has
+        its entry did run.
         """
         first = self._table.requests.get(entry.request.repeat_of or 0)
         first_never_ran = first is not None and first.answered and not first.may_have_run
@@ -104,7 +105,7 @@
                 return False
         elif first_never_ran:
             return False
-        # Repeats take memory too. One of the attempts may have run.
+        # Repeats take memory too. Another attempt may have run, so the answer must not promise that none did.
         if self._memory.is_full(0.0, RUN_MEMORY_SHARE):
             entry.may_have_run = not entry.idempotent
             self._answers.give_up(entry)
@@ -115,7 +116,7 @@
         return True
 
     def _refusal(self, entry: OpenRequest) -> Refusal | None:
-        """Return why a request is rejected; None where it is admitted, and remembered by its key."""
+        """Return the reason to reject a request, or None to admit it; a keyed request is then remembered."""
         request_class = entry.request_class
         if self._budgets.wait_s(entry) > 0:
             return Refusal.OVER_BUDGET
@@ -125,7 +126,7 @@
             return Refusal.MEMORY_FULL
         if self._shutdown.past_grace(entry):
             return Refusal.SHUTTING_DOWN
-        # An error of an idempotent run is no worse than a rejection; of another it answers all its repeats.
+        # A failed idempotent run can be retried; the error of any other run is the answer to all its repeats.
         if self._statistics.failing > FAILING_SHARE and not entry.idempotent:
             return Refusal.RUNS_FAIL
         if not self._fits(entry):
@@ -149,7 +150,7 @@
                 self._retry_advice.reject_for_elsewhere(entry)
 
     def _fits(self, entry: OpenRequest) -> bool:
-        """Tell whether cores are free, or the predicted wait fits the time to the objective's end."""
+        """Tell whether cores are free, or the predicted wait fits into the time left to the objective."""
         context = self._context
         request_class = entry.request_class
         share_weight: float = self._shares.weight(entry.request.tenant_index) ** VALUE_EXPONENT
@@ -165,12 +166,14 @@
         alone = not launch_wait_s and table.count[HELD] <= 1
         if alone and table.count[RUNNING] < self._concurrency.run_limit():
             return True
-        # A tenant's weight shortens the wait that it may have, not the time for the run itself.
+        # A tenant's weight reduces the allowed wait, but not the time for the run itself: it scales the run's
+        # time on this side as it scales the bound on the other.
         extra_work = max(0.0, entry.work - self._statistics.mean_work)
         extra_s = share_weight * self._cores.wait(extra_work * context.settings.cores)
-        # Held work starts by the ends of objectives: what has a short one overtakes. So the whole queue is
-        # bounded by the mean objective, and each request by its own for what starts before it; else all
-        # rejections hit the shorter objectives.
+        # Held requests start in the order of their objectives' ends, so a short objective overtakes a long
+        # one. The whole queue is therefore bounded by the mean objective, and the work that starts before a
+        # request by that request's own objective. With its own objective as the only bound, all rejections
+        # would hit the classes with short objectives.
         wait_s = self._cores.wait(table.work_ahead) + extra_s
         bound_s = share * left_s
         longer_s = context.mean_objective_s - request_class.latency_objective_s
@@ -181,7 +184,7 @@
         return self._cores.wait(table.held_work_before(entry)) + extra_s <= bound_s
 
     def _value(self, entry: OpenRequest) -> float:
-        """Return a request's value for its work beside the mean, at most 1."""
+        """Return a request's value per work relative to the mean, damped by VALUE_EXPONENT; at most 1."""
         if self._context.settings.priority_weight_per_work:
             work = 1.0
         else:
--- a/beechrock/policy/answers.py
+++ b/beechrock/policy/answers.py
@@ -1,4 +1,4 @@
-"""Answers: each request has one, and what may have had an effect is never said to be unrun."""
+"""Answers to callers: one for each request; a request that may have had an effect is never rejected."""
 
 from beechrock import interface as api
 from beechrock.policy.context import Context
@@ -9,7 +9,7 @@
 
 
 class Answers:
-    """Gives the node's own answers, and takes back what a request that never ran has taken."""
+    """Sends the node's own answers and returns the budget and the key of a request that never ran."""
 
     def __init__(
         self, context: Context, table: RequestTable, keys: IdempotencyKeys, budgets: TenantBudgets
@@ -20,7 +20,7 @@
         self._budgets = budgets
 
     def send(self, entry: OpenRequest, action: api.Action | None) -> None:
-        """Answer with this action; without one the caller has left, and none is owed."""
+        """Answer with this action; None means that the caller has left and no answer is needed."""
         if action is not None:
             self._context.actions.append(action)
         entry.answered = True
@@ -31,7 +31,7 @@
                 self._keys.forget(entry.request.id)
 
     def give_up(self, entry: OpenRequest) -> None:
-        """Give the last answer, unless one is out."""
+        """Answer a request that will get no result, unless it already has an answer."""
         if entry.answered:
             return
         if entry.may_have_run and not entry.idempotent:
--- a/beechrock/policy/concurrency.py
+++ b/beechrock/policy/concurrency.py
@@ -1,4 +1,4 @@
-"""Concurrency limit: how many runs are on the cores, and how many may come back to them from calls."""
+"""Concurrency limit: the maximum number of runs on the cores and in downstream calls."""
 
 import math
 
@@ -10,17 +10,17 @@
 from beechrock.policy.slow_start import crowd_survived, speed_share
 from beechrock.policy.statistics import RunStatistics
 
-RUNS_PER_CORE = 1.2  # all are busy; crowding begins at 1.5 at the least
+RUNS_PER_CORE = 1.2  # Initial limit: keeps all cores busy, and overload begins at 1.5 or more
 MIN_RUNS_PER_CORE = 1.0
 MAX_RUNS_PER_CORE = 2.5
-BUSY_SHARE = 0.95  # of the cores, from which they count as busy
-LIMIT_STEP = 0.5  # runs
-CROWD_SHARE = 0.75  # of the crowd that the cores survive: leaves room for what is learnt a batch late
-LONG_RUN_WINDOWS = 2.0  # a run of so many overload windows is in the mean of the crowd
+BUSY_SHARE = 0.95  # CPU utilisation from which the cores count as busy
+LIMIT_STEP = 0.5  # Change of the limit at each sample, in runs
+CROWD_SHARE = 0.75  # Share of the survivable crowd in use; the rest covers events seen one batch late
+LONG_RUN_WINDOWS = 2.0  # Overload windows after which a long run is ignored, being in the mean by then
 
 
 class ConcurrencyLimit:
-    """Learns how many runs keep the cores busy, and keeps them under the crowd that these survive."""
+    """Learns how many runs keep the cores busy; its limit stays below the crowd (the most runs survived)."""
 
     def __init__(
         self,
@@ -34,21 +34,21 @@
         self._statistics = statistics
         self._other_process = other_process
         self.limit = RUNS_PER_CORE * context.settings.cores
-        self.mean_running = 0.0  # over the overload window
+        self.mean_running = 0.0  # Moving mean of the runs on the cores over the overload window
 
     def advance(self, passed_s: float) -> None:
-        """Let time pass with the present runs."""
+        """Account for the time since the last decision, with the present runs."""
         if window_s := self._context.settings.overload_window_s:
             step = 1 - math.exp(-passed_s / window_s)
             self.mean_running += step * (self._table.count[RUNNING] - self.mean_running)
 
     def fullness(self) -> float:
-        """Return the present runs by the limit."""
+        """Return the ratio of present runs to the limit."""
         running = self._other_process.load.running
         return self._table.count[RUNNING] / remaining_limit(self.limit, running)
 
     def learn(self, gauges: api.Gauges) -> None:
-        """Let in more runs while cores idle (runs may wait for disks), fewer once these queue for cores."""
+        """Raise the limit while cores idle (runs may wait for disks); lower it once runs queue for cores."""
         cores = self._context.settings.cores
         busy = gauges.cpu_busy
         queue = gauges.runnable
@@ -61,13 +61,13 @@
         self.limit = min(max(limit, MIN_RUNS_PER_CORE * cores), MAX_RUNS_PER_CORE * cores)
 
     def change_cores(self, previous: int, current: int) -> None:
-        """Scale the limit to another number of cores."""
+        """Scale the limit to a new number of cores."""
         self.limit = self.limit * current / previous
 
     def run_limit(self, crowding: bool = False) -> int:
-        """Return how many runs may be on the cores; with ``crowding`` as many as these survive.
+        """Return the maximum number of runs on the cores; ``crowding`` ignores the learnt limit.
 
-        Rule: they stay under the crowd survived, that of the other process included.
+        Rule: the runs of all processes of the node together stay below the crowd that the cores survive.
         """
         context = self._context
         settings = context.settings
@@ -78,32 +78,34 @@
         return max(0, min(limit, int(survived - running))) if running else limit
 
     def has_capacity(self) -> bool:
-        """Tell whether one more may run, or make a call after which it runs on."""
+        """Tell whether one more run may start, or make a call from which it returns to the cores."""
         return self._table.count[RUNNING] + self._table.count[CALLING] + 1 <= self._started_limit()
 
     def _started_limit(self) -> float:
-        """Return how many may be on the cores and in calls; those may all come back in one moment.
+        """Return the maximum number of runs on the cores and in calls; all calls may end at the same time.
 
-        Rule: their time on the cores beyond the crowd fits the overload window, and where the mean is near
-        the crowd already, none is beyond it.
+        Rule: if all return at once, the crowd is exceeded for less than the overload window; if the mean is
+        near the crowd already, it is not exceeded at all.
         """
         crowd = self.run_limit(crowding=True)
         window_s = self._context.settings.overload_window_s
         if not window_s:
             return math.inf
-        if crowd <= 1 or self.mean_running > CROWD_SHARE * crowd:  # one is let in though it fill it
+        if crowd <= 1 or self.mean_running > CROWD_SHARE * crowd:  # One run may fill the crowd
             return crowd
-        if self._table.count[RUNNING] > crowd:  # what came back does not leave as soon as was thought
+        if self._table.count[RUNNING] > crowd:  # Runs that returned take longer than estimated
             return crowd
-        # Those that come back leave at a run's time, shared by the cores; unknown, it is the objective.
+        # Returned runs finish after the mean run time, shared by the cores; until that is known the mean
+        # objective is used.
         run_s = max(self._statistics.run_s or self._context.mean_objective_s, self._longest_run_s())
         beyond = window_s * self._context.settings.cores / (2 * run_s)
         return crowd + beyond if beyond < crowd else 2 * math.sqrt(crowd * beyond)
 
     def _longest_run_s(self) -> float:
-        """Return the time of the longest present run: it tells of slow cores before any run ends.
+        """Return the seconds of the longest present run, which shows slow cores before any run ends.
 
-        One that hangs is in the mean of the crowd after a while, and does not hold back calls for ever.
+        Runs older than LONG_RUN_WINDOWS are left out, so that a hung run doesn't block calls for ever;
+        ``mean_running`` includes such a run by then.
         """
         now_s = self._context.now_s
         since_s = now_s - LONG_RUN_WINDOWS * (self._context.settings.overload_window_s or 0.0)
--- a/beechrock/policy/idle_connections.py
+++ b/beechrock/policy/idle_connections.py
@@ -1,14 +1,14 @@
-"""Idle connections: how long they stay open."""
+"""Idle connections: decides after what time they are closed."""
 
 from beechrock import interface as api
 from beechrock.policy.abacus import AbacusFilter
 from beechrock.policy.context import Context
 
-MIN_IDLE_S = 0.01  # connections are closed after no less, nor after more than their timeout
+MIN_IDLE_S = 0.01  # Shortest idle time to close a connection after; the longest is its idle timeout
 
 
 class IdleConnections:
-    """Keeps connections for a retry only, where callers seldom return in time: against a full table."""
+    """Keeps idle connections only for a retry if callers seldom reuse them, lest the table fill up."""
 
     def __init__(self, context: Context, abacus: AbacusFilter) -> None:
         self._context = context
@@ -16,7 +16,7 @@
         self.callers_are_rare = False
 
     def update(self) -> None:
-        """Say a change of the time after which idle connections are closed."""
+        """Report a change of the time after which idle connections are closed."""
         settings = self._context.settings
         idle_s = settings.idle_timeout_s or 0.0
         if idle_s < MIN_IDLE_S:
--- a/beechrock/policy/launches.py
+++ b/beechrock/policy/launches.py
@@ -1,4 +1,4 @@
-"""The launch gate: whether the slow-start budget covers a run, over all processes of the node."""
+"""Launch gate: tells whether the slow-start budget of all the node's processes covers one more run."""
 
 import math
 
@@ -11,7 +11,7 @@
 
 
 class LaunchGate:
-    """Keeps a cold node's launches in a window within what its settings allow."""
+    """Limits the runs that a cold node launches in an overload window to what its settings allow."""
 
     def __init__(self, context: Context, other_process: OtherProcess, statistics: RunStatistics) -> None:
         self._context = context
@@ -26,20 +26,20 @@
         )
 
     def left(self) -> float:
-        """Return how many runs of mean work may begin now."""
+        """Return the number of runs of mean work that may start now."""
         return min(self._available())
 
     def recent(self, now_s: float) -> int:
-        """Return the launches of the window in requests of mean work; 0 once the node is warm.
+        """Return the launches in the window, in requests of mean work; 0 once the node is warm.
 
-        Those of a process that has left are among them: a third one never heard of it.
+        The launches of a departed process are included: a process that started later never saw them.
         """
         context = self._context
         warm = self.budget.left(context.settings, now_s, context.started_s) == math.inf
         return 0 if warm else math.ceil(self.budget.begun()) + self._other_process.departed_launches(now_s)
 
     def allows(self, request: api.Request) -> bool:
-        """Tell whether the budget covers all of a run's work; one alone in the window may go beyond it."""
+        """Tell whether the budget covers a run's whole work; the only run in a window may exceed it."""
         runs, work = self._available()
         if work == math.inf:
             return True
@@ -47,12 +47,12 @@
         return runs >= 1 and (alone or work >= self._statistics.relative_work(request))
 
     def launch(self, entry: OpenRequest) -> None:
-        """Count a run that begins now."""
+        """Count a run that starts now."""
         work = self._statistics.relative_work(entry.request)
         entry.launch = self.budget.add(self._context.now_s, work)
 
     def wait_s(self, ahead: int) -> float:
-        """Return the seconds until a spent budget covers a run behind this many held requests, else 0."""
+        """Return the seconds until a spent budget covers a run behind ``ahead`` held requests, or 0."""
         if (left := self.left()) >= 1 or not self.budget.launches:
             return 0.0
         window_s = self._context.settings.overload_window_s or 0.0
--- a/beechrock/policy/load_report.py
+++ b/beechrock/policy/load_report.py
@@ -1,4 +1,4 @@
-"""Load reports: the value that callers hear with every answer, before they send."""
+"""Load reports: the value attached to every answer, by which callers adapt what they send."""
 
 from beechrock import interface as api
 from beechrock.policy.abacus import AbacusFilter
@@ -12,12 +12,12 @@
 
 # Predicted waits, in mean objectives, from which callers send less and at which they send nothing.
 LESS_OBJECTIVES, NOTHING_OBJECTIVES = 0.15, 0.55
-FLOOR_LESS_OBJECTIVES, FLOOR_NOTHING_OBJECTIVES = 0.25, 0.75  # where the value is a floor of priority
-MIN_CHANGE = 0.02  # of the value, or of 1 if that is more
+FLOOR_LESS_OBJECTIVES, FLOOR_NOTHING_OBJECTIVES = 0.25, 0.75  # The same for LoadReportKind.FLOOR
+MIN_CHANGE = 0.02  # Smallest change that is advertised, as a share of the value or of 1, whichever is more
 
 
 class LoadReport:
-    """Advertises the predicted wait, so that little is read in vain."""
+    """Advertises the node's load, so that callers send few requests that would be rejected."""
 
     def __init__(
         self,
@@ -38,12 +38,12 @@
         self._health = health
         self._cores = cores
         self._shutdown = shutdown
-        self._advertised = -1.0  # the latest value
+        self._advertised = -1.0  # Latest advertised value; -1 before the first
 
     def update(self) -> None:
-        """Advertise the value if it has changed."""
+        """Advertise the value if it has changed by more than MIN_CHANGE."""
         kind = self._context.settings.load_report_kind
-        load = self._load(kind)  # asked for each time: it lets launches leave the window
+        load = self._load(kind)  # Needed for every kind: it also removes old launches from the window
         if kind is api.LoadReportKind.NONE:
             return
         value = load if kind is api.LoadReportKind.FLOOR else 1.0 - load
@@ -54,7 +54,7 @@
             self._context.actions.append(api.Advertise(value))
 
     def _load(self, kind: api.LoadReportKind) -> float:
-        """Return 0 where callers may send all, up to 1 where they are to send nothing."""
+        """Return the load from 0 (callers may send everything) to 1 (callers should send nothing)."""
         if self._context.now_s >= self._shutdown.unwanted_from_s or self._launches.wait_s(0):
             return 1.0
         if kind is api.LoadReportKind.FLOOR:
@@ -66,6 +66,6 @@
         return min(max((waits - less) / (nothing - less), 0.0), 1.0)
 
     def _capacity(self) -> float:
-        """Return the requests that the node can have at once."""
+        """Return the number of requests that the node can hold and run at the same time."""
         rate = self._abacus.peak_rate or self._context.settings.cores
         return self._concurrency.limit + rate * self._context.mean_objective_s
--- a/beechrock/policy/memory.py
+++ b/beechrock/policy/memory.py
@@ -1,4 +1,4 @@
-"""Memory of a node: of its open requests, of its idempotency entries and of the other process."""
+"""Memory of a node: accounts for open requests, idempotency entries and the node's other process."""
 
 from beechrock import interface as api
 from beechrock.policy.context import Context
@@ -6,13 +6,13 @@
 from beechrock.policy.other_process import OtherProcess
 from beechrock.policy.phases import RUNNING, Phase
 
-# Shares of the memory; each leaves room for what the node learns a batch late.
-ADMIT_MEMORY_SHARE = 0.80  # that admission may fill
-RUN_MEMORY_SHARE = 0.93  # that starting runs may fill
+# Both shares leave a reserve for memory that the node learns of one batch late.
+ADMIT_MEMORY_SHARE = 0.80  # Share of the memory up to which requests are admitted
+RUN_MEMORY_SHARE = 0.93  # Share of the memory up to which runs are started
 
 
 class MemoryAccount:
-    """Counts the memory of requests by their phases."""
+    """Counts the memory of requests, which depends on their phases."""
 
     def __init__(self, context: Context, keys: IdempotencyKeys, other_process: OtherProcess) -> None:
         self._context = context
@@ -20,33 +20,33 @@
         self._other_process = other_process
         running_factor = context.settings.running_memory_factor or 1.0
         self._factor_by_phase = (0.0, 1.0, 1.0, running_factor, running_factor, running_factor)
-        self.held_kb = 0.0  # of open requests
+        self.held_kb = 0.0  # Memory of all open requests, in kilobytes
 
     def move(self, size_kb: float, before: Phase, after: Phase) -> None:
-        """Follow a request of this size from one phase to another."""
+        """Update the total for a request of this size that changes its phase."""
         self.held_kb += size_kb * (self._factor_by_phase[after] - self._factor_by_phase[before])
 
     def clear(self) -> None:
-        """Start again from zero where no request is open, so that rounding errors do not add up."""
+        """Reset the total to zero when no request is open, so that rounding errors don't add up."""
         self.held_kb = 0.0
 
     def total_kb(self) -> float:
-        """Return the kilobytes of this process: requests and idempotency entries."""
+        """Return the memory of this process in kilobytes: its requests and idempotency entries."""
         return self.held_kb + len(self._keys.ids) * (self._context.settings.idempotency_entry_kb or 0.0)
 
     def is_full(self, more_kb: float, share: float) -> bool:
-        """Tell whether this much more would pass this share of the node's memory."""
+        """Tell whether ``more_kb`` more would exceed this share of the node's memory."""
         total_kb = self.total_kb() + self._other_process.load.held_kb + more_kb
         return total_kb > share * self._context.settings.memory_kb
 
     def blocks_run(self, size_kb: float) -> bool:
-        """Tell whether there is no memory to start a held request of this size."""
+        """Tell whether memory is too full to start a held request of this size."""
         return self.is_full(size_kb * (self._factor_by_phase[RUNNING] - 1), RUN_MEMORY_SHARE)
 
     def never_fits(self, request: api.Request, request_class: api.ClassSettings) -> bool:
-        """Tell whether a run takes more than there is, alone on the node.
+        """Tell whether a run needs more memory than the node has, even if nothing else runs.
 
-        It would wait at the head of the hold until it is of no use, and all behind it with it.
+        Such a request would block the head of the queue, and all requests behind it, until it is too late.
         """
         settings = self._context.settings
         keyed = request_class.idempotency is api.Idempotency.KEYED
--- a/beechrock/policy/node.py
+++ b/beechrock/policy/node.py
@@ -1,4 +1,4 @@
-"""One node: wires the parts, and owns the order in which they see what happened."""
+"""One node: connects its parts and defines the order in which they process events."""
 
 import math
 from typing import NamedTuple
@@ -26,12 +26,12 @@
 from beechrock.policy.statistics import RunStatistics
 from beechrock.policy.tenants import TenantBudgets, TenantShares, TenantSpending
 
-ANSWER_MARGIN_TICKS = 3.0  # answers go out this many ticks before they are due
-DEFAULT_TICK_S = 0.004  # an answer at the due time is late by the batch that carries it
+ANSWER_MARGIN_TICKS = 3.0  # Ticks before the deadline at which an answer is sent
+DEFAULT_TICK_S = 0.004  # Tick where none is set: an answer sent at its deadline would be late by a batch
 
 
 class NodeLoad(NamedTuple):
-    """What another process of the node needs to know of this one."""
+    """Load of this process, as reported to another process of the node."""
 
     running: int
     held_kb: float
@@ -39,12 +39,12 @@
 
 
 class Node:
-    """Decides for one node: ``decide`` takes all that happened and gives what to do."""
+    """Decision module of one node: ``decide`` takes events and returns actions."""
 
     def __init__(self, settings: api.Settings, seed: int, now_s: float) -> None:
         context = self.context = Context(settings, now_s)
         context.actions.append(api.Health(True))
-        self._timer_at_s = math.inf  # when the earliest timer fires that is set
+        self._timer_at_s = math.inf  # Time of the earliest pending timer, in monotonic seconds
         self.cores = ThroughputMeter(context.mean_objective_s)
         self.other_process = OtherProcess(context)
         self.keys = IdempotencyKeys(context)
@@ -112,7 +112,7 @@
 
     @property
     def settings(self) -> api.Settings:
-        """The settings by which it decides now."""
+        """The settings in force."""
         return self.context.settings
 
     @property
@@ -122,11 +122,11 @@
 
     @property
     def started_s(self) -> float:
-        """When its cores came up (monotonic seconds)."""
+        """The time at which the cores came up (monotonic seconds)."""
         return self.context.started_s
 
     def decide(self, now_s: float, events: list[api.Event]) -> list[api.Action]:
-        """Take in all that happened until ``now_s`` (monotonic seconds), and return what to do."""
+        """Process the events up to ``now_s`` (monotonic seconds) and return the actions to take."""
         self._advance(now_s)
         for event in events:
             self._apply(event)
@@ -140,23 +140,23 @@
         return actions
 
     def load(self) -> NodeLoad:
-        """Return this process's load, for another process of the node."""
+        """Return this process's load, to be reported to another process of the node."""
         return NodeLoad(self.table.count[RUNNING], self.memory.total_kb(), self.calls.open_calls())
 
     def recent_launches(self, now_s: float) -> int:
-        """Return the launches of a cold node's window, for another process of the node; 0 once warm."""
+        """Return the launches in a cold node's window, to be reported to another process; 0 once warm."""
         return self.launches.recent(now_s)
 
     def tenant_spending(self) -> list[TenantSpending]:
-        """Return what each tenant has spent of its budget, in the order of the settings."""
+        """Return the budget spent by each tenant, in the order of the settings."""
         return self.budgets.spending()
 
     def set_started(self, started_s: float) -> None:
-        """Take the cores to have come up at this time (monotonic seconds)."""
+        """Set the time at which the cores came up (monotonic seconds)."""
         self.context.started_s = started_s
 
     def _advance(self, now_s: float) -> None:
-        """Let time pass for all parts."""
+        """Advance the time of all parts."""
         passed_s = now_s - self.context.now_s
         self.context.now_s = now_s
         self.cores.advance(passed_s, self.concurrency.fullness())
@@ -197,7 +197,7 @@
                     self._progress(entry, event)
 
     def _read(self, request: api.Request) -> None:
-        """Take in a request that was read, and decide on its admission."""
+        """Register a new request and decide on its admission."""
         settings = self.context.settings
         request_class = settings.classes[request.class_index]
         self.statistics.add_request(request, request_class, self.table.count[RUNNING])
@@ -213,7 +213,7 @@
         self.admission.decide(entry)
 
     def _progress(self, entry: OpenRequest, event: api.Event) -> None:
-        """Take in what happened to an open request."""
+        """Apply an event to its open request."""
         match event:
             case api.RunFinished(_, outcome, _):
                 self._finish(entry, outcome)
@@ -232,18 +232,18 @@
             on_cores = entry.phase == RUNNING
             cores_s = entry.cores_s + (self.context.now_s - entry.moved_s) * on_cores
             self.statistics.add_run(entry, outcome is api.Outcome.ERROR, cores_s)
-        elif outcome is api.Outcome.REJECTED:  # it never ran: its entry would only take memory
+        elif outcome is api.Outcome.REJECTED:  # It never ran, and the table removes its entry by itself
             self.keys.discard(entry.request.id)
         if entry.phase == CALLING:
             self.calls.abandon()
         self.table.move(entry, FINISHED)
 
     def _change_settings(self, current: api.Settings) -> None:
-        """Go by other settings; open requests, keys and what was learnt or spent of what stays go on."""
+        """Replace the settings; keep open requests, keys and the state of remaining classes and tenants."""
         previous = self.context.settings
         self.context.settings = current
         self.context.mean_objective_s = current.mean_latency_objective_s
-        if current.slow_start and not previous.slow_start:  # its cores came up anew
+        if current.slow_start and not previous.slow_start:  # The cores have been restarted
             self.context.started_s = self.context.now_s
         self.statistics.change_classes(previous, current)
         self.shares.change_tenants(previous, current)
@@ -252,7 +252,7 @@
         self.abacus.add_slots()
 
     def _answer_due(self) -> None:
-        """Answer what is due. Rule: everything read has its answer in time, running work included."""
+        """Answer requests that are due. Rule: each one is answered by its deadline, even while it runs."""
         for entry in self.table.pop_due():
             self.answers.give_up(entry)
         for entry in self.table.pop_useless():
@@ -265,7 +265,7 @@
                 self.answers.give_up(entry)
 
     def _start_runs(self) -> None:
-        """Start held requests by the ends of their objectives; reject what is of no use any more."""
+        """Start held requests in the order of their objectives' ends; reject those that are too late."""
         for queue in sorted(self.table.held, key=lambda queue: queue[:1]):
             while (entry := self.table.first(queue, HELD)) is not None:
                 if self._too_late(entry) or self.shutdown.past_grace(entry):
@@ -276,7 +276,7 @@
                     break
 
     def _too_late(self, entry: OpenRequest) -> bool:
-        """Tell whether a run would end only when it is of no use any more; not by an old estimate alone."""
+        """Tell whether a run would end too late to be useful; a due probe runs despite the estimate."""
         now_s = self.context.now_s
         if now_s + self.calls.remaining_s(entry) <= entry.useful_until_s:
             return False
@@ -304,14 +304,14 @@
             self.admission.remember(entry, entry.request_class.deadline_s + shared_ttl_s)
 
     def _set_timer(self) -> None:
-        """Set a timer for the earliest moment at which something falls due."""
+        """Set a timer for the earliest time at which a decision is due."""
         now_s = self.context.now_s
         kill_s = self.shutdown.kill_s
         launch_wait_s = self.launches.wait_s(0) if self.table.count[HELD] else 0.0
         at_s = min(
             self.abacus.slot_end_s,
             self.table.due[0].at_s if self.table.due else math.inf,
-            kill_s if kill_s > now_s else math.inf,  # once over: a timer each tick
+            kill_s if kill_s > now_s else math.inf,  # A time in the past would set a timer on every tick
             self.calls.next_try_s(),
             now_s + launch_wait_s if launch_wait_s else math.inf,
         )
--- a/beechrock/policy/phases.py
+++ b/beechrock/policy/phases.py
@@ -1,21 +1,21 @@
-"""The phases of a request in a node."""
+"""Phases of a request in a node."""
 
 from enum import IntEnum
 
 
 class Phase(IntEnum):
-    """Where a request is; a phase from RUNNING on means that its run has begun."""
+    """Phase of a request; from RUNNING on its run has started."""
 
     FINISHED = 0
-    HELD = 1  # admitted, or being decided on
-    SHARING = 2  # a repeat that waits for the result of its first
+    HELD = 1  # The request is admitted and queued, or being decided on
+    SHARING = 2  # The request is a repeat that waits for the first attempt's result
     RUNNING = 3
-    AWAITING_CALL = 4  # its run needs a downstream call
-    CALLING = 5
+    AWAITING_CALL = 4  # The run is off the cores and waits to issue a downstream call
+    CALLING = 5  # The run waits for its downstream call to end
 
 
-# Lookups on an enum class cost more than those of a module.
+# Module names, because looking up a member on the enum class costs more.
 FINISHED, HELD, SHARING, RUNNING, AWAITING_CALL, CALLING = Phase
 
-# A phase's part in the predicted waits: runs are half done in the mean.
+# Part of a request's work that is still ahead, by phase; runs are half done in the mean.
 SHARE_AHEAD = (0, 1, 0, 0.5, 0.5, 0.5)
--- a/beechrock/policy/probing.py
+++ b/beechrock/policy/probing.py
@@ -1,4 +1,4 @@
-"""Probe runs: what was learnt of runs and calls is tried again once it is old."""
+"""Probe runs: runs that are started despite bad estimates, to refresh the estimates."""
 
 from beechrock.policy.context import Context
 from beechrock.policy.phases import AWAITING_CALL, CALLING, RUNNING
@@ -6,24 +6,24 @@
 
 
 class Probing:
-    """Says when one run may begin though the estimates of run and call times are against it.
+    """Decides when one run may start although the estimated run and call times are too long.
 
-    They are learnt from runs alone. A node that rejects for them would never learn better: after one stall
-    of its cores, or of what lies below, it would reject all that comes for ever. This is the half-open state
-    of a circuit breaker, with no closed one.
+    The estimates are learnt only from runs. A node that rejects requests because of them would never correct
+    them: after one stall of its cores or of its downstream it would reject every request for ever. Probing
+    works like the half-open state of a circuit breaker, without a separate state for it.
     """
 
     def __init__(self, context: Context, table: RequestTable) -> None:
         self._context = context
         self._table = table
-        self._started_s = context.now_s  # when the newest run began
+        self._started_s = context.now_s  # Start of the newest run, in monotonic seconds
 
     def note_start(self) -> None:
-        """Note that a run begins."""
+        """Record that a run starts."""
         self._started_s = self._context.now_s
 
     def is_due(self) -> bool:
-        """Tell whether nothing runs, or no run has begun within the mean latency objective."""
+        """Tell whether nothing runs, or no run has started within the last mean latency objective."""
         count = self._table.count
         if count[RUNNING] + count[AWAITING_CALL] + count[CALLING] == 0:
             return True
--- a/beechrock/policy/queues.py
+++ b/beechrock/policy/queues.py
@@ -1,24 +1,24 @@
-"""Queues of requests by time."""
+"""Queues of requests in order of time."""
 
 from collections.abc import Container
 from heapq import heapify
 from typing import NamedTuple
 
-MAX_STALE_ENTRIES = 4096  # entries of a heap that are over and lie behind others, beside four a request
+MAX_STALE_ENTRIES = 4096  # Heap entries, beyond four per open request, at which stale ones are removed
 
 
 class QueueEntry(NamedTuple):
-    """One request of a queue and its time (monotonic seconds)."""
+    """Entry of a queue: a request and its time (monotonic seconds)."""
 
     at_s: float
     request_id: int
 
 
-Queue = list[QueueEntry]  # a heap
+Queue = list[QueueEntry]  # Heap, earliest time first
 
 
 def without_stale(queue: Queue, known: Container[int], open_requests: int) -> Queue:
-    """Return the queue without unknown requests once these are most of it, else the queue itself."""
+    """Return the queue itself, or a heap of its known requests if it is longer than allowed."""
     if len(queue) <= MAX_STALE_ENTRIES + 4 * open_requests:
         return queue
     known_entries = [entry for entry in queue if entry.request_id in known]
--- a/beechrock/policy/requests.py
+++ b/beechrock/policy/requests.py
@@ -1,7 +1,7 @@
-"""The table of open requests: their phases, and the totals that follow these.
+"""Table of open requests, their phases and the totals by phase.
 
-States: see ``phases``. A request is read as HELD, then runs, or shares the result of the request that it
-repeats, or is rejected; a run goes between RUNNING, AWAITING_CALL and CALLING until it is FINISHED. All
+``phases`` defines the states. A new request is HELD; it then runs, shares the result of the request that it
+repeats, or is rejected. A run moves between RUNNING, AWAITING_CALL and CALLING until it is FINISHED. All
 transitions go through ``RequestTable.move``.
 """
 
@@ -16,7 +16,7 @@
 
 
 class OpenRequest:
-    """One request from its reading until its answer is out and its run is over."""
+    """State of one request, from its arrival until it is answered and its run has ended."""
 
     __slots__ = (
         "__weakref__",
@@ -53,11 +53,11 @@
         self.request = request
         self.request_class = request_class
         self.idempotent = request_class.idempotency is api.Idempotency.IDEMPOTENT
-        self.work = work  # in the unit of hints, or by the mean of all runs
+        self.work = work  # Estimated work, in the unit of work hints or relative to the mean run
         self.arrived_s = now_s - request.age_s
         self.calls_left = calls_left
-        self.moved_s = now_s  # into its phase
-        self.cores_s = 0.0  # on the cores, in earlier phases
+        self.moved_s = now_s  # Time at which the current phase began
+        self.cores_s = 0.0  # Seconds on the cores in earlier phases
         self.must_call = calls_left > 0 and not request_class.skip_value_share
         if request.remaining_s is None:
             self.due_s = max(now_s, self.arrived_s + request_class.deadline_s)
@@ -67,18 +67,18 @@
         objective_per_work_s = request_class.latency_objective_per_work or 0.0
         self.objective_end_s = min(self.arrived_s + objective_s + objective_per_work_s * work, self.due_s)
         self.useful_until_s = self.due_s if request_class.late_value_share > 0 else self.objective_end_s
-        self.phase = FINISHED  # until the table has it
-        self.calls = 0  # issued
+        self.phase = FINISHED  # Until the request is added to the table
+        self.calls = 0  # Number of calls issued
         self.may_have_run = False
         self.answered = False
-        self.call_unsure = False  # its latest call may have had its effect: never again
+        self.call_unsure = False  # The latest call may have had its effect and must not be repeated
         self.stopped = False
-        self.budget_period: float | None = None  # that paid for it
+        self.budget_period: float | None = None  # Period of the tenant's budget that was charged
         self.launch: Launch | None = None
 
 
 class RequestTable:
-    """Owns the open requests, their counts by phase and the queues of what falls due."""
+    """Owns the open requests, their counts by phase and the queues of their due times."""
 
     def __init__(self, context: Context, memory: MemoryAccount) -> None:
         self._context = context
@@ -87,13 +87,13 @@
         self.count = [0] * len(Phase)
         self.work_ahead = 0.0
         self.calls_ahead = 0.0
-        self.due: Queue = []  # answers
-        self.use_end: Queue = []  # until when runs that can be stopped are of use
-        self.held: tuple[Queue, Queue] = ([], [])  # by the end of their objectives; second: must call
-        self.running_since: dict[int, float] = {}  # when each began, less its earlier time on the cores
+        self.due: Queue = []  # Times by which requests must be answered
+        self.use_end: Queue = []  # Times after which runs that can be stopped are too late to be useful
+        self.held: tuple[Queue, Queue] = ([], [])  # By the end of the objective; the second queue must call
+        self.running_since: dict[int, float] = {}  # Start of each run, less its earlier time on the cores
 
     def add(self, entry: OpenRequest, answer_by_s: float) -> None:
-        """Take in a request that was read, to be answered by this time."""
+        """Add a new request, which must be answered by ``answer_by_s``."""
         self.requests[entry.request.id] = entry
         self.move(entry, HELD)
         heappush(self.due, QueueEntry(answer_by_s, entry.request.id))
@@ -103,7 +103,7 @@
         heappush(self.held[entry.must_call], QueueEntry(entry.objective_end_s, entry.request.id))
 
     def move(self, entry: OpenRequest, phase: Phase, calls_left: float | None = None) -> None:
-        """Change a request's phase and the calls that it still needs; all totals follow here."""
+        """Change a request's phase and remaining calls, and update all totals."""
         now_s = self._context.now_s
         request_id = entry.request.id
         before = entry.phase
@@ -124,7 +124,7 @@
         entry.calls_left = calls
         if phase == FINISHED:
             del self.requests[request_id]
-        if not self.requests:  # so that rounding errors do not add up
+        if not self.requests:  # Reset the totals, so that rounding errors don't add up
             self._memory.clear()
             self.work_ahead = 0.0
             self.calls_ahead = 0.0
@@ -133,7 +133,7 @@
         return self._context.settings.stop_mode is not api.StopMode.NONE
 
     def first(self, queue: Queue, phase: Phase) -> OpenRequest | None:
-        """Return the queue's first request in this phase that waits for its answer; drop those before it."""
+        """Return the queue's first unanswered request in this phase; remove the entries before it."""
         while queue:
             entry = self.requests.get(queue[0].request_id)
             if entry is not None and entry.phase == phase and not entry.answered:
@@ -142,7 +142,7 @@
         return None
 
     def pop_due(self) -> list[OpenRequest]:
-        """Return the requests whose answers are due, and take them off the queue."""
+        """Remove the requests whose answers are due from the queue and return them."""
         due = []
         now_s = self._context.now_s
         while self.due and (self.due[0].at_s <= now_s or self.due[0].request_id not in self.requests):
@@ -152,25 +152,25 @@
         return due
 
     def pop_useless(self) -> list[OpenRequest]:
-        """Return runs, each once, that are of no use any more while others are held."""
+        """Return, once each, the runs that are too late to be useful while other requests are held."""
         useless = []
         while self.use_end and self.use_end[0].request_id not in self.requests:
-            heappop(self.use_end)  # or they pile up while nobody is held
+            heappop(self.use_end)  # Otherwise finished runs pile up while no request is held
         while self.use_end and self.count[HELD] and self.use_end[0].at_s < self._context.now_s:
             entry = self.requests.get(heappop(self.use_end).request_id)
             if entry is not None and entry.phase == RUNNING and not entry.stopped:
-                entry.stopped = True  # after a call a run is in the queue a second time
+                entry.stopped = True  # A run that returned from a call is in the queue twice
                 useless.append(entry)
         return useless
 
     def sweep(self) -> None:
-        """Keep the queues small."""
+        """Remove stale entries from the queues."""
         requests = self.requests
         self.due = without_stale(self.due, requests, len(requests))
         self.use_end = without_stale(self.use_end, requests, len(requests))
 
     def held_work_before(self, entry: OpenRequest) -> float:
-        """Return the held work that starts before this request, as its objectives end earlier."""
+        """Return the held work that starts before this request, because its objectives end earlier."""
         earlier = (
             self.requests.get(request_id)
             for queue in self.held
--- a/beechrock/policy/retry_advice.py
+++ b/beechrock/policy/retry_advice.py
@@ -1,4 +1,4 @@
-"""Retry advice: what a rejected caller hears of a further attempt."""
+"""Retry advice: tells a rejected caller when, or whether, to retry."""
 
 from beechrock import interface as api
 from beechrock.policy.abacus import AbacusFilter
@@ -10,13 +10,14 @@
 from beechrock.policy.requests import OpenRequest, RequestTable
 from beechrock.policy.statistics import RunStatistics
 
-READ_COST_SHARE = 0.05  # of a run: what reading may cost on one more node before an attempt is a loss
+# Share of a run's time that reading a retry on another node may cost, weighted by the relative overload.
+READ_COST_SHARE = 0.05
 MIN_READ_S = 1e-9
-CLASS_ONLY_SHARE = 0.95  # of the mean objective: under this wait the node as a whole is not full
+CLASS_ONLY_SHARE = 0.95  # Predicted wait, in mean objectives, below which only some classes are rejected
 
 
 class RetryAdvice:
-    """Rejects requests with the Retry-After that the abacus finds, or asks callers not to retry."""
+    """Rejects requests with a Retry-After, or asks callers not to retry."""
 
     def __init__(
         self,
@@ -37,11 +38,11 @@
         self._cores = cores
 
     def reject_for_elsewhere(self, entry: OpenRequest) -> None:
-        """Reject where this node is at fault, not the load: another one may take it."""
+        """Reject because of this node rather than of the load, so that another node may accept it."""
         self._reject_after(entry, self._abacus.longest_offset_s)
 
     def reject_overload(self, entry: OpenRequest) -> None:
-        """Reject where the load is too high, or what is late would be of no use."""
+        """Reject because the load is too high, or because the request is too late to be useful."""
         abacus = self._abacus
         if self._context.settings.sends_retry_after:
             wait_s = self._launches.wait_s(self._table.count[HELD] - 1)
@@ -50,7 +51,7 @@
                 self._answers.send(entry, api.Reject(entry.request.id, after_s))
                 return
         if abacus.peak_rate and self._class_only():
-            # Its caller may bring requests of others. Trying on costs as much as reading does.
+            # No Retry-After: the caller may send requests of other classes. A retry costs its reading.
             read_s = self._statistics.read_s or MIN_READ_S
             factor = 1 + READ_COST_SHARE * self._statistics.run_s / read_s
             no_retry = abacus.arrival_rate > factor * abacus.peak_rate
@@ -65,6 +66,6 @@
         return wait_s < CLASS_ONLY_SHARE * self._context.mean_objective_s
 
     def _reject_after(self, entry: OpenRequest, after_s: float | None) -> None:
-        """Reject with this Retry-After, or where there is none with the wish that no attempt follows."""
+        """Reject with this Retry-After; if it is None, ask the caller not to retry."""
         sent_s = after_s if self._context.settings.sends_retry_after else None
         self._answers.send(entry, api.Reject(entry.request.id, sent_s, after_s is None))
--- a/beechrock/policy/slow_start.py
+++ b/beechrock/policy/slow_start.py
@@ -1,10 +1,11 @@
-"""Slow start: what the settings promise of a node that came up cold, and what it may launch until it is warm.
-
-The operators' rule: a cold node falls when it gets more than N, with an allowance for chance, in the time
-that the settings name. Taken here as: launches in any overload window; N is what a warm node can do in that
-time, times the overload multiple, times the part of its speed that is promised at the window's start,
-and never under the crowd that the cores survive at once. A warm node's speed is not set: it can do at least
-what was begun and served here in the window. docs/crossings/slow-start.md has the other readings.
+"""Slow start: limits the runs that a cold node launches until it is warm.
+
+The operators' rule: a cold node fails if it gets more than N requests, with an allowance for chance, in the
+time that the settings give. This module applies the rule to the launches in every overload window. N is the
+work that a warm node completes in that time, times the overload multiple, times the share of its speed that
+the settings guarantee at the window's start; it is at least the number of runs that the cores survive at
+once. The settings don't contain a warm node's speed, so the runs that were launched and served in the window
+are used as its lower bound. docs/crossings/slow-start.md has the other interpretations of the rule.
 """
 
 import math
@@ -13,12 +14,12 @@
 
 from beechrock import interface as api
 
-MANY_REQUESTS = 30  # the rule's allowance is wider below this many requests
-UNBOUNDED_MULTIPLE = 1e9  # runs a core where no multiple is set: the crowd is no bound then
+MANY_REQUESTS = 30  # Expected requests below which the rule allows a wider margin
+UNBOUNDED_MULTIPLE = 1e9  # Runs per core that the cores survive where no multiple is set: no limit
 
 
 def speed_share(settings: api.Settings, age_s: float) -> float:
-    """Return the part of its full speed that a node has at least at this age; 1 once it is warm."""
+    """Return the guaranteed share of its full speed of a node of this age; 1 once it is warm."""
     if not settings.slow_start or not settings.slow_start_s:
         return 1.0
     initial_share = settings.slow_start_speed_share or 0.0
@@ -26,20 +27,21 @@
 
 
 def crowd_survived(settings: api.Settings, share: float) -> float:
-    """Return the runs on the cores at once that a node with this share of its speed survives."""
+    """Return the maximum number of concurrent runs that a node at this share of its speed survives."""
     return settings.cores * (1 + ((settings.overload_multiple or UNBOUNDED_MULTIPLE) - 1) * share)
 
 
 def max_requests(expected: float) -> float:
-    """Return how many requests may come where this many are expected: the rule's allowance for chance."""
+    """Return the expected number of requests plus the rule's allowance for chance."""
     root = math.sqrt(expected)
     return expected + 2 * root + 2 if expected >= MANY_REQUESTS else expected + 3 * root + 3
 
 
 def max_launches(settings: api.Settings, share: float, served: float) -> float:
-    """Return how many runs of mean work may begin in a window at this share of speed, so much served in it.
+    """Return the maximum number of runs of mean work in a window, given the speed and the work served in it.
 
-    The allowance falls where N passes ``MANY_REQUESTS``; N may be higher than known: the less holds.
+    The allowance drops where N reaches ``MANY_REQUESTS``. N may be higher than the known lower bound, so the
+    smaller of both allowances applies.
     """
     work = (settings.overload_multiple or UNBOUNDED_MULTIPLE) * share * served
     expected = max(crowd_survived(settings, share), work)
@@ -49,7 +51,7 @@
 
 @dataclass(slots=True)
 class Launch:
-    """One run that began, its work by the mean, and whether it was served since."""
+    """One started run: its start, its work relative to the mean, and whether it was served."""
 
     at_s: float
     work: float = 1.0
@@ -57,18 +59,18 @@
 
 
 class LaunchBudget:
-    """What a cold node launched in the last window, and how many runs it may begin now."""
+    """Tracks a cold node's launches in the last window and the number of runs that it may still start."""
 
     def __init__(self) -> None:
-        self.launches: deque[Launch] = deque()  # of the last window; emptied on a warm node
+        self.launches: deque[Launch] = deque()  # Launches of the last window; empty on a warm node
 
     def add(self, now_s: float, work: float = 1.0) -> Launch:
-        """Count a run that begins now, of this work by the mean."""
+        """Count a run that starts now; ``work`` is relative to the mean."""
         self.launches.append(launch := Launch(now_s, work))
         return launch
 
     def begun(self) -> float:
-        """Return what began in the window, in requests of mean work; a light one is a request as well."""
+        """Return the launches of the window in requests of mean work; a light run counts as one request."""
         return max(len(self.launches), sum(launch.work for launch in self.launches))
 
     def left(
@@ -78,7 +80,7 @@
         started_s: float,
         elsewhere: float | None = None,
     ) -> float:
-        """Return how many runs of mean work may begin now; infinite where warm, or without a window."""
+        """Return the number of runs of mean work that may start now; infinite if warm or without a window."""
         return min(self.available(settings, now_s, started_s, elsewhere))
 
     def available(
@@ -88,10 +90,11 @@
         started_s: float,
         elsewhere: float | None = None,
     ) -> tuple[float, float]:
-        """Return how many runs may begin now, and of how much work by the mean: the budget holds for both.
+        """Return the number of runs that may start now, and their work relative to the mean; both are bounds.
 
-        ``elsewhere``: launches of other processes on these cores; None where there are none. Of what these
-        leave, half is for this one: reports are some ticks old, and both would spend the rest at once.
+        ``elsewhere`` is the number of launches of other processes on these cores, or None if there are none.
+        This process gets half of the rest: reports are some ticks old, so both processes might spend the
+        whole rest at the same time.
         """
         window_s = settings.overload_window_s or 0.0
         share = speed_share(settings, now_s - window_s - started_s)
@@ -108,6 +111,6 @@
         return max(0.0, runs - len(self.launches)), max(0.0, work - begun_work)
 
     def frees_at(self, window_s: float, place: int) -> float:
-        """Return when the run of this place (0 the oldest) leaves the window; past the last, a later one."""
+        """Return when the launch at ``place`` (0 is the oldest) leaves the window; past the last it wraps."""
         windows, place = divmod(place, len(self.launches))
         return self.launches[place].at_s + (1 + windows) * window_s
--- a/beechrock/policy/tenants.py
+++ b/beechrock/policy/tenants.py
@@ -1,4 +1,4 @@
-"""Tenants of a node: their fair shares of the traffic, and their budgets."""
+"""Tenants of a node: their fair shares of the traffic and their budgets."""
 
 import math
 from typing import NamedTuple
@@ -8,21 +8,21 @@
 from beechrock.policy.context import Context, values_by_name
 from beechrock.policy.requests import OpenRequest
 
-TRAFFIC_DECAY = 0.995  # of a tenant's part of the traffic at each arrival: averages over 200 of them
-# Requests a second: stands for a quota of 0 where it is divided by. It is smaller than any quota.
+TRAFFIC_DECAY = 0.995  # Factor on each tenant's traffic at every arrival, a mean over about 200 arrivals
+# Requests per second: divisor in place of a quota of 0, smaller than any real quota.
 MIN_QUOTA_PER_S = 1e-290
-BUDGET_TOLERANCE = 1e-9  # of rounding errors in what was spent
+BUDGET_TOLERANCE = 1e-9  # Tolerance for rounding errors in the spent budget, in units
 
 
 class TenantSpending(NamedTuple):
-    """What a tenant has spent of its budget, and in which period (counted from 0)."""
+    """Budget spent by a tenant in a period (periods are counted from 0)."""
 
     spent: float
     period: float
 
 
 class TenantShares:
-    """Compares the traffic of tenants with their quotas."""
+    """Measures the traffic of tenants against their quotas."""
 
     def __init__(self, context: Context, abacus: AbacusFilter) -> None:
         self._context = context
@@ -32,22 +32,22 @@
         ]
 
     def add(self, tenant_index: int | None) -> None:
-        """Count a first attempt of a tenant."""
+        """Count the first attempt of a tenant's request."""
         self.traffic = [
             traffic * TRAFFIC_DECAY + (place == tenant_index) for place, traffic in enumerate(self.traffic)
         ]
 
     def weight(self, tenant: int | None) -> float:
-        """Return the value of a tenant's next request: 1, less beyond its quota.
+        """Return the weight of a tenant's next request: 1 within its quota, less beyond it.
 
-        Being beyond counts in comparison with the tenant that is least beyond its own.
+        The excess is relative to the tenant that exceeds its quota least.
         """
         settings = self._context.settings
         if settings.over_quota_weight is None or tenant is None or tenant >= len(self.traffic):
             return 1.0
         total = sum(self.traffic)
         arrival_rate = self._abacus.arrival_rate
-        # With a quota of 0 all of a tenant's requests are beyond it; absent, they are at it.
+        # Ratio of usage to quota. All requests exceed a quota of 0; without a quota the ratio is 1.
         over = [
             1.0
             if entry.quota_per_s is None
@@ -64,12 +64,12 @@
         return inside + (1 - inside) * settings.over_quota_weight
 
     def change_tenants(self, previous: api.Settings, current: api.Settings) -> None:
-        """Keep the traffic of the tenants that stay."""
+        """Keep the traffic of the tenants that remain."""
         self.traffic = values_by_name(self.traffic, previous.tenants, current.tenants, 0.0)
 
 
 class TenantBudgets:
-    """What tenants have spent of their budgets in the present periods; each node has an equal part."""
+    """Spent budgets of tenants in the current periods; each node of the fleet has an equal part."""
 
     def __init__(self, context: Context) -> None:
         self._context = context
@@ -93,24 +93,24 @@
         return (period + 1) * period_s - now_s if over else 0.0
 
     def spending(self) -> list[TenantSpending]:
-        """Return what each tenant has spent, in the order of the settings."""
+        """Return the budget spent by each tenant, in the order of the settings."""
         return [TenantSpending(*pair) for pair in zip(self.spent, self._periods, strict=True)]
 
     def spend(self, entry: OpenRequest) -> None:
-        """Take an admitted request's cost."""
+        """Charge the cost of an admitted request to its tenant."""
         place = entry.request.tenant_index
         if place is not None and place < len(self.spent):
             entry.budget_period = self._periods[place]
             self.spent[place] += entry.request_class.budget_cost
 
     def refund(self, entry: OpenRequest) -> None:
-        """Give back the cost of a request that never ran, if its period goes on."""
+        """Refund the cost of a request that never ran, if its budget period is still current."""
         place = entry.request.tenant_index or 0
         if entry.budget_period is not None and entry.budget_period == self._periods[place]:
             self.spent[place] -= entry.request_class.budget_cost
 
     def change_tenants(self, previous: api.Settings, current: api.Settings) -> None:
-        """Keep what the tenants that stay have spent."""
+        """Keep the spent budgets of the tenants that remain."""
         old, new = previous.tenants, current.tenants
         self.spent = values_by_name(self.spent, old, new, 0.0)
         self._periods = values_by_name(self._periods, old, new, 0.0)
--- a/beechrock/settings.py
+++ b/beechrock/settings.py
@@ -1,7 +1,7 @@
-"""The one parser of settings: from the JSON object that the simulator and the deployment both hand out.
+"""Parser of settings from the JSON object used by both the simulator and deployments.
 
-Which key holds which field stands in ``settings_names``; this module reads and checks the values. Errors name
-the place and the key as they are written in the operators' file.
+``settings_names`` maps fields to keys; this module reads and checks the values. Errors name the place and the
+key as they are written in the operators' file.
 """
 
 from collections.abc import Callable, Mapping, Sequence
@@ -16,13 +16,13 @@
 EnumT = TypeVar("EnumT", bound=Enum)
 
 REQUIRED = "a number above 0; no decision can do without"
-# Above any real setting (seconds, kilobytes, requests): what is larger, or not finite, would only fail later.
+# Larger than any real setting (seconds, kilobytes, requests); larger or non-finite values would fail later.
 MAX_NUMBER = 1e12
 ROOT = "settings"
 
 
 def gauges_from(order: Sequence[str], values: Sequence[float]) -> api.Gauges:
-    """Return the gauges for values that come in the settings' order; names that are not known are skipped."""
+    """Return the gauges from values in the settings' order; values of unknown names are skipped."""
     known = names.GAUGE_FIELDS
     return api.Gauges(
         **{known[name]: value for name, value in zip(order, values, strict=False) if name in known}
@@ -30,7 +30,7 @@
 
 
 def settings_from_json(text: bytes) -> tuple[api.Settings, tuple[str, ...]]:
-    """Parse the start message; also return the order in which gauges will come. Raises SettingsError."""
+    """Parse the start message into settings and the order of the gauges. Raises SettingsError if invalid."""
     try:
         document = ujson.loads(text)
     except ValueError as error:
@@ -39,7 +39,7 @@
 
 
 def settings_from(document: object) -> tuple[api.Settings, tuple[str, ...]]:
-    """Read the settings, and the order of the gauges, from a parsed object. Raises SettingsError."""
+    """Read the settings and the order of the gauges from a JSON object. Raises SettingsError if invalid."""
     if not isinstance(document, dict):
         raise api.SettingsError("not a JSON object", where=ROOT)
     node = _NodeReader(document)
@@ -95,56 +95,56 @@
 
 
 class _Reader:
-    """Checked values of one object of the file, by the names of our fields."""
+    """Reads and checks the values of one object of the file, by the field names of the interface."""
 
     def value(self, field: str) -> Any:
-        """Return what the file has for the field, None where it is absent."""
+        """Return the raw value of the field in the file, None if it is absent."""
         raise NotImplementedError
 
     def place(self, field: str) -> str:
-        """Return the place and the key of the field, as an error names them."""
+        """Return the place and the key of the field for error messages."""
         raise NotImplementedError
 
     def number(self, field: str) -> float | None:
-        """Return a time, size, count or part, None where it is absent. Raises SettingsError below 0."""
+        """Return a time, size, count or share, None if it is absent. Raises SettingsError below 0."""
         return _positive(self.value(field), self.place(field))
 
     def required_number(self, field: str) -> float:
-        """Return a number above 0. Raises SettingsError where it is absent or 0."""
+        """Return a number above 0. Raises SettingsError if it is absent, 0 or less."""
         value = self.number(field)
         if value is None or value <= 0:
             raise api.SettingsError("missing or not above 0", where=self.place(field), wanted=REQUIRED)
         return value
 
     def required_count(self, field: str) -> int:
-        """Return a count of at least 1. Raises SettingsError where it is absent or less."""
+        """Return a count of at least 1, rounded down. Raises SettingsError if it is absent or less."""
         value = self.required_number(field)
         if value < 1:
             raise api.SettingsError(f"{value:g} is under 1", where=self.place(field), wanted="1 or more")
         return int(value)
 
     def count(self, field: str) -> int | None:
-        """Return a count, rounded down, None where it is absent."""
+        """Return a count, rounded down, None if it is absent. Raises SettingsError below 0."""
         value = self.number(field)
         return None if value is None else int(value)
 
     def record(self, field: str) -> float | None:
-        """Return a number that is kept for records alone, so that any finite one will do."""
+        """Return a number that is only recorded, which may have any finite value; None if it is absent."""
         return _finite(self.value(field), self.place(field))
 
     def flag(self, field: str, default: bool = False) -> bool:
-        """Return a flag: absent and null are the default, 0 is false."""
+        """Return a flag; an absent or null value gives the default, and 0 is false."""
         value = self.value(field)
         return default if value is None else bool(value)
 
     def choice(self, field: str, members: Mapping[str, EnumT], default: EnumT) -> EnumT:
-        """Return the member that the file names; an unknown name counts as the absent setting."""
+        """Return the enum member named in the file; an absent or unknown name gives the default."""
         value = self.value(field)
         return members.get(value, default) if isinstance(value, str) else default
 
 
 class _NodeReader(_Reader):
-    """The file's top level and its sections."""
+    """Reads the top level of the file and its sections."""
 
     def __init__(self, document: dict[str, Any]) -> None:
         self.document = document
@@ -152,20 +152,20 @@
             self._section(section)
 
     def value(self, field: str) -> Any:
-        """Return what the top level, or the section of the field, has for it."""
+        """Return the raw value of the field from the top level or from its section."""
         section, _, key = names.NODE_PATHS[field].rpartition(".")
         return (self._section(section) if section else self.document).get(key)
 
     def place(self, field: str) -> str:
-        """Return the key of the field, as an error names it."""
+        """Return the key of the field for error messages."""
         return f"{ROOT}: {names.NODE_PATHS[field].rpartition('.')[2]}"
 
     def list(self, field: str) -> list[Any]:
-        """Return a list of the top level; absent, 0 or empty: there are none."""
+        """Return a list of the top level, which is empty if the value is absent, 0 or empty."""
         return _list(self.value(field), self.place(field))
 
     def class_entries(self) -> Sequence[Any]:
-        """Return the entries of the classes, of which there has to be one."""
+        """Return the entries of the classes. Raises SettingsError if there are none."""
         entries = self.value("classes")
         if not isinstance(entries, list) or not entries:
             raise api.SettingsError(
@@ -174,30 +174,30 @@
         return entries
 
     def listed_value(self, path: str, index: int) -> Any:
-        """Return the value for the class of this index from a list beside the classes, None where it ends."""
+        """Return a class's value from a list of values by class, None if the list is shorter."""
         section, key = path.removesuffix("[]").split(".")
         values = _list(self._section(section).get(key), self.listed_place(path))
         return values[index] if index < len(values) else None
 
     def listed_place(self, path: str) -> str:
-        """Return how an error names a list beside the classes."""
+        """Return the place of a list of values by class for error messages."""
         return f"{ROOT}: " + path.removesuffix("[]").replace(".", ": ")
 
     def gauge_order(self) -> tuple[str, ...]:
-        """Return the names of the gauges in the order in which their values come."""
+        """Return the names of the gauges in the order of their reported values."""
         section, key = names.GAUGE_ORDER_PATH.split(".")
         values = _list(self._section(section).get(key), self.listed_place(names.GAUGE_ORDER_PATH))
         return tuple(str(name) for name in values)
 
     def _section(self, name: str) -> dict[str, Any]:
-        value = self.document.get(name) or {}  # 0 or empty: nothing is set there
+        value = self.document.get(name) or {}  # A section that is 0, null or empty sets nothing
         if not isinstance(value, dict):
             raise api.SettingsError("not an object", where=f"{ROOT}: {name}")
         return value
 
 
 class _EntryReader(_Reader):
-    """One entry of a list: a class or a tenant."""
+    """Reads one entry of a list: a class or a tenant."""
 
     def __init__(self, entry: object, paths: dict[str, str], index: int) -> None:
         self.paths = paths
@@ -208,11 +208,11 @@
         self.entry = entry
 
     def value(self, field: str) -> Any:
-        """Return what the entry has for the field."""
+        """Return the raw value of the field in the entry, None if it is absent."""
         return self.entry.get(self._key(field))
 
     def place(self, field: str) -> str:
-        """Return the entry and the key of the field, as an error names them."""
+        """Return the entry and the key of the field for error messages."""
         return f"{self.where}: {self._key(field)}"
 
     def _key(self, field: str) -> str:
@@ -231,7 +231,7 @@
         return None
     if isinstance(value, bool) or not isinstance(value, (int, float)):
         raise api.SettingsError(f"{value!r:.40} is not a number", where=place)
-    if not -MAX_NUMBER <= value <= MAX_NUMBER:  # NaN, which is in no order with anything, is refused as well
+    if not -MAX_NUMBER <= value <= MAX_NUMBER:  # Also rejects NaN, for which both comparisons are false
         raise api.SettingsError(
             f"{value!r:.40} is out of all proportion",
             where=place,
@@ -260,13 +260,14 @@
 
 
 def _shared_call_limit(node: _NodeReader, field: str) -> float | None:
-    # A tier protects itself with the same decisions: the file's limit means nothing there.
+    # A tier below protects itself with this same software, so the file's limit doesn't apply to it.
     is_shared = _downstream(node, "downstream") is api.Downstream.SHARED
     return node.number(field) if is_shared else None
 
 
 def _shared_read_ttl_s(node: _NodeReader, field: str) -> float | None:
-    # Reads share answers in the tier that clients ask: a lower one never sees a read named as a repeat.
+    # Only the tier that clients call shares the results of reads: a lower tier never gets a read marked as a
+    # repeat.
     return None if node.count("tier") else node.number(field)
 
 
@@ -278,7 +279,7 @@
     return node.flag(field, default=True)
 
 
-# How each field is read, in the order in which its errors come up.
+# Reader of each field, in the order in which errors are reported.
 _REQUIRED_FIELDS: dict[str, Callable[[_NodeReader, str], Any]] = {
     "cores": _NodeReader.required_count,
     "memory_kb": _NodeReader.required_number,
--- a/beechrock/settings_names.py
+++ b/beechrock/settings_names.py
@@ -1,12 +1,13 @@
-"""Where the operators' file keeps each field of the settings, and its names of choices; none stand elsewhere.
+"""Names in the operators' file: the path of each settings field and the names of enum members.
 
-A path leads to a key: ``extra.cpus`` is the key ``cpus`` of the object ``extra``. ``[]`` stands for each
-entry of a list: ``grades[].worth`` of each class, ``extra.classCalls[]`` of a list beside the classes.
+This is the only module with these names. A path leads to a key: ``extra.cpus`` is the key ``cpus`` of the
+object ``extra``. ``[]`` means each entry of a list: ``grades[].worth`` is a key of each class, and
+``extra.classCalls[]`` is a list with one value for each class.
 """
 
 from beechrock import interface as api
 
-# Fields of ``Settings``.
+# Paths of the fields of ``Settings``.
 NODE_PATHS: dict[str, str] = {
     "cores": "extra.cpus",
     "memory_kb": "extra.memLimitKb",
@@ -52,7 +53,7 @@
     "price_connection": "prices.connection",
     "price_handshake": "prices.handshake",
 }
-# Fields of ``ClassSettings``.
+# Paths of the fields of ``ClassSettings``.
 CLASS_PATHS: dict[str, str] = {
     "latency_objective_s": "grades[].promiseS",
     "deadline_s": "grades[].giveUpS",
@@ -67,7 +68,7 @@
     "budget_cost": "grades[].price",
     "removed": "grades[].gone",
 }
-# Fields of ``TenantSettings``.
+# Paths of the fields of ``TenantSettings``.
 TENANT_PATHS: dict[str, str] = {
     "traffic_share": "tenants[].portion",
     "quota_per_s": "tenants[].quotaPerS",
@@ -77,9 +78,9 @@
     "removed": "tenants[].gone",
 }
 
-# The order in which gauges come is a list of these names; others are skipped.
+# Path of the list of gauge names, in the order of the reported values; unknown names are skipped.
 GAUGE_ORDER_PATH = "extra.ownStats"
-# By the file's name: the field of ``Gauges``.
+# Field of ``Gauges`` by the gauge's name in the file.
 GAUGE_FIELDS: dict[str, str] = {
     "cpu_busy": "cpu_busy",
     "runnable": "runnable",
@@ -87,7 +88,7 @@
     "sockets": "connections",
 }
 
-# The file's names of each enum's members; an unknown one counts as the absent setting.
+# Enum members by their names in the file; an unknown name is treated as an absent setting.
 IDEMPOTENCY_BY_NAME: dict[str, api.Idempotency] = {
     "safe": api.Idempotency.IDEMPOTENT,
     "keyed": api.Idempotency.KEYED,
@@ -110,5 +111,5 @@
     "one_for_all": api.Downstream.SHARED,
     "tier": api.Downstream.TIER,
 }
-# The value of ``worthBy`` under which a priority weight is one for each unit of work.
+# Value of ``worthBy`` that makes a priority weight apply per unit of work.
 WEIGHT_PER_WORK = "work"
--- a/beechrock/settings_reference.py
+++ b/beechrock/settings_reference.py
@@ -1,8 +1,8 @@
-"""The reference of settings: what every field means, its unit, and what absence and 0 stand for.
+"""Reference of settings: the meaning and unit of each field, and the meaning of an absent value and of 0.
 
-Decides nothing itself: ``settings.py`` reads, ``policy`` goes by the values, and ``settings_names.py`` has
-the names in the operators' file. This is the one list of meanings, for ``beechrock settings explain`` and
-docs/deployments.md; a test holds it to the interface's fields.
+This module is documentation only: ``settings.py`` reads the values, ``policy`` uses them, and
+``settings_names.py`` has the names in the operators' file. ``beechrock settings explain`` and
+docs/deployments.md show this list; a test checks that it has every field of the interface.
 """
 
 from collections.abc import Iterator
@@ -16,9 +16,9 @@
 
 @dataclass(frozen=True, slots=True)
 class FieldReference:
-    """One field: its name in the interface and in the file, and what goes by it.
+    """Reference of one field: its name in the interface, its path in the file, and its meaning.
 
-    ``effect`` says what is decided by the field, ``absent`` and ``zero`` what these stand for.
+    ``effect`` describes what the field decides; ``absent`` and ``zero`` describe an absent value and 0.
     """
 
     field: str
@@ -30,7 +30,7 @@
 
 
 def _rows(paths: dict[str, str], *rows: tuple[str, ...]) -> tuple[FieldReference, ...]:
-    """Return the rows ``(field, unit, effect, absent, zero)``; without the last, 0 is taken as it stands."""
+    """Build references from rows ``(field, unit, effect, absent, zero)``; ``zero`` may be left out."""
     return tuple(
         FieldReference(field, paths[field], unit, effect, absent, *(zero or ("as told",)))
         for field, unit, effect, absent, *zero in rows
@@ -148,7 +148,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ExplainedSetting:
-    """One setting of a file: its place there, the value that is in force, and whether the file has it."""
+    """One setting of a file: its path, its value in force, and whether the file sets it."""
 
     name: str
     value: Any
@@ -157,7 +157,7 @@
 
 
 def explain(document: dict[str, Any], settings: api.Settings) -> list[ExplainedSetting]:
-    """Return every field of ``settings`` as read from ``document``: the node's, then classes and tenants."""
+    """Explain every field of ``settings`` as read from ``document``: the node, then classes, then tenants."""
     explained = [_explain_node_field(row, document, settings) for row in NODE]
     for index, entry in enumerate(settings.classes):
         explained += _explain_entry(CLASS, entry, document, index)
@@ -167,7 +167,7 @@
 
 
 def unknown_names(document: dict[str, Any]) -> list[str]:
-    """Return the names in the file that the program does not go by, sorted: a misspelt one is among them."""
+    """Return the names in the file that the program doesn't use, sorted, such as misspelt ones."""
     known = {row.path for row in NODE} | {row.path.replace("[]", "") for row in (*CLASS, *TENANT)}
     known.add(names.GAUGE_ORDER_PATH)
     lists = (names.NODE_PATHS["classes"], names.NODE_PATHS["tenants"])
@@ -186,7 +186,7 @@
 
 
 def unmatched_fields() -> list[str]:
-    """Return fields without a reference and references without a field: any is a fault of this list."""
+    """Return fields without a reference and references without a field; there should be none."""
     unmatched = []
     for rows, kind in ((NODE, api.Settings), (CLASS, api.ClassSettings), (TENANT, api.TenantSettings)):
         unmatched += sorted({field.name for field in fields(kind)} ^ {row.field for row in rows})
@@ -194,7 +194,7 @@
 
 
 def markdown_table() -> Iterator[str]:
-    """Yield the list as the lines of a Markdown table."""
+    """Yield the lines of a Markdown table of all references."""
     yield "| in the file | unit | what goes by it | absent | 0 |"
     yield "| --- | --- | --- | --- | --- |"
     for row in (*NODE, *CLASS, *TENANT):
@@ -215,7 +215,7 @@
 ) -> Iterator[ExplainedSetting]:
     for row in rows:
         value = _plain(getattr(entry, row.field))
-        if row.path.endswith("[]"):  # one list for all classes, beside them
+        if row.path.endswith("[]"):  # The path is a list with one value for each class
             section, key = row.path.removesuffix("[]").split(".")
             values = document.get(section, {}).get(key)
             is_set = isinstance(values, list) and index < len(values) and values[index] is not None
--- a/beechrock/simhost.py
+++ b/beechrock/simhost.py
@@ -1,4 +1,4 @@
-"""Hosts many decision instances on the simulator's wire, on standard input and output."""
+"""Host of many decision instances that speaks the simulator's wire protocol on standard input and output."""
 
 import sys
 from typing import BinaryIO
@@ -7,11 +7,14 @@
 from beechrock import wire
 from beechrock.policy import Node
 
-Reply = list[tuple[int, api.Action | wire.Fault]]  # actions, with the instance of each
+Reply = list[tuple[int, api.Action | wire.Fault]]  # Pairs of an instance number and an action
 
 
 def read_frame(source: BinaryIO) -> bytes | None:
-    """Read the next complete batch; None at a clean end of input. Raises WireError at an end within one."""
+    """Read the next complete batch; return None at the end of input.
+
+    Raises WireError if the input ends within a batch.
+    """
     header = source.read(wire.BATCH_HEADER.size)
     if not header:
         return None
@@ -28,14 +31,14 @@
 
 
 class Host:
-    """The nodes of one process, by instance number; they share nothing."""
+    """Holds independent nodes of one process, by instance number."""
 
     def __init__(self) -> None:
         self._decoder = wire.Decoder()
-        self._nodes: dict[int, Node | None] = {}  # None: never started properly, or dead
+        self._nodes: dict[int, Node | None] = {}  # None: the start failed or the process died
 
     def answer(self, frame: bytes) -> bytes:
-        """Feed one batch to its nodes and return the reply frame. Raises WireError."""
+        """Pass one batch to its nodes and return the reply frame. Raises WireError if it is malformed."""
         batch = self._decoder.batch(frame)
         reply: Reply = []
         events_by_instance: dict[int, list[api.Event]] = {}
@@ -68,12 +71,12 @@
             return
         try:
             reply.extend((instance, action) for action in node.decide(clock_s, events))
-        except Exception as error:  # the simulator ends the day with the text; a fault must not be swallowed
+        except Exception as error:  # Reported: the simulator ends the day with this text
             reply.append((instance, wire.Fault(f"{type(error).__name__}: {error}")))
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends. Raises WireError."""
+    """Answer batches until the input ends. Raises WireError if the input is malformed."""
     host = Host()
     while (frame := read_frame(source)) is not None:
         sink.write(host.answer(frame))
@@ -81,7 +84,7 @@
 
 
 def main() -> int:
-    """Serve standard input and output; return the exit code."""
+    """Serve batches on standard input and output; return the exit code."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except wire.WireError as error:
--- a/beechrock/wire.py
+++ b/beechrock/wire.py
@@ -1,8 +1,8 @@
-"""Codec between the simulator's binary frames and ``beechrock.interface``; it decides nothing.
+"""Codec between the simulator's binary frames and ``beechrock.interface``; it makes no decisions.
 
-A batch is a header, fixed records of ``EVENT_BYTES`` and a tail of texts; a reply likewise with records of
-``ACTION_BYTES``. All numbers are big-endian; times are seconds, sizes kilobytes. This is the one
-place that names the wire's codes and the order of its fields.
+A batch is a header, fixed-size records of ``EVENT_BYTES`` and a tail of texts. A reply has the same form,
+with records of ``ACTION_BYTES``. All numbers are big-endian; times are in seconds, sizes in kilobytes. Only
+this module defines the codes of the wire and the order of its fields.
 """
 
 import struct
@@ -13,14 +13,14 @@
 from beechrock import interface as api
 from beechrock.settings import gauges_from, settings_from_json
 
-BATCH_HEADER = struct.Struct(">IIId")  # batch number, length of the frame, events, clock
-REPLY_HEADER = struct.Struct(">III")  # batch number, actions, length of the frame
+BATCH_HEADER = struct.Struct(">IIId")  # Batch number, frame length, number of events, clock in seconds
+REPLY_HEADER = struct.Struct(">III")  # Batch number, number of actions, frame length
 EVENT_BYTES = 64
 ACTION_BYTES = 24
 
 
 class EventCode(IntEnum):
-    """Codes of the records in a batch."""
+    """Record codes in a batch."""
 
     SHUTDOWN_NOTICE = 1
     RUN_FINISHED = 2
@@ -34,7 +34,7 @@
 
 
 class ActionCode(IntEnum):
-    """Codes of the records in a reply."""
+    """Record codes in a reply."""
 
     RUN = 65
     REJECT = 66
@@ -64,7 +64,7 @@
     410: api.Outcome.MOOT,
 }
 
-# Each record begins with its code and the number of the instance that it is about.
+# Each record begins with its code and the number of its instance.
 _ANY_EVENT = struct.Struct(">BH")
 _ARRIVED = struct.Struct(">BHIIBHQdHfdBdf")
 _PROCESS_STARTED = struct.Struct(">BHQII")
@@ -86,12 +86,12 @@
 
 
 class WireError(Exception):
-    """A frame that does not follow the wire; the text says what was wrong and where."""
+    """A frame violates the wire format; the text says what is wrong and where."""
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessStarted:
-    """A node comes up. ``problem`` is set in place of ``settings`` where those are unusable."""
+    """A node starts. If its settings are unusable, ``settings`` is None and ``problem`` says why."""
 
     seed: int
     settings: api.Settings | None
@@ -101,7 +101,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessDied:
-    """The process of a node is dead without warning."""
+    """The process of a node died without notice."""
 
 
 IncomingEvent = ProcessStarted | ProcessDied | api.Event
@@ -109,14 +109,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """Decision code failed; ends the simulated day with this text."""
+    """Failure of the decision code, with which the simulator ends the day; ``text`` is the reason."""
 
     text: str
 
 
 @dataclass(frozen=True, slots=True)
 class Batch:
-    """One frame: its number, the simulator's clock in seconds, and events with the instance of each."""
+    """A decoded frame: its number, the simulator's clock in seconds, and pairs of instance and event."""
 
     number: int
     clock_s: float
@@ -127,13 +127,13 @@
 
 
 class Decoder:
-    """Reads batches; remembers only in which order each instance's gauges come."""
+    """Decodes batches; its only state is the order of gauges of each instance."""
 
     def __init__(self) -> None:
         self._gauge_orders: dict[int, tuple[str, ...]] = {}
 
     def batch(self, frame: bytes) -> Batch:
-        """Decode a complete frame. Raises WireError."""
+        """Decode a complete frame. Raises WireError if it is malformed."""
         number, length, count, clock_s = BATCH_HEADER.unpack_from(frame)
         body = memoryview(frame)
         tail_start = BATCH_HEADER.size + count * EVENT_BYTES
@@ -255,7 +255,7 @@
 
 
 def encode_reply(number: int, actions: Iterable[tuple[int, api.Action | Fault]]) -> bytes:
-    """Encode the reply to the batch of this number: actions with the instance of each."""
+    """Encode the reply to batch ``number`` from pairs of an instance and its action."""
     records: list[bytes] = []
     tail = bytearray()
     for instance, action in actions:
@@ -266,7 +266,7 @@
 
 
 def _action_record(instance: int, action: api.Action | Fault, tail: bytearray) -> bytes:
-    """Encode one action; a text goes to the end of ``tail``."""
+    """Encode one action as a record; append its text, if any, to ``tail``."""
     code = _ACTION_CODES[type(action)]
     match action:
         case api.Reject(request_id, retry_after_s, no_retry):
