--- a/beechrock/policy/abacus.py
+++ b/beechrock/policy/abacus.py
@@ -60,8 +60,8 @@
         self.slot_end_s += self.slot_s
         self.arrival_rate += (self.arrivals / self.slot_s - self.arrival_rate) / RATE_SLOTS
         self.arrivals = 0.0
-        known = cores.busy_s > MIN_BUSY_OBJECTIVES * self._context.mean_objective_s
-        rate = cores.count / cores.busy_s if known else 0.0
+        rate_known = cores.busy_s > MIN_BUSY_OBJECTIVES * self._context.mean_objective_s
+        rate = cores.count / cores.busy_s if rate_known else 0.0
         self.peak_rate = max(PEAK_RATE_DECAY * self.peak_rate, rate)
         free = max(0.0, self.peak_rate - self.arrival_rate) * self.slot_s
         self._token_fraction, tokens = math.modf(self._token_fraction + free)
@@ -73,13 +73,13 @@
         if self.borrowed[0] > 0:
             self.borrowed[0] -= 1
             return self.first_offset_s
-        inside = [
+        reachable = [
             slot for slot in OFFSET_SLOTS if slot < len(self.tokens) and slot * self.slot_s <= give_up_s
         ]
-        for index, slot in enumerate(inside):
+        for index, slot in enumerate(reachable):
             if self.tokens[slot] > 0:
                 self.tokens[slot] -= 1
-                for passed in inside[:index]:
+                for passed in reachable[:index]:
                     self.borrowed[passed] += 1
                 return slot * self.slot_s
         return None
--- a/beechrock/policy/admission.py
+++ b/beechrock/policy/admission.py
@@ -127,7 +127,7 @@
         if self._shutdown.past_grace(entry):
             return Refusal.SHUTTING_DOWN
         # A failed idempotent run can be retried; the error of any other run is the answer to all its repeats.
-        if self._statistics.failing > FAILING_SHARE and not entry.idempotent:
+        if self._statistics.failure_share > FAILING_SHARE and not entry.idempotent:
             return Refusal.RUNS_FAIL
         if not self._fits(entry):
             return Refusal.OVERLOADED
--- a/beechrock/policy/calls.py
+++ b/beechrock/policy/calls.py
@@ -108,7 +108,7 @@
         """Tell whether more runs wait to call than calls may be in flight."""
         return self._table.count[AWAITING_CALL] > self.limit
 
-    def next_try_s(self) -> float:
+    def backoff_end_s(self) -> float:
         """Return when the backoff ends, if a run waits for that; otherwise infinity (monotonic seconds)."""
         waits = self._table.count[AWAITING_CALL] and self.paused_until_s > self._context.now_s
         return self.paused_until_s if waits else math.inf
@@ -122,7 +122,7 @@
         """Queue a run for its call; if the wait is too long and the call is optional, skip it at once."""
         # The run does need a call, even if its class was learnt to make none.
         entry.must_call = not entry.request_class.skip_value_share
-        left_s = self._skip_at_s(entry) - self._context.now_s
+        left_s = self._latest_skip_s(entry) - self._context.now_s
         late = self.meter.wait(self._table.count[AWAITING_CALL]) > WAIT_SHARE * left_s
         self._table.move(entry, AWAITING_CALL, calls_left)
         if late and not entry.must_call and self._may_skip():
@@ -133,20 +133,20 @@
         """Issue the calls that are allowed now; runs that are too late skip their call, or are given up."""
         while (entry := self._table.first(self._waiting, AWAITING_CALL)) is not None:
             now_s = self._context.now_s
-            end_s = entry.useful_until_s if entry.must_call else self._skip_at_s(entry)
-            share_s = self._share_left_s()
+            end_s = entry.useful_until_s if entry.must_call else self._latest_skip_s(entry)
+            time_left_s = self._call_time_left_s()
             # With none in flight a call is issued even so: only a call can show that calls are fast again.
             late = entry.call_unsure or (
                 now_s + self.mean_s > end_s and (now_s >= end_s or self._table.count[CALLING])
             )
             if late and (entry.must_call or self._may_skip()):
                 self._go_without(entry)  # Only while cores have capacity, so that not all return at once
-            elif late or not self._may_call(share_s):
+            elif late or not self._may_call(time_left_s):
                 break
             else:
                 self._table.move(entry, CALLING)
                 entry.calls += 1
-                max_wait_s = max(MIN_CALL_S, min(end_s - now_s, share_s))
+                max_wait_s = max(MIN_CALL_S, min(end_s - now_s, time_left_s))
                 self._context.actions.append(api.Call(entry.request.id, max_wait_s))
 
     def end(self, entry: OpenRequest, outcome: api.Outcome, elapsed_s: float) -> None:
@@ -191,19 +191,21 @@
         pause_s = min(MAX_PAUSE_S, FIRST_PAUSE_S * 2 ** min(self._failures, MAX_PAUSE_DOUBLINGS))
         self.paused_until_s = self._context.now_s + (not late) * pause_s
 
-    def _may_call(self, share_s: float) -> bool:
+    def _may_call(self, time_left_s: float) -> bool:
         """Tell whether one more call may be issued now."""
         limit = remaining_limit(self.limit, self._other_process.load.open_calls)
         return (
             self._concurrency.has_capacity()
             and self._context.now_s >= self.paused_until_s
-            and share_s >= max(self.mean_s, MIN_CALL_S)
+            and time_left_s >= max(self.mean_s, MIN_CALL_S)
             and self.open_calls() + 1 <= max(1.0, limit)
         )
 
     def _may_skip(self) -> bool:
         running = self._table.count[RUNNING]
-        return running < self._concurrency.run_limit(crowding=True) and self._concurrency.has_capacity()
+        return (
+            running < self._concurrency.run_limit(up_to_survivable=True) and self._concurrency.has_capacity()
+        )
 
     def _go_without(self, entry: OpenRequest) -> None:
         if entry.must_call:
@@ -212,12 +214,12 @@
         self._context.actions.append(api.SkipCall(entry.request.id))
         return self._table.move(entry, RUNNING, entry.calls_left - 1)
 
-    def _skip_at_s(self, entry: OpenRequest) -> float:
+    def _latest_skip_s(self, entry: OpenRequest) -> float:
         """Return the latest time to skip an optional call, so that the run still meets its objective."""
         skip_s = SKIP_TICKS * (self._context.settings.tick_s or 0.0)
         return entry.objective_end_s - self.remaining_s(entry) - skip_s
 
-    def _share_left_s(self) -> float:
+    def _call_time_left_s(self) -> float:
         """Return the seconds of call time in the window that are left for one more call.
 
         Rule: a limit below one call in the mean holds only if even a slow call that is abandoned still fits.
--- a/beechrock/policy/concurrency.py
+++ b/beechrock/policy/concurrency.py
@@ -7,7 +7,7 @@
 from beechrock.policy.other_process import OtherProcess, remaining_limit
 from beechrock.policy.phases import CALLING, HELD, RUNNING
 from beechrock.policy.requests import RequestTable
-from beechrock.policy.slow_start import crowd_survived, speed_share
+from beechrock.policy.slow_start import max_survivable_runs, speed_share
 from beechrock.policy.statistics import RunStatistics
 
 RUNS_PER_CORE = 1.2  # Initial limit: keeps all cores busy, and overload begins at 1.5 or more
@@ -15,12 +15,12 @@
 MAX_RUNS_PER_CORE = 2.5
 BUSY_SHARE = 0.95  # CPU utilisation from which the cores count as busy
 LIMIT_STEP = 0.5  # Change of the limit at each sample, in runs
-CROWD_SHARE = 0.75  # Share of the survivable crowd in use; the rest covers events seen one batch late
+SURVIVABLE_SHARE = 0.75  # Share of the survivable runs in use; the rest covers events seen one batch late
 LONG_RUN_WINDOWS = 2.0  # Overload windows after which a long run is ignored, being in the mean by then
 
 
 class ConcurrencyLimit:
-    """Learns how many runs keep the cores busy; its limit stays below the crowd (the most runs survived)."""
+    """Learns how many runs keep the cores busy, up to the crowd: a safe share of the runs they survive."""
 
     def __init__(
         self,
@@ -64,17 +64,17 @@
         """Scale the limit to a new number of cores."""
         self.limit = self.limit * current / previous
 
-    def run_limit(self, crowding: bool = False) -> int:
-        """Return the maximum number of runs on the cores; ``crowding`` ignores the learnt limit.
+    def run_limit(self, up_to_survivable: bool = False) -> int:
+        """Return the maximum number of runs on the cores; ``up_to_survivable`` ignores the learnt limit.
 
         Rule: the runs of all processes of the node together stay below the crowd that the cores survive.
         """
         context = self._context
         settings = context.settings
-        survived = crowd_survived(settings, speed_share(settings, context.now_s - context.started_s))
-        crowd = CROWD_SHARE * survived
+        survived = max_survivable_runs(settings, speed_share(settings, context.now_s - context.started_s))
+        crowd = SURVIVABLE_SHARE * survived
         running = self._other_process.load.running
-        limit = max(1, int(remaining_limit(crowd if crowding else min(self.limit, crowd), running)))
+        limit = max(1, int(remaining_limit(crowd if up_to_survivable else min(self.limit, crowd), running)))
         return max(0, min(limit, int(survived - running))) if running else limit
 
     def has_capacity(self) -> bool:
@@ -87,11 +87,11 @@
         Rule: if all return at once, the crowd is exceeded for less than the overload window; if the mean is
         near the crowd already, it is not exceeded at all.
         """
-        crowd = self.run_limit(crowding=True)
+        crowd = self.run_limit(up_to_survivable=True)
         window_s = self._context.settings.overload_window_s
         if not window_s:
             return math.inf
-        if crowd <= 1 or self.mean_running > CROWD_SHARE * crowd:  # One run may fill the crowd
+        if crowd <= 1 or self.mean_running > SURVIVABLE_SHARE * crowd:  # One run may fill the crowd
             return crowd
         if self._table.count[RUNNING] > crowd:  # Runs that returned take longer than estimated
             return crowd
--- a/beechrock/policy/launches.py
+++ b/beechrock/policy/launches.py
@@ -36,7 +36,11 @@
         """
         context = self._context
         warm = self.budget.left(context.settings, now_s, context.started_s) == math.inf
-        return 0 if warm else math.ceil(self.budget.begun()) + self._other_process.departed_launches(now_s)
+        return (
+            0
+            if warm
+            else math.ceil(self.budget.launched_work()) + self._other_process.departed_launches(now_s)
+        )
 
     def allows(self, request: api.Request) -> bool:
         """Tell whether the budget covers a run's whole work; the only run in a window may exceed it."""
@@ -56,4 +60,4 @@
         if (left := self.left()) >= 1 or not self.budget.launches:
             return 0.0
         window_s = self._context.settings.overload_window_s or 0.0
-        return max(0.0, self.budget.frees_at(window_s, int(ahead - left)) - self._context.now_s)
+        return max(0.0, self.budget.window_exit_s(window_s, int(ahead - left)) - self._context.now_s)
--- a/beechrock/policy/load_report.py
+++ b/beechrock/policy/load_report.py
@@ -11,8 +11,8 @@
 from beechrock.policy.shutdown import Shutdown
 
 # Predicted waits, in mean objectives, from which callers send less and at which they send nothing.
-LESS_OBJECTIVES, NOTHING_OBJECTIVES = 0.15, 0.55
-FLOOR_LESS_OBJECTIVES, FLOOR_NOTHING_OBJECTIVES = 0.25, 0.75  # The same for LoadReportKind.FLOOR
+REDUCE_OBJECTIVES, STOP_OBJECTIVES = 0.15, 0.55
+FLOOR_REDUCE_OBJECTIVES, FLOOR_STOP_OBJECTIVES = 0.25, 0.75  # The same for LoadReportKind.FLOOR
 MIN_CHANGE = 0.02  # Smallest change that is advertised, as a share of the value or of 1, whichever is more
 
 
@@ -58,12 +58,12 @@
         if self._context.now_s >= self._shutdown.unwanted_from_s or self._launches.wait_s(0):
             return 1.0
         if kind is api.LoadReportKind.FLOOR:
-            less, nothing = FLOOR_LESS_OBJECTIVES, FLOOR_NOTHING_OBJECTIVES
+            reduce_at, stop_at = FLOOR_REDUCE_OBJECTIVES, FLOOR_STOP_OBJECTIVES
         else:
-            less, nothing = LESS_OBJECTIVES, NOTHING_OBJECTIVES
+            reduce_at, stop_at = REDUCE_OBJECTIVES, STOP_OBJECTIVES
         wait_s = self._cores.wait(self._table.work_ahead) + self._health.unread_s
         waits = wait_s / self._context.mean_objective_s
-        return min(max((waits - less) / (nothing - less), 0.0), 1.0)
+        return min(max((waits - reduce_at) / (stop_at - reduce_at), 0.0), 1.0)
 
     def _capacity(self) -> float:
         """Return the number of requests that the node can hold and run at the same time."""
--- a/beechrock/policy/node.py
+++ b/beechrock/policy/node.py
@@ -255,7 +255,7 @@
         """Answer requests that are due. Rule: each one is answered by its deadline, even while it runs."""
         for entry in self.table.pop_due():
             self.answers.give_up(entry)
-        for entry in self.table.pop_useless():
+        for entry in self.table.pop_late_runs():
             self.answers.give_up(entry)
             self.context.actions.append(api.Stop(entry.request.id))
         self.table.sweep()
@@ -312,7 +312,7 @@
             self.abacus.slot_end_s,
             self.table.due[0].at_s if self.table.due else math.inf,
             kill_s if kill_s > now_s else math.inf,  # A time in the past would set a timer on every tick
-            self.calls.next_try_s(),
+            self.calls.backoff_end_s(),
             now_s + launch_wait_s if launch_wait_s else math.inf,
         )
         if at_s < self._timer_at_s:
--- a/beechrock/policy/requests.py
+++ b/beechrock/policy/requests.py
@@ -151,7 +151,7 @@
                 due.append(entry)
         return due
 
-    def pop_useless(self) -> list[OpenRequest]:
+    def pop_late_runs(self) -> list[OpenRequest]:
         """Return, once each, the runs that are too late to be useful while other requests are held."""
         useless = []
         while self.use_end and self.use_end[0].request_id not in self.requests:
--- a/beechrock/policy/slow_start.py
+++ b/beechrock/policy/slow_start.py
@@ -26,7 +26,7 @@
     return min(1.0, initial_share + (1 - initial_share) * max(0.0, age_s) / settings.slow_start_s)
 
 
-def crowd_survived(settings: api.Settings, share: float) -> float:
+def max_survivable_runs(settings: api.Settings, share: float) -> float:
     """Return the maximum number of concurrent runs that a node at this share of its speed survives."""
     return settings.cores * (1 + ((settings.overload_multiple or UNBOUNDED_MULTIPLE) - 1) * share)
 
@@ -44,7 +44,7 @@
     smaller of both allowances applies.
     """
     work = (settings.overload_multiple or UNBOUNDED_MULTIPLE) * share * served
-    expected = max(crowd_survived(settings, share), work)
+    expected = max(max_survivable_runs(settings, share), work)
     limit = max_requests(expected)
     return math.floor(limit if expected >= MANY_REQUESTS else min(limit, max_requests(MANY_REQUESTS)))
 
@@ -69,7 +69,7 @@
         self.launches.append(launch := Launch(now_s, work))
         return launch
 
-    def begun(self) -> float:
+    def launched_work(self) -> float:
         """Return the launches of the window in requests of mean work; a light run counts as one request."""
         return max(len(self.launches), sum(launch.work for launch in self.launches))
 
@@ -78,21 +78,21 @@
         settings: api.Settings,
         now_s: float,
         started_s: float,
-        elsewhere: float | None = None,
+        other_launches: float | None = None,
     ) -> float:
         """Return the number of runs of mean work that may start now; infinite if warm or without a window."""
-        return min(self.available(settings, now_s, started_s, elsewhere))
+        return min(self.available(settings, now_s, started_s, other_launches))
 
     def available(
         self,
         settings: api.Settings,
         now_s: float,
         started_s: float,
-        elsewhere: float | None = None,
+        other_launches: float | None = None,
     ) -> tuple[float, float]:
         """Return the number of runs that may start now, and their work relative to the mean; both are bounds.
 
-        ``elsewhere`` is the number of launches of other processes on these cores, or None if there are none.
+        ``other_launches``: launches of other processes on these cores, or None if there are none.
         This process gets half of the rest: reports are some ticks old, so both processes might spend the
         whole rest at the same time.
         """
@@ -105,12 +105,12 @@
             self.launches.popleft()
         served = [launch.work for launch in self.launches if launch.served]
         runs, work = max_launches(settings, share, len(served)), max_launches(settings, share, sum(served))
-        if elsewhere is not None:
-            runs, work = (runs - elsewhere) // 2, (work - elsewhere) // 2
+        if other_launches is not None:
+            runs, work = (runs - other_launches) // 2, (work - other_launches) // 2
         begun_work = sum(launch.work for launch in self.launches)
         return max(0.0, runs - len(self.launches)), max(0.0, work - begun_work)
 
-    def frees_at(self, window_s: float, place: int) -> float:
+    def window_exit_s(self, window_s: float, place: int) -> float:
         """Return when the launch at ``place`` (0 is the oldest) leaves the window; past the last it wraps."""
         windows, place = divmod(place, len(self.launches))
         return self.launches[place].at_s + (1 + windows) * window_s
--- a/beechrock/policy/statistics.py
+++ b/beechrock/policy/statistics.py
@@ -28,7 +28,7 @@
         self.mean_work = 0.0  # Mean work hint, in seconds; 0 before the first hint
         self.run_s = 0.0  # Mean time of a run on the cores, in seconds
         self.read_s = 0.0  # Mean age of a request when it is read while cores are free, in seconds
-        self.failing = 0.0  # Share of failed runs among the latest
+        self.failure_share = 0.0  # Share of failed runs among the latest
 
     def add_request(self, request: api.Request, request_class: api.ClassSettings, running: int) -> None:
         """Learn from a request that was read while ``running`` runs were on the cores."""
@@ -43,7 +43,7 @@
     def add_run(self, entry: OpenRequest, failed: bool, cores_s: float) -> None:
         """Learn from a run that ended after ``cores_s`` seconds on the cores."""
         class_index = entry.request.class_index
-        self.failing += FAILING_STEP * (failed - self.failing)
+        self.failure_share += FAILING_STEP * (failed - self.failure_share)
         run_s = max(MIN_RUN_S, cores_s)
         self.run_s += CLASS_STEP * (run_s - self.run_s) if self.run_s else run_s
         work = self.work_by_class[class_index]
@@ -53,7 +53,7 @@
 
     def end_slot(self, slot_s: float) -> None:
         """Decay the share of failed runs, because a node that only rejects sees no new runs."""
-        self.failing *= math.exp(-slot_s / self._context.mean_objective_s)
+        self.failure_share *= math.exp(-slot_s / self._context.mean_objective_s)
 
     def relative_work(self, request: api.Request) -> float:
         """Return a run's work relative to the mean, from its hint or from its class.
--- a/beechrock/policy/tenants.py
+++ b/beechrock/policy/tenants.py
@@ -48,7 +48,7 @@
         total = sum(self.traffic)
         arrival_rate = self._abacus.arrival_rate
         # Ratio of usage to quota. All requests exceed a quota of 0; without a quota the ratio is 1.
-        over = [
+        usage_ratios = [
             1.0
             if entry.quota_per_s is None
             else traffic
@@ -58,10 +58,12 @@
             / max(entry.quota_per_s, MIN_QUOTA_PER_S)
             for traffic, entry in zip(self.traffic, settings.tenants, strict=True)
         ]
-        present = (usage for usage, entry in zip(over, settings.tenants, strict=True) if not entry.removed)
+        present = (
+            ratio for ratio, entry in zip(usage_ratios, settings.tenants, strict=True) if not entry.removed
+        )
         lowest = min(present, default=1.0)
-        inside = min(1.0, max(1.0, lowest) / max(1.0, over[tenant]))
-        return inside + (1 - inside) * settings.over_quota_weight
+        within_quota = min(1.0, max(1.0, lowest) / max(1.0, usage_ratios[tenant]))
+        return within_quota + (1 - within_quota) * settings.over_quota_weight
 
     def change_tenants(self, previous: api.Settings, current: api.Settings) -> None:
         """Keep the traffic of the tenants that remain."""
--- a/beechrock/settings.py
+++ b/beechrock/settings.py
@@ -15,7 +15,7 @@
 
 EnumT = TypeVar("EnumT", bound=Enum)
 
-REQUIRED = "a number above 0; no decision can do without"
+REQUIRED = "a number above 0; this setting is required"
 # Larger than any real setting (seconds, kilobytes, requests); larger or non-finite values would fail later.
 MAX_NUMBER = 1e12
 ROOT = "settings"
@@ -73,7 +73,7 @@
         idempotency_window_s=reader.number("idempotency_window_s"),
         latency_objective_per_work=reader.number("latency_objective_per_work"),
         may_call=None if may_call is None else bool(may_call),
-        skip_value_share=_positive(
+        skip_value_share=_non_negative(
             skip_value_share, node.listed_place(names.CLASS_PATHS["skip_value_share"])
         ),
         name=str(reader.value("name") or ""),
@@ -107,7 +107,7 @@
 
     def number(self, field: str) -> float | None:
         """Return a time, size, count or share, None if it is absent. Raises SettingsError below 0."""
-        return _positive(self.value(field), self.place(field))
+        return _non_negative(self.value(field), self.place(field))
 
     def required_number(self, field: str) -> float:
         """Return a number above 0. Raises SettingsError if it is absent, 0 or less."""
@@ -233,14 +233,14 @@
         raise api.SettingsError(f"{value!r:.40} is not a number", where=place)
     if not -MAX_NUMBER <= value <= MAX_NUMBER:  # Also rejects NaN, for which both comparisons are false
         raise api.SettingsError(
-            f"{value!r:.40} is out of all proportion",
+            f"{value!r:.40} is out of range",
             where=place,
             wanted=f"a number of at most {MAX_NUMBER:g}",
         )
     return float(value)
 
 
-def _positive(value: object, place: str) -> float | None:
+def _non_negative(value: object, place: str) -> float | None:
     number = _finite(value, place)
     if number is not None and number < 0:
         raise api.SettingsError(f"{number:g} is below 0", where=place, wanted="0 or more")
--- a/beechrock/wire.py
+++ b/beechrock/wire.py
@@ -65,14 +65,14 @@
 }
 
 # Each record begins with its code and the number of its instance.
-_ANY_EVENT = struct.Struct(">BH")
+_EVENT_PREFIX = struct.Struct(">BH")
 _ARRIVED = struct.Struct(">BHIIBHQdHfdBdf")
 _PROCESS_STARTED = struct.Struct(">BHQII")
 _RUN_FINISHED = struct.Struct(">BHIdH")
 _CALL_ENDED = struct.Struct(">BHIHd")
 _TIMER_FIRED = struct.Struct(">BHQB4f")
 _SHUTDOWN_NOTICE = struct.Struct(">BHd")
-_ABOUT_REQUEST = struct.Struct(">BHI")
+_REQUEST_EVENT = struct.Struct(">BHI")
 _WORK_HINT_BIT, _RETRY_BIT, _WRITE_BIT = 1, 2, 4
 
 _REQUEST_ACTION = struct.Struct(">BHI")
@@ -150,7 +150,7 @@
         return Batch(number, clock_s, events)
 
     def _event(self, record: memoryview, tail: memoryview) -> tuple[int, IncomingEvent]:
-        code, instance = _ANY_EVENT.unpack_from(record)
+        code, instance = _EVENT_PREFIX.unpack_from(record)
         if code == EventCode.PROCESS_STARTED:
             start = _process_started(record, tail)
             self._gauge_orders[instance] = start.gauge_order
@@ -229,7 +229,7 @@
 
 
 def _request_id(record: memoryview) -> int:
-    _, _, request_id = _ABOUT_REQUEST.unpack_from(record)
+    _, _, request_id = _REQUEST_EVENT.unpack_from(record)
     return int(request_id)
 
 
