--- a/tests/policy/policy_helpers.py
+++ b/tests/policy/policy_helpers.py
@@ -1,4 +1,4 @@
-"""Classes of requests, settings and lines of requests that tests of the policy share."""
+"""Request classes, settings and scenarios shared by the tests of the decision module."""
 
 from dataclasses import replace
 
@@ -21,7 +21,7 @@
 )
 
 
-BELOW = {
+SHARED_DEPENDENCY = {
     "downstream": api.Downstream.SHARED,
     "shared_call_limit": 5.0,
     "abandoned_call_linger_s": 0.2,
@@ -30,14 +30,15 @@
 }
 
 
-def at_call(driver: Driver, klass: int = 0) -> tuple[int, list[api.Action]]:
-    ident, _ = driver.arrive(klass)
-    return ident, driver.tell(api.CallNeeded(ident))
+def arrive_and_call(driver: Driver, class_index: int = 0) -> tuple[int, list[api.Action]]:
+    ident, _ = driver.arrive(class_index)
+    return ident, driver.decide(api.CallNeeded(ident))
 
 
-# Two classes on a node that completes four a second, three on its cores. Seen on overloaded days: with each
-# request held to its own aim alone, every refusal hit the class of the shorter aim, though it overtakes.
-def two_aims() -> Driver:
+# A node with three cores that completes four requests a second, and two classes with different objectives.
+# Under overload, with each request bounded by its own objective alone, every rejection hit the class with the
+# shorter objective, although its requests overtake the others.
+def two_objectives() -> Driver:
     short, long = replace(SAFE, latency_objective_s=2.0), replace(SAFE, latency_objective_s=4.0)
     driver = Driver(settings(cores=3, classes=(short, long)))
     driver.warm_up()
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -1,78 +1,78 @@
-"""Admission: which requests are taken by their waits, objectives and value."""
+"""Admission: accepts or rejects requests by predicted wait, objective and value."""
 
 from dataclasses import replace
 
-from policy_helpers import two_aims
-from world import SAFE, Driver, ids, of, settings
+from policy_helpers import two_objectives
+from world import SAFE, Driver, actions_of, ids_of, settings
 
 from beechrock import interface as api
 from beechrock.policy.admission import MAX_WAIT_SHARE
 
 
-def refused(driver: Driver, klass: int, times: int) -> int:
-    return sum(len(of(api.Reject, driver.arrive(klass)[1])) for _ in range(times))
+def count_rejected(driver: Driver, class_index: int, times: int) -> int:
+    return sum(len(actions_of(api.Reject, driver.arrive(class_index)[1])) for _ in range(times))
 
 
-def test_everything_is_taken_while_no_completion_is_known() -> None:
+def test_all_requests_are_accepted_before_the_first_completion() -> None:
     driver = Driver()
     for _ in range(20):
         driver.arrive()
-    assert of(api.Reject, driver.said) == []
+    assert actions_of(api.Reject, driver.actions) == []
 
 
-def test_a_request_that_can_start_in_time_is_taken_and_one_that_cannot_is_refused_at_arrival() -> None:
+def test_a_request_that_can_start_in_time_is_accepted_and_others_are_rejected_at_arrival() -> None:
     driver = Driver()
     driver.warm_up()
-    kept, said = driver.arrive()
-    assert ids(api.Reject, said) == []
-    refused = [i for i, out in (driver.arrive() for _ in range(100)) if ids(api.Reject, out) == [i]]
-    assert kept not in refused
-    assert len(refused) > 50
+    kept, actions = driver.arrive()
+    assert ids_of(api.Reject, actions) == []
+    rejected = [i for i, out in (driver.arrive() for _ in range(100)) if ids_of(api.Reject, out) == [i]]
+    assert kept not in rejected
+    assert len(rejected) > 50
 
 
-def test_a_short_aim_is_taken_before_a_line_of_longer_ones() -> None:
-    driver = two_aims()
-    assert refused(driver, 1, 10) == 0
+def test_a_request_with_a_short_objective_is_accepted_before_a_queue_of_longer_ones() -> None:
+    driver = two_objectives()
+    assert count_rejected(driver, 1, 10) == 0
     assert driver.node.cores.wait(driver.node.table.work_ahead) > 0.95 * 1.8
-    assert refused(driver, 0, 1) == 0
+    assert count_rejected(driver, 0, 1) == 0
 
 
-def test_a_short_aim_is_refused_behind_a_line_of_its_own_kind() -> None:
-    driver = two_aims()
-    assert 0 < refused(driver, 0, 15) < 15
+def test_a_request_with_a_short_objective_is_rejected_behind_a_queue_of_its_own_class() -> None:
+    driver = two_objectives()
+    assert 0 < count_rejected(driver, 0, 15) < 15
     assert driver.node.cores.wait(driver.node.table.work_ahead) <= 0.95 * 2.0
 
 
-def test_a_line_is_held_to_the_mean_aim_for_the_longer_ones_too() -> None:
-    driver = two_aims()
-    assert 0 < refused(driver, 1, 24) < 24
+def test_the_queue_is_bounded_by_the_mean_objective_for_longer_objectives_too() -> None:
+    driver = two_objectives()
+    assert 0 < count_rejected(driver, 1, 24) < 24
     assert driver.node.cores.wait(driver.node.table.work_ahead) <= 0.95 * 3.0
 
 
-def test_where_room_is_short_the_class_of_less_worth_for_its_work_is_refused_first() -> None:
+def test_under_overload_the_class_with_less_value_per_work_is_rejected_first() -> None:
     cheap, dear = SAFE, replace(SAFE, priority_weight=9.0)
     driver = Driver(settings(classes=(cheap, dear)))
     driver.warm_up()
-    while not refused(driver, 0, 1):
+    while not count_rejected(driver, 0, 1):
         pass
-    assert refused(driver, 1, 1) == 0
-    while not refused(driver, 1, 1):
+    assert count_rejected(driver, 1, 1) == 0
+    while not count_rejected(driver, 1, 1):
         pass
     assert (
         driver.node.cores.wait(driver.node.table.work_ahead) > 0.5 * MAX_WAIT_SHARE * SAFE.latency_objective_s
     )
 
 
-def test_worth_that_counts_by_work_leaves_heavy_classes_their_gate() -> None:
-    told = settings(classes=(SAFE, replace(SAFE, name="heavy")), priority_weight_per_work=True)
-    driver = Driver(told)
+def test_a_priority_weight_per_work_does_not_reject_heavy_classes_earlier() -> None:
+    node_settings = settings(classes=(SAFE, replace(SAFE, name="heavy")), priority_weight_per_work=True)
+    driver = Driver(node_settings)
     driver.warm_up()
     driver.node.statistics.work_by_class = [0.2, 1.8]
-    takes = [len(of(api.Reject, driver.arrive(klass)[1])) for klass in (1, 0)]
-    assert takes == [0, 0]
-    same = Driver(replace(told, priority_weight_per_work=False))
+    rejections = [len(actions_of(api.Reject, driver.arrive(class_index)[1])) for class_index in (1, 0)]
+    assert rejections == [0, 0]
+    same = Driver(replace(node_settings, priority_weight_per_work=False))
     same.warm_up()
     same.node.statistics.work_by_class = [0.2, 1.8]
-    heavy = [of(api.Reject, same.arrive(1)[1]) for _ in range(9)]
-    plain = [of(api.Reject, driver.arrive(1)[1]) for _ in range(9)]
+    heavy = [actions_of(api.Reject, same.arrive(1)[1]) for _ in range(9)]
+    plain = [actions_of(api.Reject, driver.arrive(1)[1]) for _ in range(9)]
     assert sum(map(bool, heavy)) > sum(map(bool, plain))
--- a/tests/policy/test_idempotency.py
+++ b/tests/policy/test_idempotency.py
@@ -1,23 +1,23 @@
-"""Idempotency: no effect twice, and repeats are answered from their first."""
+"""Idempotency: no effect happens twice, and repeats share the result of the first attempt."""
 
 import weakref
 
 import pytest
-from world import Driver, ids, of, settings
+from world import Driver, actions_of, ids_of, settings
 
 from beechrock import interface as api
 from beechrock.policy.context import Context
 from beechrock.policy.idempotency import IdempotencyKeys
 
 
-def test_a_keyed_request_is_kept_for_the_rest_of_its_window_from_its_arrival() -> None:
+def test_a_keyed_request_is_remembered_for_the_rest_of_its_window() -> None:
     driver = Driver()
-    ident, said = driver.arrive(1, age_s=2.0)
-    assert of(api.Remember, said) == [api.Remember(ident, 28.0)]
+    ident, actions = driver.arrive(1, age_s=2.0)
+    assert actions_of(api.Remember, actions) == [api.Remember(ident, 28.0)]
 
 
 @pytest.mark.parametrize("state", ["held", "running", "done", "failed"])
-def test_a_repeat_is_answered_from_the_first_and_never_run_or_refused(state: str) -> None:
+def test_a_repeat_shares_the_first_attempts_result_and_is_never_run_or_rejected(state: str) -> None:
     driver = Driver()
     if state == "held":
         for _ in range(driver.node.concurrency.run_limit()):
@@ -26,103 +26,105 @@
     if state == "done":
         driver.complete([first])
     elif state == "failed":
-        driver.tell(api.RunFinished(first, api.Outcome.ERROR, 0.5))
-    repeat, said = driver.arrive(1, repeat_of=first, remaining_s=2.0)
-    assert ids(api.ShareResult, said) == [repeat]
-    driver.tell(after=2.0)
-    assert repeat in ids(api.Fail, driver.said)
-    assert repeat not in ids(api.Run, driver.said) + ids(api.Reject, driver.said)
-
-
-@pytest.mark.parametrize("klass", [1, 2])
-def test_what_may_not_run_again_is_refused_while_most_runs_fail_and_the_rest_runs(klass: int) -> None:
-    # Seen on a short day: 117 of 125 answers of one node were errors, within 3 ms, for 12 s; each write that
-    # failed there had all its repeats answered with that error, while the other nodes had room.
+        driver.decide(api.RunFinished(first, api.Outcome.ERROR, 0.5))
+    repeat, actions = driver.arrive(1, repeat_of=first, remaining_s=2.0)
+    assert ids_of(api.ShareResult, actions) == [repeat]
+    driver.decide(after=2.0)
+    assert repeat in ids_of(api.Fail, driver.actions)
+    assert repeat not in ids_of(api.Run, driver.actions) + ids_of(api.Reject, driver.actions)
+
+
+@pytest.mark.parametrize("class_index", [1, 2])
+def test_only_idempotent_requests_run_while_most_runs_fail(class_index: int) -> None:
+    # Regression: for 12 s, 117 of 125 answers of one node were errors within 3 ms. All repeats of each write
+    # that failed there were answered with that error, while other nodes had capacity.
     driver = Driver()
     for _ in range(8):
         safe, _ = driver.arrive()
-        driver.tell(api.RunFinished(safe, api.Outcome.ERROR, 0.001))
-    write, said = driver.arrive(klass)
-    assert of(api.Reject, said) == [api.Reject(write, driver.node.abacus.longest_offset_s)]
-    assert of(api.Remember, said) == []  # a try elsewhere, or here later on, may run
-    safe, said = driver.arrive()
-    assert ids(api.Run, said) == [safe]
-    driver.tell(api.RunFinished(safe, api.Outcome.ERROR, 0.001))
-    driver.tell(after=2 * driver.node.context.mean_objective_s)  # nothing is known: it is tried again
-    write, said = driver.arrive(klass)
-    assert ids(api.Run, said) == [write]
-
-
-def test_one_failed_run_in_three_keeps_no_write_away() -> None:
+        driver.decide(api.RunFinished(safe, api.Outcome.ERROR, 0.001))
+    write, actions = driver.arrive(class_index)
+    assert actions_of(api.Reject, actions) == [api.Reject(write, driver.node.abacus.longest_offset_s)]
+    assert actions_of(api.Remember, actions) == []  # A retry on another node, or later on this one, may run
+    safe, actions = driver.arrive()
+    assert ids_of(api.Run, actions) == [safe]
+    driver.decide(api.RunFinished(safe, api.Outcome.ERROR, 0.001))
+    driver.decide(
+        after=2 * driver.node.context.mean_objective_s
+    )  # The share of failed runs has decayed, so runs are tried again
+    write, actions = driver.arrive(class_index)
+    assert ids_of(api.Run, actions) == [write]
+
+
+def test_writes_are_accepted_while_one_run_in_three_fails() -> None:
     driver = Driver()
     for outcome in (api.Outcome.OK, api.Outcome.ERROR, api.Outcome.OK) * 4:
         safe, _ = driver.arrive()
-        driver.tell(api.RunFinished(safe, outcome, 0.01), after=0.01)
-    write, said = driver.arrive(1)
-    assert ids(api.Run, said) == [write]
+        driver.decide(api.RunFinished(safe, outcome, 0.01), after=0.01)
+    write, actions = driver.arrive(1)
+    assert ids_of(api.Run, actions) == [write]
 
 
-def test_a_repeat_of_a_write_that_failed_is_still_answered_from_it_while_most_runs_fail() -> None:
+def test_a_repeat_of_a_failed_write_shares_its_result_while_most_runs_fail() -> None:
     driver = Driver()
     first, _ = driver.arrive(1)
     for ident in (first, *(driver.arrive()[0] for _ in range(8))):
-        driver.tell(api.RunFinished(ident, api.Outcome.ERROR, 0.001))
-    repeat, said = driver.arrive(1, repeat_of=first)
-    assert ids(api.ShareResult, said) == [repeat]
+        driver.decide(api.RunFinished(ident, api.Outcome.ERROR, 0.001))
+    repeat, actions = driver.arrive(1, repeat_of=first)
+    assert ids_of(api.ShareResult, actions) == [repeat]
 
 
-def test_an_entry_forgotten_before_it_ran_frees_the_way_but_a_repeat_that_names_it_is_not_run() -> None:
+def test_a_key_forgotten_before_its_run_may_run_again_but_a_repeat_of_the_first_may_not() -> None:
     driver = Driver()
     running = [driver.arrive()[0] for _ in range(driver.node.concurrency.run_limit())]
     first, _ = driver.arrive(1)
-    assert ids(api.Forget, driver.tell(api.CallerDisconnected(first))) == [first]
-    named, _ = driver.arrive(1, repeat_of=first)
-    fresh, _ = driver.arrive(1)
+    assert ids_of(api.Forget, driver.decide(api.CallerDisconnected(first))) == [first]
+    repeat, _ = driver.arrive(1, repeat_of=first)
+    new_attempt, _ = driver.arrive(1)
     driver.complete(running)
-    assert fresh in ids(api.Run, driver.said)
-    assert named not in ids(api.Run, driver.said)
+    assert new_attempt in ids_of(api.Run, driver.actions)
+    assert repeat not in ids_of(api.Run, driver.actions)
 
 
-@pytest.mark.parametrize("klass", [1, 2])
-def test_an_effect_that_may_have_happened_is_failed_not_refused(klass: int) -> None:
+@pytest.mark.parametrize("class_index", [1, 2])
+def test_a_request_that_may_have_run_is_failed_not_rejected(class_index: int) -> None:
     driver = Driver()
-    ident, _ = driver.arrive(klass, remaining_s=1.0)
-    said = driver.tell(after=1.0)
-    assert ids(api.Fail, said) == [ident]
-    assert ids(api.Reject, said) == []
+    ident, _ = driver.arrive(class_index, remaining_s=1.0)
+    actions = driver.decide(after=1.0)
+    assert ids_of(api.Fail, actions) == [ident]
+    assert ids_of(api.Reject, actions) == []
 
 
-def test_a_refused_keyed_request_leaves_no_entry() -> None:
+def test_a_rejected_keyed_request_leaves_no_entry() -> None:
     driver = Driver()
     for _ in range(driver.node.concurrency.run_limit()):
         driver.arrive()
     ident, _ = driver.arrive(1)
-    said = driver.tell(after=4.0)
-    assert ids(api.Reject, said).count(ident) == 1
-    assert ids(api.Forget, said) == [ident]
+    actions = driver.decide(after=4.0)
+    assert ids_of(api.Reject, actions).count(ident) == 1
+    assert ids_of(api.Forget, actions) == [ident]
     assert not driver.node.keys.ids
 
 
-def test_reads_share_a_fresh_answer_only_where_the_site_allows_it() -> None:
-    for fresh, shared in ((None, 0), (0.0, 0), (2.0, 1)):
-        driver = Driver(settings(shared_read_ttl_s=fresh))
+def test_reads_share_a_recent_result_only_if_the_settings_allow_it() -> None:
+    for ttl_s, shared in ((None, 0), (0.0, 0), (2.0, 1)):
+        driver = Driver(settings(shared_read_ttl_s=ttl_s))
         first, _ = driver.arrive(key=7)
-        _, said = driver.arrive(key=7, repeat_of=first)
-        assert len(of(api.ShareResult, said)) == shared
-        assert len(of(api.Remember, driver.said)) == shared
+        _, actions = driver.arrive(key=7, repeat_of=first)
+        assert len(actions_of(api.ShareResult, actions)) == shared
+        assert len(actions_of(api.Remember, driver.actions)) == shared
 
 
-def test_a_kept_key_outlives_its_job_without_holding_it() -> None:
+def test_an_idempotency_entry_outlives_its_request_without_a_reference_to_it() -> None:
     driver = Driver()
     ident, _ = driver.arrive(1)
-    job = weakref.ref(driver.node.table.requests[ident])
+    request_ref = weakref.ref(driver.node.table.requests[ident])
     driver.complete([ident])
-    assert (ident in driver.node.keys.ids, job()) == (True, None)
-    again, said = driver.arrive(1, repeat_of=ident)
-    assert (ids(api.ShareResult, said), ids(api.Run, said)) == ([again], [])
+    assert (ident in driver.node.keys.ids, request_ref()) == (True, None)
+    again, actions = driver.arrive(1, repeat_of=ident)
+    assert (ids_of(api.ShareResult, actions), ids_of(api.Run, actions)) == ([again], [])
 
 
-def test_an_entry_that_outlived_its_window_is_counted_while_it_stands() -> None:
+def test_an_entry_past_its_window_is_counted_while_the_table_holds_it() -> None:
     short = api.ClassSettings(
         latency_objective_s=3.0, deadline_s=9.0, idempotency=api.Idempotency.KEYED, idempotency_window_s=0.5
     )
@@ -131,7 +133,7 @@
     )
     driver.arrive(0, age_s=1.0, size_kb=1.0)
     driver.arrive(0, age_s=1.0, size_kb=1.0)
-    assert len(of(api.Remember, driver.said)) == 1  # the second would have no room
+    assert len(actions_of(api.Remember, driver.actions)) == 1  # There is no memory for a second entry
 
 
 def test_keys_alone_are_counted_until_they_expire_and_forgotten_once() -> None:
--- a/tests/policy/test_meter.py
+++ b/tests/policy/test_meter.py
@@ -1,4 +1,4 @@
-"""The throughput meter and predicted waits."""
+"""Throughput meter: rates and predicted waits."""
 
 import pytest
 from world import Driver, settings
@@ -6,11 +6,11 @@
 from beechrock.policy.meter import ThroughputMeter
 
 
-def test_the_rate_is_unlearned_when_full_cores_complete_nothing() -> None:
+def test_the_rate_falls_while_full_cores_complete_nothing() -> None:
     driver = Driver()
     driver.warm_up()
     before = driver.node.cores.wait(10.0)
-    driver.tell(after=3.0)
+    driver.decide(after=3.0)
     assert driver.node.cores.wait(10.0) > 1.4 * before
 
 
@@ -19,11 +19,11 @@
     driver.warm_up()
     driver.complete(driver.running)
     before = driver.node.cores.wait(10.0)
-    driver.tell(after=20.0)
+    driver.decide(after=20.0)
     assert driver.node.cores.wait(10.0) == pytest.approx(before)
 
 
-def test_hints_weigh_the_wait() -> None:
+def test_work_hints_weight_the_predicted_wait() -> None:
     waits = []
     for work in (0.1, 1.0):
         driver = Driver(settings(cores=8))
@@ -34,11 +34,11 @@
     assert waits[1] > 3 * waits[0]
 
 
-def test_a_meter_alone_knows_no_wait_before_a_completion_and_then_that_of_its_rate() -> None:
+def test_a_meter_predicts_no_wait_before_a_completion_and_then_uses_its_rate() -> None:
     meter = ThroughputMeter(memory_s=1e6)
     assert meter.wait(10.0) == 0.0
     meter.advance(2.0, fullness=1.0)
     meter.add(4.0)
     assert meter.wait(10.0) == pytest.approx(5.0)
-    meter.advance(3.0, fullness=0.0)  # an idle pause is not slowness
+    meter.advance(3.0, fullness=0.0)  # An idle pause doesn't count as slowness
     assert meter.wait(10.0) == pytest.approx(5.0)
--- a/tests/policy/test_module_limits.py
+++ b/tests/policy/test_module_limits.py
@@ -1,4 +1,4 @@
-"""The decision module's lines stay readable, and the deploy file names all of its files."""
+"""Limits on the size of the decision module's files and lines, and the list of them in the deploy file."""
 
 import tomllib
 from pathlib import Path
@@ -17,5 +17,5 @@
 
 
 def test_the_deploy_file_names_every_file_of_the_policy() -> None:
-    told = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
-    assert sorted(told) == [str(file.relative_to(ROOT)) for file in FILES]
+    listed = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
+    assert sorted(listed) == [str(file.relative_to(ROOT)) for file in FILES]
--- a/tests/policy/test_other_process.py
+++ b/tests/policy/test_other_process.py
@@ -1,38 +1,38 @@
-"""Another process of this node, on the same cores."""
+"""Other process of the same node: its load counts against the node's limits."""
 
-from world import Driver, ids, settings
+from world import Driver, ids_of, settings
 
 from beechrock import interface as api
 from beechrock.policy.context import Context
 from beechrock.policy.other_process import OtherProcess, remaining_limit
 
 
-def test_what_another_process_runs_is_left_to_it_up_to_a_half() -> None:
+def test_runs_of_another_process_reduce_the_run_limit_by_at_most_half() -> None:
     driver = Driver(settings(cores=3))
     alone = driver.node.concurrency.run_limit()
     assert alone == 3
     for runs, left in ((1, 2), (2, 1), (9, 1), (0, alone)):
-        driver.tell(api.OtherProcessLoad(runs))
+        driver.decide(api.OtherProcessLoad(runs))
         assert driver.node.concurrency.run_limit() == left
 
 
-def test_what_another_process_holds_fills_the_memory_and_its_calls_are_counted() -> None:
+def test_memory_and_calls_of_another_process_count_against_the_limits() -> None:
     driver = Driver()
-    driver.tell(api.OtherProcessLoad(held_kb=90_000.0))
-    ident, said = driver.arrive()
-    assert ids(api.Reject, said) == [ident]
-    driver.tell(api.OtherProcessLoad())
-    ident, said = driver.arrive()
-    assert ids(api.Run, said) == [ident]
-    below = Driver(
+    driver.decide(api.OtherProcessLoad(held_kb=90_000.0))
+    ident, actions = driver.arrive()
+    assert ids_of(api.Reject, actions) == [ident]
+    driver.decide(api.OtherProcessLoad())
+    ident, actions = driver.arrive()
+    assert ids_of(api.Run, actions) == [ident]
+    calling = Driver(
         settings(downstream=api.Downstream.SHARED, shared_call_limit=2.5, shared_call_window_s=5.0)
     )
-    first, second = (below.arrive()[0] for _ in range(2))
-    below.tell(api.OtherProcessLoad(open_calls=1))
-    said = below.tell(api.CallNeeded(first), api.CallNeeded(second))
-    assert len(ids(api.Call, said)) == 1  # two at once, alone
-    below.tell(api.OtherProcessLoad())
-    assert len(ids(api.Call, below.said)) == 2
+    first, second = (calling.arrive()[0] for _ in range(2))
+    calling.decide(api.OtherProcessLoad(open_calls=1))
+    actions = calling.decide(api.CallNeeded(first), api.CallNeeded(second))
+    assert len(ids_of(api.Call, actions)) == 1  # Without the other process two calls are allowed
+    calling.decide(api.OtherProcessLoad())
+    assert len(ids_of(api.Call, calling.actions)) == 2
 
 
 def test_launches_of_a_process_that_left_count_for_one_window() -> None:
--- a/tests/policy/test_probing.py
+++ b/tests/policy/test_probing.py
@@ -1,4 +1,4 @@
-"""A node whose estimates come from a time of stalls: it takes requests again once there is none."""
+"""Probing: a node with estimates from a stall accepts requests again once the stall has ended."""
 
 import heapq
 from dataclasses import dataclass, field
@@ -24,14 +24,14 @@
     TimerFired,
 )
 
-SHORT_S = 0.006  # a run, or its call
-GAP_S = 0.1  # between two requests
-ON_CORES_S = 0.003  # of a run before its call, and after it
+SHORT_S = 0.006  # Duration of a normal run or of its call
+GAP_S = 0.1  # Time between two requests
+ON_CORES_S = 0.003  # Time of a run on the cores before its call, and after it
 
 
 @dataclass
 class World:
-    """Runs what a node lets run; ``times_s`` says for how long, by request."""
+    """Simulates the runs or calls of one node; ``times_s`` has their durations by request."""
 
     calls: bool
     times_s: dict[int, float] = field(default_factory=dict)
@@ -88,7 +88,7 @@
 @pytest.mark.parametrize("calls", [False, True], ids=["runs", "calls"])
 @pytest.mark.parametrize("before", [0, 3, 100])
 def test_a_node_that_idles_after_a_stall_takes_requests_again(before: int, calls: bool) -> None:
-    """It rejected all that came for ever, as it learns from runs alone and began none."""
+    """Regression: the node rejected every request for ever, as it learns only from runs and began none."""
     world = World(calls)
     for n in range(before):
         world.ask(n * GAP_S, SHORT_S)
@@ -102,7 +102,7 @@
 
 
 def test_a_run_that_hangs_on_one_core_of_four_does_not_keep_the_others_from_requests() -> None:
-    """The listed play: while one run was held a node's other requests were rejected for a minute."""
+    """Regression: while one run hung, the node's other requests were rejected for a minute."""
     world = World(calls=False)
     world.ask(0.0, 200.0)
     slow = [world.ask(20.0 + n, 0.8) for n in range(2)]
@@ -120,10 +120,10 @@
     assert longest_s < 1.5, "no request was taken for longer than an objective"
 
 
-def test_an_overloaded_node_begins_no_run_for_what_is_of_no_use_any_more() -> None:
+def test_an_overloaded_node_starts_no_run_that_is_too_late_to_be_useful() -> None:
     world = World(calls=False)
     for n in range(400):
-        world.ask(n * 0.01, 0.5)  # 100 a second, where 8 are served
+        world.ask(n * 0.01, 0.5)  # 100 requests a second on a node that serves 8
     world.run(10.0)
     assert all(world.started[n] <= (n - 1) * 0.01 + 0.9 for n in world.started)
     assert len(world.rejected) > 200
--- a/tests/policy/test_queues.py
+++ b/tests/policy/test_queues.py
@@ -1,14 +1,14 @@
-"""Queues of what falls due."""
+"""Queues of due requests: their size stays bounded."""
 
 from world import Driver, settings
 
 from beechrock.policy.queues import MAX_STALE_ENTRIES, QueueEntry, without_stale
 
 
-def test_heaps_do_not_grow_with_what_is_long_over() -> None:
-    """Deadlines of minutes, and all is refused at once."""
+def test_heaps_do_not_grow_with_finished_requests() -> None:
+    """Deadlines are minutes away, and every request is rejected at once."""
     driver = Driver(settings(memory_kb=100.0, idempotency_entry_kb=1.0))
-    driver.arrive(size_kb=1.0, remaining_s=500.0)  # runs, and is due before all the others
+    driver.arrive(size_kb=1.0, remaining_s=500.0)  # Runs, and is due before all other requests
     for _ in range(9000):
         driver.arrive(1, size_kb=90.0, remaining_s=600.0)
     assert len(driver.node.table.due) < 5000
--- a/tests/policy/test_requests.py
+++ b/tests/policy/test_requests.py
@@ -1,8 +1,8 @@
-"""Requests: their objectives, and runs that are stopped when they are of no use."""
+"""Requests: their objectives, and the stop of runs that are too late to be useful."""
 
 import pytest
-from policy_helpers import BELOW, at_call
-from world import KEYED, SAFE, Driver, ids, settings
+from policy_helpers import SHARED_DEPENDENCY, arrive_and_call
+from world import KEYED, SAFE, Driver, ids_of, settings
 
 from beechrock import interface as api
 from beechrock.policy.context import Context
@@ -14,49 +14,49 @@
 
 
 @pytest.mark.parametrize("mode", list(api.StopMode))
-def test_safe_work_past_its_use_is_stopped_where_that_frees_a_core(mode: api.StopMode) -> None:
+def test_an_idempotent_run_that_is_too_late_is_stopped_if_that_frees_a_core(mode: api.StopMode) -> None:
     driver = Driver(settings(stop_mode=mode))
     running = [driver.arrive()[0] for _ in range(driver.node.concurrency.run_limit())]
-    driver.tell(after=2.9)
+    driver.decide(after=2.9)
     driver.arrive(0)
-    said = driver.tell(after=0.2)
-    stopped = ids(api.Stop, said)
+    actions = driver.decide(after=0.2)
+    stopped = ids_of(api.Stop, actions)
     assert stopped == ([] if mode is api.StopMode.NONE else running)
-    assert all(i in ids(api.Reject, said) for i in stopped)
+    assert all(i in ids_of(api.Reject, actions) for i in stopped)
 
 
-def test_a_stretched_aim_grows_with_the_requests_own_work_up_to_the_deadline() -> None:
+def test_an_objective_per_work_grows_with_the_requests_work_up_to_the_deadline() -> None:
     stretched = api.ClassSettings(latency_objective_s=1.0, deadline_s=4.0, latency_objective_per_work=2.0)
     request = Driver().request(0, remaining_s=None)
     assert OpenRequest(request, stretched, 100.0, 0.5, 0.0).objective_end_s == pytest.approx(102.0)
     assert OpenRequest(request, stretched, 100.0, 9.0, 0.0).objective_end_s == pytest.approx(104.0)
 
 
-def test_late_answers_that_still_earn_are_not_turned_away_at_the_aim() -> None:
+def test_requests_with_late_value_are_not_rejected_at_the_objective() -> None:
     late = api.ClassSettings(latency_objective_s=1.0, deadline_s=6.0, late_value_share=0.2)
     driver = Driver(settings(classes=(late, KEYED)))
     running = [driver.arrive()[0] for _ in range(driver.node.concurrency.run_limit())]
     ident, _ = driver.arrive()
     driver.complete(running, after=1.5)
-    assert ident in ids(api.Run, driver.said)
+    assert ident in ids_of(api.Run, driver.actions)
 
 
-def test_a_run_that_goes_on_after_a_call_is_stopped_once() -> None:
-    """Seen: it stood twice in the list of runs to stop, and the agent was told to stop what was over."""
-    told = {
-        **BELOW,
+def test_a_run_that_continues_after_a_call_is_stopped_only_once() -> None:
+    """Regression: the run was in the queue twice, and a second stop was sent for a finished run."""
+    node_settings = {
+        **SHARED_DEPENDENCY,
         "stop_mode": api.StopMode.DISCARD,
         "cores": 1,
         "overload_multiple": 1.0,
         "overload_window_s": None,
     }
-    driver = Driver(settings(**told))
-    ident, _ = at_call(driver)
-    driver.tell(api.CallEnded(ident, api.Outcome.OK, 0.1), after=0.1)
-    driver.tell(after=2.5)
+    driver = Driver(settings(**node_settings))
+    ident, _ = arrive_and_call(driver)
+    driver.decide(api.CallEnded(ident, api.Outcome.OK, 0.1), after=0.1)
+    driver.decide(after=2.5)
     driver.arrive()
-    driver.tell(after=1.0)
-    assert ids(api.Stop, driver.said) == [ident]
+    driver.decide(after=1.0)
+    assert ids_of(api.Stop, driver.actions) == [ident]
 
 
 def test_the_table_alone_follows_a_request_through_its_phases_and_ends_at_zero() -> None:
--- a/tests/policy/test_statistics.py
+++ b/tests/policy/test_statistics.py
@@ -1,4 +1,4 @@
-"""What is learnt of runs, by class."""
+"""Run statistics by class."""
 
 from dataclasses import replace
 
@@ -9,7 +9,7 @@
 
 
 def test_work_is_learnt_by_class_from_the_time_on_the_cores() -> None:
-    """Seen at a site without hints: a class of a third of the work was weighed as the others."""
+    """Regression at a site without hints: a class with a third of the work counted as much as the others."""
     driver = Driver(settings(cores=4))
     for _ in range(200):
         light, heavy = driver.arrive(0)[0], driver.arrive(1)[0]
@@ -20,15 +20,15 @@
     assert node.statistics.work_by_class[2] == 1.0
     changed = replace(node.settings, classes=(node.settings.classes[0], replace(KEYED, name="new"), SAFE))
     learnt = node.statistics.work_by_class[0]
-    driver.tell(api.SettingsChanged(changed))
+    driver.decide(api.SettingsChanged(changed))
     assert node.statistics.work_by_class == [learnt, 1.0, 1.0]
 
 
-def test_time_at_a_call_is_no_work() -> None:
+def test_time_spent_in_a_call_does_not_count_as_work() -> None:
     driver = Driver(settings(cores=4, downstream=api.Downstream.TIER))
     for _ in range(100):
         ident, _ = driver.arrive(0)
-        driver.tell(api.CallNeeded(ident), after=0.1)
-        driver.tell(api.CallEnded(ident, api.Outcome.OK, 2.0), after=2.0)
+        driver.decide(api.CallNeeded(ident), after=0.1)
+        driver.decide(api.CallEnded(ident, api.Outcome.OK, 2.0), after=2.0)
         driver.complete([ident], after=0.1)
     assert driver.node.statistics.run_s == pytest.approx(0.2, rel=0.1)
--- a/tests/policy/test_tenant_budgets.py
+++ b/tests/policy/test_tenant_budgets.py
@@ -1,55 +1,55 @@
-"""A tenant's budget of a period: what is taken is paid at once, and what never ran is paid back."""
+"""Tenant budgets per period: admission charges the cost, and a request that never ran is refunded."""
 
 import pytest
-from world import Driver, ids, of, settings
+from world import Driver, actions_of, ids_of, settings
 
 from beechrock import interface as api
 
 PERIOD_S = 60.0
-POOR = api.TenantSettings(0.5, 100.0, budget=4.0, budget_period_s=PERIOD_S)
-FREE = api.TenantSettings(0.5, 100.0)
+LIMITED = api.TenantSettings(0.5, 100.0, budget=4.0, budget_period_s=PERIOD_S)
+UNLIMITED = api.TenantSettings(0.5, 100.0)
 
 
 def driver(**changes: object) -> Driver:
-    return Driver(settings(tenants=(POOR, FREE), fleet_size=2, **changes))
+    return Driver(settings(tenants=(LIMITED, UNLIMITED), fleet_size=2, **changes))
 
 
-def test_beyond_its_budget_a_tenant_is_turned_away_until_the_period_ends() -> None:
-    d = driver()  # two nodes: half of the budget each
+def test_a_tenant_beyond_its_budget_is_rejected_until_the_period_ends() -> None:
+    d = driver()  # Two nodes, each with half of the budget
     for _ in range(2):
-        ident, said = d.arrive(tenant_index=0)
-        assert ids(api.Run, said) == [ident]
+        ident, actions = d.arrive(tenant_index=0)
+        assert ids_of(api.Run, actions) == [ident]
         d.complete([ident], after=0.1)
-    _, said = d.arrive(tenant_index=0)
-    refusal = of(api.Reject, said)[0]
+    _, actions = d.arrive(tenant_index=0)
+    refusal = actions_of(api.Reject, actions)[0]
     assert refusal.no_retry
-    assert refusal.retry_after_s == pytest.approx(120.0 - d.now)  # the clock of the driver starts at 100
-    other, said = d.arrive(tenant_index=1)
-    assert ids(api.Reject, said) == []
+    assert refusal.retry_after_s == pytest.approx(120.0 - d.now)  # The driver's clock starts at 100
+    other, actions = d.arrive(tenant_index=1)
+    assert ids_of(api.Reject, actions) == []
     d.complete([other], after=0.1)
-    d.tell(after=refusal.retry_after_s + 0.001)
-    ident, said = d.arrive(tenant_index=0)
-    assert ids(api.Run, said) == [ident]
+    d.decide(after=refusal.retry_after_s + 0.001)
+    ident, actions = d.arrive(tenant_index=0)
+    assert ids_of(api.Run, actions) == [ident]
     assert d.node.budgets.spent == [1.0, 1.0]
 
 
-def test_a_dearer_class_takes_more_and_a_request_that_never_ran_nothing() -> None:
+def test_a_costlier_class_is_charged_more_and_a_request_that_never_ran_nothing() -> None:
     dear = api.ClassSettings(latency_objective_s=3.0, deadline_s=9.0, budget_cost=2.0)
     d = driver(classes=(dear,), cores=1)
     running = [d.arrive(tenant_index=1)[0] for _ in range(int(d.node.concurrency.limit))]
-    held, said = d.arrive(tenant_index=0)
-    assert ids(api.Run, said) == []
+    held, actions = d.arrive(tenant_index=0)
+    assert ids_of(api.Run, actions) == []
     assert d.node.budgets.spent[0] == 2.0
-    assert len(of(api.Reject, d.arrive(tenant_index=0)[1])) == 1
-    d.tell(api.CallerDisconnected(held))
+    assert len(actions_of(api.Reject, d.arrive(tenant_index=0)[1])) == 1
+    d.decide(api.CallerDisconnected(held))
     assert d.node.budgets.spent[0] == 0.0
     d.complete(running)
 
 
-def test_tenants_without_a_budget_and_unknown_ones_are_not_held_back() -> None:
+def test_tenants_without_a_budget_and_unknown_ones_are_not_limited() -> None:
     d = driver()
     for tenant in (1, None, 9):
         for _ in range(5):
-            ident, said = d.arrive(tenant_index=tenant)
-            assert ids(api.Reject, said) == []
+            ident, actions = d.arrive(tenant_index=tenant)
+            assert ids_of(api.Reject, actions) == []
             d.complete([ident])
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -1,4 +1,4 @@
-"""Whole histories under drawn settings: every rule of the pages, held by a checker that takes no part."""
+"""Whole histories of a node under random settings; a separate checker verifies every rule of the pages."""
 
 import hashlib
 import os
@@ -18,44 +18,44 @@
 HERE = Path(__file__).parent
 
 
-# No shrinking: what breaks plays again from its drawn settings, and smaller ones take minutes to find.
-PLAYED = {"suppress_health_check": list(HealthCheck), "phases": [Phase.generate]}
+# No shrinking: a failure can be replayed from its settings, and smaller examples take minutes to find.
+GENERATE_ONLY = {"suppress_health_check": list(HealthCheck), "phases": [Phase.generate]}
 
 
-@options(max_examples=80, **PLAYED)
+@options(max_examples=80, **GENERATE_ONLY)
 @given(deployments, st.integers(0, 2**32))
 def test_no_rule_breaks_under_any_settings(drawn: tuple[dict[str, Any], Model], seed: int) -> None:
-    """The wide search is ``python benchmarks/drawn_histories.py``."""
+    """``python benchmarks/drawn_histories.py`` searches many more histories."""
     assert History(seed, *drawn, arrivals=80).play().told_again()
 
 
 @pytest.mark.parametrize("seed", range(8))
 def test_no_rule_breaks_where_runs_hang_cores_slow_down_and_the_process_stalls(seed: int) -> None:
-    """Runs that never end, cores a tenth as fast, stalls of 0.1 to 30 s again and again, hours of quiet."""
+    """Runs that never end, cores a tenth as fast, repeated stalls of 0.1 to 30 s, and idle hours."""
     assert drawn_history(seed, 60, hard=True).play().told_again()
 
 
 @pytest.mark.parametrize(("seed", "arrivals"), [(370, 100), (370, 110), (370, 150), (382, 100), (382, 150)])
 def test_hard_histories_that_once_broke_a_rule_keep_it(seed: int, arrivals: int) -> None:
-    """Seen: runs came back from calls and never ended, or on cores that had become 10 times slower; by the
-    time of runs that had ended so many were let out that the crowd was not survived."""
+    """Regression: runs returned from calls and never ended, or cores became 10 times slower; limits derived
+    from ended runs let out more calls than the cores survive at their return."""
     assert drawn_history(seed, arrivals, hard=True).play().told_again()
 
 
 @pytest.mark.parametrize("seed", [403, 409])
-def test_the_time_of_a_stall_counts_for_the_share_of_calls(seed: int) -> None:
-    """The checker left it out, so that calls before and after a stall of seconds lay side by side."""
+def test_the_time_of_a_stall_counts_towards_the_call_limit(seed: int) -> None:
+    """Regression: the checker left the stall out, so that calls before and after it seemed simultaneous."""
     assert drawn_history(seed, hard=True).play().told_again()
 
 
 def test_a_call_that_goes_on_through_a_stall_counts_in_its_window() -> None:
-    check = drawn_history(403, hard=True).check
-    assert check.below is not None and check.told.shared_call_limit == 0.05
+    checker = drawn_history(403, hard=True).checker
+    assert checker.below is not None and checker.told.shared_call_limit == 0.05
     with pytest.raises(AssertionError, match="fall-over"):
-        check.stalled(check.below.over_s, 1.0)
+        checker.stalled(checker.below.over_s, 1.0)
 
 
-@options(max_examples=15, **PLAYED)
+@options(max_examples=15, **GENERATE_ONLY)
 @given(deployments, st.integers(0, 2**32), st.booleans())
 def test_no_rule_breaks_at_fronts_and_agent_under_any_settings(
     drawn: tuple[dict[str, Any], Model], seed: int, unnamed: bool
@@ -65,33 +65,33 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 6, 10, 25, 112, 586, 730])
 def test_histories_of_the_actor_that_once_broke_a_rule_keep_it(seed: int) -> None:
-    """Seen: repeats that waited unknown to the memory, and one run stopped twice."""
+    """Regressions: waiting repeats not counted in the memory, and one run stopped twice."""
     drawn_actor_history(seed).play()
 
 
 @pytest.mark.parametrize("seed", [2, 13, 18, 28, 29, 69, 72, 2172, 10941])
 def test_histories_that_once_broke_a_rule_keep_it(seed: int) -> None:
-    """Seen: a call left out where none may be, repeats that filled the memory, runs that came back from calls
-    together, calls under a share of 0, one skip told twice, a notice of 0.4 s, too early a close,
-    a try read late after one of the next window (2172; the table's own part is in tests/test_repeats.py)."""
+    """Regressions: a required call skipped, repeats that filled the memory, runs that returned from calls
+    together, calls under a limit of 0, a call skipped twice, a notice of 0.4 s, connections closed too early,
+    an attempt read late after one of the next window (2172; tests/test_repeats.py has the table's part)."""
     drawn_history(seed).play()
 
 
 def digest(seeds: range) -> str:
     found = hashlib.blake2b()
     for seed in seeds:
-        found.update(repr(drawn_history(seed, 60).play().said).encode())
+        found.update(repr(drawn_history(seed, 60).play().decisions).encode())
     return found.hexdigest()
 
 
 def test_equal_events_give_equal_actions_whatever_the_order_of_hashes() -> None:
-    words = "from test_histories import digest; print(digest(range(40, 46)))"
+    code = "from test_histories import digest; print(digest(range(40, 46)))"
     found = set()
-    for salt in ("1", "2"):
-        env = {**os.environ, "PYTHONHASHSEED": salt, "PYTHONPATH": f"{HERE}:{HERE.parent}"}
+    for hash_seed in ("1", "2"):
+        env = {**os.environ, "PYTHONHASHSEED": hash_seed, "PYTHONPATH": f"{HERE}:{HERE.parent}"}
         found.add(
             subprocess.run(
-                [sys.executable, "-c", words], cwd=HERE, text=True, check=True, env=env, capture_output=True
+                [sys.executable, "-c", code], cwd=HERE, text=True, check=True, env=env, capture_output=True
             ).stdout
         )
     assert len(found) == 1 and len(found.pop()) > 100
--- a/tests/test_unusable_settings.py
+++ b/tests/test_unusable_settings.py
@@ -1,4 +1,4 @@
-"""Values that no decision can go by end with an error that names the key; with all others a node lives."""
+"""Unusable values in settings are errors that name the key; with every other value a node works."""
 
 import json
 from pathlib import Path
@@ -12,7 +12,7 @@
 from beechrock.config.platform import load
 from beechrock.settings import settings_from, settings_from_json
 
-TOLD: dict[str, Any] = {
+SETTINGS: dict[str, Any] = {
     "clients": {"marksRetry": True},
     "fleetSize": 12,
     "overShareWorth": 0.1,
@@ -67,23 +67,29 @@
 ODD = [-1, 0, 1e-12, 1e11, 1e300, 10**40, float("nan"), float("inf"), "7", True, None, [], {}, [1], [None]]
 
 
-def places(told: Any, path: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
-    """Every key and list place in the settings, sections too."""
-    inner = told.items() if isinstance(told, dict) else enumerate(told) if isinstance(told, list) else ()
+def places(document: Any, path: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
+    """Return the paths of all keys and list entries of the settings, including sections."""
+    inner = (
+        document.items()
+        if isinstance(document, dict)
+        else enumerate(document)
+        if isinstance(document, list)
+        else ()
+    )
     return [found for key, value in inner for found in ((*path, key), *places(value, (*path, key)))]
 
 
 def changed(path: tuple[Any, ...], value: Any) -> dict[str, Any]:
-    told = json.loads(json.dumps(TOLD))
-    at = told
+    document = json.loads(json.dumps(SETTINGS))
+    at = document
     for key in path[:-1]:
         at = at[key]
     at[path[-1]] = value
-    return told
+    return document
 
 
-def live(settings: api.Settings) -> None:
-    """Requests, calls and a pause of a minute, with a bounded number of slots."""
+def exercise(settings: api.Settings) -> None:
+    """Run a node through requests, calls and a pause of a minute; check that its slots stay bounded."""
     now, node = 1000.0, Node(settings, 1, 1000.0)
     for ident in range(1, 40):
         now += 60.0 if ident == 30 else 0.02
@@ -100,14 +106,14 @@
         )
         for action in out:
             if isinstance(action, (api.Advertise, api.SetTimer)):
-                told = action.value if isinstance(action, api.Advertise) else action.delay_s
-                assert 0 <= told < float("inf")
+                value = action.value if isinstance(action, api.Advertise) else action.delay_s
+                assert 0 <= value < float("inf")
     assert max(len(node.abacus.tokens), len(node.calls.call_time_by_slot_s)) < 5000
 
 
-@pytest.mark.parametrize("path", places(TOLD), ids=lambda path: ".".join(map(str, path)))
-def test_any_odd_value_at_any_place_is_refused_by_name_or_lived_with(path: tuple[Any, ...]) -> None:
-    """Seen: complex numbers, a slot that never ends, division by 0 cores, a list of 1e11 slots."""
+@pytest.mark.parametrize("path", places(SETTINGS), ids=lambda path: ".".join(map(str, path)))
+def test_any_odd_value_at_any_place_is_refused_by_name_or_a_node_works_with_it(path: tuple[Any, ...]) -> None:
+    """Regressions: complex numbers, a slot that never ends, division by 0 cores, a list of 1e11 slots."""
     named = next(str(key) for key in reversed(path) if isinstance(key, str))
     for value in ODD:
         try:
@@ -115,20 +121,20 @@
         except api.SettingsError as error:
             assert named in str(error) or named in ("grades", "tenants", "extra"), (value, str(error))
         else:
-            live(settings)
+            exercise(settings)
 
 
-@pytest.mark.parametrize("path", places(TOLD), ids=lambda path: ".".join(map(str, path)))
-def test_a_further_unknown_key_beside_any_changes_nothing(path: tuple[Any, ...]) -> None:
+@pytest.mark.parametrize("path", places(SETTINGS), ids=lambda path: ".".join(map(str, path)))
+def test_an_unknown_key_at_any_place_changes_nothing(path: tuple[Any, ...]) -> None:
     if isinstance(path[-1], str):
         more = changed((*path[:-1], "novel"), {"deep": [1, None]})
-        assert settings_from(more) == settings_from(TOLD)
+        assert settings_from(more) == settings_from(SETTINGS)
 
 
-@pytest.mark.parametrize("told", [0, False])
-def test_retry_after_told_as_0_is_as_told_false(told: Any) -> None:
-    """Seen: only the word false counted, and a site that told 0 had each refusal say when to come back."""
-    assert not settings_from(changed(("limits", "retryAfter"), told))[0].sends_retry_after
+@pytest.mark.parametrize("value", [0, False])
+def test_a_retry_after_setting_of_0_means_false(value: Any) -> None:
+    """Regression: only false disabled it, and a site that set 0 sent Retry-After with each rejection."""
+    assert not settings_from(changed(("limits", "retryAfter"), value))[0].sends_retry_after
     assert settings_from(changed(("limits", "retryAfter"), None))[0].sends_retry_after
 
 
@@ -146,19 +152,19 @@
         (("grades", 1, "giveUpS"), 10**400),
     ],
 )
-def test_what_only_showed_later_is_refused_at_the_start(path: tuple[Any, ...], value: Any) -> None:
+def test_values_that_would_fail_later_are_refused_at_the_start(path: tuple[Any, ...], value: Any) -> None:
     with pytest.raises(api.SettingsError, match=str(path[-1])):
         settings_from_json(json.dumps(changed(path, value)).encode())
 
 
-def test_a_short_aim_beside_a_long_deadline_makes_a_bounded_number_of_slots() -> None:
-    told = changed(("grades", 1, "giveUpS"), 36_000.0)
-    told["limits"]["maxRetryAfterS"] = 1e-6
-    told["extra"] |= {"depShare": 0.5, "callsOverS": 36_000.0}
-    node = Node(settings_from(told)[0], 1, 0.0)
+def test_a_short_objective_with_a_long_deadline_makes_a_bounded_number_of_slots() -> None:
+    document = changed(("grades", 1, "giveUpS"), 36_000.0)
+    document["limits"]["maxRetryAfterS"] = 1e-6
+    document["extra"] |= {"depShare": 0.5, "callsOverS": 36_000.0}
+    node = Node(settings_from(document)[0], 1, 0.0)
     assert max(len(node.abacus.tokens), len(node.calls.call_time_by_slot_s)) < 5000
     assert node.abacus.slot_s >= 0.01
-    node.decide(1e6, [])  # a pause of days takes no more shifts than there are slots
+    node.decide(1e6, [])  # A pause of days ends no more slots than exist
     assert node.abacus.slot_end_s > 1e6
 
 
@@ -171,7 +177,7 @@
     "seed": "8c1f30d27a5be964",
     "stop_ms": 3200,
     "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-    "settings": TOLD,
+    "settings": SETTINGS,
 }
 
 
@@ -181,9 +187,9 @@
 ) -> None:
     file = tmp_path / "config.json"
     for value in [*ODD, "x", ""]:
-        told = json.loads(json.dumps(CONFIG))
-        (told["limits"] if len(path) > 1 else told)[path[-1]] = value
-        file.write_text(json.dumps(told))
+        document = json.loads(json.dumps(CONFIG))
+        (document["limits"] if len(path) > 1 else document)[path[-1]] = value
+        file.write_text(json.dumps(document))
         try:
             read = load({"LB_CONFIG": str(file)})
         except ConfigError as error:
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The adapter translates; malformed input ends it with one plain line."""
+"""Wire codec and simulator host: translation, and one error line for malformed input."""
 
 import io
 import json
@@ -37,13 +37,13 @@
     return struct.pack(">IIId", number, 20 + len(body), len(records), clock) + body
 
 
-def enlist(who: int = 3, settings: object = SETTINGS) -> tuple[bytes, bytes]:
+def start_record(instance: int = 3, settings: object = SETTINGS) -> tuple[bytes, bytes]:
     tail = settings if isinstance(settings, bytes) else json.dumps(settings).encode()
-    return record(struct.pack(">BHQII", 8, who, 99, 0, len(tail))), tail
+    return record(struct.pack(">BHQII", 8, instance, 99, 0, len(tail))), tail
 
 
 def actions(reply: bytes) -> list[tuple[int, int]]:
-    """(code, instance) of each record."""
+    """Return (code, instance) of each record."""
     _, count, length = struct.unpack_from(">III", reply)
     assert length == len(reply)
     return [struct.unpack_from(">BH", reply, 12 + 24 * place) for place in range(count)]
@@ -78,7 +78,7 @@
         ("none", 0.0, None),
     ],
 )
-def test_a_share_of_calls_is_told_only_where_all_share_what_lies_below(
+def test_the_shared_call_limit_is_read_only_for_a_shared_dependency(
     below: str, told: float | None, share: float | None
 ) -> None:
     extra = {**SETTINGS["extra"], "downstream": below, "depShare": told}
@@ -97,15 +97,15 @@
         b'{"grades": [{"promiseS": "x", "giveUpS": 2}], "extra": {"cpus": 1, "memLimitKb": 1}}',
     ],
 )
-def test_unusable_settings_become_the_wires_own_fault(text: bytes) -> None:
-    start, tail = enlist(settings=text)
+def test_unusable_settings_are_reported_as_a_fault(text: bytes) -> None:
+    start, tail = start_record(settings=text)
     reply = simhost.Host().answer(frame([start], tail))
     assert actions(reply) == [(79, 3)]
     assert b"settings" in reply
 
 
 def test_events_are_translated() -> None:
-    start, tail = enlist()
+    start, tail = start_record()
     accept = struct.pack(">BHIIBHQdHfdBdf", 9, 3, 11, 5, 7, 2, 77, 1.25, 4, 30.0, 0.5, 0, 0.1, 0.25)
     events = [
         start,
@@ -121,7 +121,7 @@
     batch = wire.Decoder().batch(frame(events, tail))
     number, clock, found = batch.number, batch.clock_s, batch.events
     assert (number, clock) == (7, 2.5)
-    assert all(who == 3 for who, _ in found)
+    assert all(instance == 3 for instance, _ in found)
     assert [event for _, event in found[1:]] == [
         api.Arrived(
             api.Request(
@@ -164,7 +164,7 @@
 
 
 def test_every_action_is_encoded_in_order() -> None:
-    said: list[tuple[int, api.Action | wire.Fault]] = [
+    reply_actions: list[tuple[int, api.Action | wire.Fault]] = [
         (1, api.Run(5)),
         (1, api.Reject(5, 0.5, True)),
         (1, api.Fail(5)),
@@ -181,7 +181,7 @@
         (1, api.Log("ab")),
         (2, wire.Fault("cd")),
     ]
-    reply = wire.encode_reply(4, said)
+    reply = wire.encode_reply(4, reply_actions)
     assert [code for code, _ in actions(reply)] == list(range(65, 80))
     assert reply.endswith(b"abcd")
     assert struct.unpack_from(">BHIdB", reply, 12 + 24) == (66, 1, 5, 0.5, 1)
@@ -194,7 +194,7 @@
         raise RuntimeError("odd sum")
 
     monkeypatch.setattr(simhost.Node, "decide", broken)
-    start, tail = enlist()
+    start, tail = start_record()
     reply = simhost.Host().answer(frame([start], tail))
     assert actions(reply) == [(79, 3)]
     assert b"RuntimeError: odd sum" in reply
@@ -202,7 +202,7 @@
 
 def test_a_restart_in_the_same_batch_gives_a_fresh_node() -> None:
     host = simhost.Host()
-    start, tail = enlist()
+    start, tail = start_record()
     first = host.answer(frame([start], tail))
     again = host.answer(frame([record(struct.pack(">BH", 3, 3)), start], tail))
     assert actions(again) == actions(first)
@@ -226,7 +226,7 @@
         (struct.pack(">IIId", 1, 5, 0, 0.0), b"shorter than its header"),
     ],
 )
-def test_malformed_input_gives_one_plain_line_and_a_failure(data: bytes, words: bytes) -> None:
+def test_malformed_input_gives_one_error_line_and_a_failure(data: bytes, words: bytes) -> None:
     ended = run_adapter(data)
     assert ended.returncode != 0
     assert ended.stdout == b""
@@ -234,7 +234,7 @@
     assert ended.stderr.count(b"\n") == 1
 
 
-def test_end_of_input_ends_the_adapter_well() -> None:
+def test_the_adapter_exits_cleanly_at_the_end_of_input() -> None:
     ended = run_adapter(frame([], number=1))
     assert (ended.returncode, ended.stderr) == (0, b"")
     assert ended.stdout == struct.pack(">III", 1, 0, 12)
--- a/tests/world.py
+++ b/tests/world.py
@@ -1,4 +1,4 @@
-"""Helpers to speak to a node: settings, a driver that keeps the clock, and short names for actions."""
+"""Helpers to test a node: settings, a driver with a clock, and filters for actions."""
 
 from collections.abc import Iterable
 from dataclasses import replace
@@ -45,40 +45,40 @@
 
 
 class Driver:
-    """Feeds one node and remembers all that it said."""
+    """Drives one node with its own clock and records all its actions."""
 
-    def __init__(self, told: api.Settings = PLAIN, seed: int = 1) -> None:
+    def __init__(self, node_settings: api.Settings = PLAIN, seed: int = 1) -> None:
         self.now = 100.0
-        self.node = Node(told, seed, self.now)
+        self.node = Node(node_settings, seed, self.now)
         self.ids = count(1)
-        self.said: list[api.Action] = []
-        self.tell()
+        self.actions: list[api.Action] = []
+        self.decide()
 
-    def tell(self, *events: api.Event, after: float = 0.0) -> list[api.Action]:
+    def decide(self, *events: api.Event, after: float = 0.0) -> list[api.Action]:
         self.now += after
-        out = self.node.decide(self.now, list(events))
-        self.said += out
-        return out
+        actions = self.node.decide(self.now, list(events))
+        self.actions += actions
+        return actions
 
     def request(self, class_index: int = 0, **changes: Any) -> api.Request:
-        told = {
+        fields = {
             "id": next(self.ids),
             "class_index": class_index,
             "size_kb": 10.0,
             "remaining_s": 9.0,
             **changes,
         }
-        return api.Request(**told)
+        return api.Request(**fields)
 
     def arrive(self, class_index: int = 0, **changes: Any) -> tuple[int, list[api.Action]]:
         request = self.request(class_index, **changes)
-        return request.id, self.tell(api.Arrived(request))
+        return request.id, self.decide(api.Arrived(request))
 
     def complete(self, idents: Iterable[int], after: float = 0.0) -> list[api.Action]:
-        return self.tell(*(api.RunFinished(i, api.Outcome.OK, after) for i in idents), after=after)
+        return self.decide(*(api.RunFinished(i, api.Outcome.OK, after) for i in idents), after=after)
 
     def warm_up(self, per_second: float = 4.0, seconds: float = 6.0) -> None:
-        """A node with full cores that completes this many requests a second."""
+        """Keep the cores full and complete ``per_second`` requests a second; the runs stay in ``running``."""
         running = [self.arrive()[0] for _ in range(int(self.node.concurrency.limit))]
         gap = 1.0 / per_second
         for _ in range(int(seconds * per_second)):
@@ -87,9 +87,9 @@
         self.running = running
 
 
-def of(kind: type[A], actions: Iterable[object]) -> list[A]:
+def actions_of(kind: type[A], actions: Iterable[object]) -> list[A]:
     return [a for a in actions if isinstance(a, kind)]
 
 
-def ids(kind: type[Any], actions: Iterable[object]) -> list[int]:
-    return [a.id for a in of(kind, actions)]
+def ids_of(kind: type[Any], actions: Iterable[object]) -> list[int]:
+    return [a.id for a in actions_of(kind, actions)]
