--- a/beechrock/policy/abacus.py
+++ b/beechrock/policy/abacus.py
@@ -13,7 +13,7 @@
 
 RATE_SLOTS = 6.0  # Time constant of the mean arrival rate, in slots
 PEAK_RATE_DECAY = 0.995  # Factor on the peak rate at each slot's end, so that an old peak is forgotten
-# The first Retry-After is the least of these two and of the settings' longest Retry-After.
+# The first Retry-After is the minimum of these two and the settings' longest Retry-After, in seconds.
 FIRST_OFFSET_S = 3.0
 OFFSET_OBJECTIVES = 0.6  # Share of the mean latency objective; callers that wait longer return all at once
 # Bounds on the slots: a short objective with a long deadline would need very many, and all are copied at
--- a/beechrock/policy/answers.py
+++ b/beechrock/policy/answers.py
@@ -9,7 +9,7 @@
 
 
 class Answers:
-    """Sends the node's own answers and returns the budget and the key of a request that never ran."""
+    """Sends the node's own answers; refunds the budget and forgets the key of a request that never ran."""
 
     def __init__(
         self, context: Context, table: RequestTable, keys: IdempotencyKeys, budgets: TenantBudgets
--- a/beechrock/policy/calls.py
+++ b/beechrock/policy/calls.py
@@ -15,7 +15,7 @@
 from beechrock.policy.requests import OpenRequest, RequestTable
 
 SHARED_CALLS_PER_CORE = 2.0  # Maximum calls in flight per core where the settings give no limit
-TIER_CALLS_PER_CORE = 8.0  # The same over another tier, which rejects by itself; fewer left cores idle
+TIER_CALLS_PER_CORE = 8.0  # Maximum calls per core to a tier, which rejects by itself; fewer left cores idle
 CALL_LIMIT_SHARE = 0.8  # Share of the settings' call limit that is the maximum of the learnt limit
 MIN_CALL_LIMIT_SHARE = 0.5  # Minimum of the learnt limit, as a share of its maximum
 WINDOW_SHARE = 0.9  # Share of a window's call time that may be used or reserved
@@ -64,7 +64,7 @@
         self._failures = 0  # Consecutive failed calls; timeouts don't count
         self._last_time_s = context.now_s  # Time of the latest learning step (monotonic seconds)
         self.mean_s = 0.0  # Moving mean duration of a call, in seconds
-        self.best_s = 0.0  # Lowest recent mean duration of a call, in seconds
+        self.best_s = 0.0  # Lowest recent value of ``mean_s``, in seconds
         self._call_time_s = 0.0  # Sum of open calls over time, in call-seconds
         # Values of _call_time_s at the ends of slots, from the start of the window on. A window of very many
         # slots keeps only one value per stride.
@@ -203,9 +203,7 @@
 
     def _may_skip(self) -> bool:
         running = self._table.count[RUNNING]
-        return (
-            running < self._concurrency.run_limit(up_to_survivable=True) and self._concurrency.has_capacity()
-        )
+        return running < self._concurrency.run_limit(crowding=True) and self._concurrency.has_capacity()
 
     def _go_without(self, entry: OpenRequest) -> None:
         if entry.must_call:
--- a/beechrock/policy/idle_connections.py
+++ b/beechrock/policy/idle_connections.py
@@ -8,7 +8,7 @@
 
 
 class IdleConnections:
-    """Keeps idle connections only for a retry if callers seldom reuse them, lest the table fill up."""
+    """Keeps idle connections only for a retry if callers seldom reuse them, to keep the table small."""
 
     def __init__(self, context: Context, abacus: AbacusFilter) -> None:
         self._context = context
--- a/beechrock/policy/load_report.py
+++ b/beechrock/policy/load_report.py
@@ -12,7 +12,7 @@
 
 # Predicted waits, in mean objectives, from which callers send less and at which they send nothing.
 REDUCE_OBJECTIVES, STOP_OBJECTIVES = 0.15, 0.55
-FLOOR_REDUCE_OBJECTIVES, FLOOR_STOP_OBJECTIVES = 0.25, 0.75  # The same for LoadReportKind.FLOOR
+FLOOR_REDUCE_OBJECTIVES, FLOOR_STOP_OBJECTIVES = 0.25, 0.75  # Predicted waits for LoadReportKind.FLOOR
 MIN_CHANGE = 0.02  # Smallest change that is advertised, as a share of the value or of 1, whichever is more
 
 
--- a/beechrock/policy/meter.py
+++ b/beechrock/policy/meter.py
@@ -12,7 +12,7 @@
 
     def __init__(self, memory_s: float) -> None:
         self.memory_s = memory_s
-        self.work = 0.0  # Completed work, decayed, in seconds or calls
+        self.work = 0.0  # Completed work, decayed, in units of work or calls
         self.count = 0.0  # Number of completions, decayed
         self.busy_s = 0.0  # Time of full use, decayed, in seconds
 
--- a/beechrock/simhost.py
+++ b/beechrock/simhost.py
@@ -71,7 +71,7 @@
             return
         try:
             reply.extend((instance, action) for action in node.decide(clock_s, events))
-        except Exception as error:  # Reported: the simulator ends the day with this text
+        except Exception as error:  # Reported, so that no fault is hidden: it ends the simulated day
             reply.append((instance, wire.Fault(f"{type(error).__name__}: {error}")))
 
 
--- a/tests/policy/test_idempotency.py
+++ b/tests/policy/test_idempotency.py
@@ -48,9 +48,8 @@
     safe, actions = driver.arrive()
     assert ids_of(api.Run, actions) == [safe]
     driver.decide(api.RunFinished(safe, api.Outcome.ERROR, 0.001))
-    driver.decide(
-        after=2 * driver.node.context.mean_objective_s
-    )  # The share of failed runs has decayed, so runs are tried again
+    # The share of failed runs decays, so that runs are tried again.
+    driver.decide(after=2 * driver.node.context.mean_objective_s)
     write, actions = driver.arrive(class_index)
     assert ids_of(api.Run, actions) == [write]
 
