--- a/beechrock/net/__init__.py
+++ b/beechrock/net/__init__.py
@@ -1,1 +1,1 @@
-"""The wires of one node, each in a module of its own; they know the core, the core knows none of them."""
+"""Network protocols of one node, one module each. These modules import the core; the core imports none."""
--- a/beechrock/net/agent.py
+++ b/beechrock/net/agent.py
@@ -1,4 +1,4 @@
-"""The render farm agent's link: commands out, notices in, and both again after a break."""
+"""Connection to the render farm agent: sends commands, reads notices, and recovers both after a break."""
 
 import asyncio
 import itertools
@@ -22,14 +22,14 @@
 
 log = logging.getLogger("beechrock")
 
-MAX_BLOB_BYTES = 200_000  # an answer with it still is one frame
+MAX_BLOB_BYTES = 200_000  # an answer with a body of this size still fits into one frame
 RESTART_SLACK_S = 0.002  # an agent reports its age in whole milliseconds
-HEAD_BYTES = 80  # bytes of a message that could not be read, enough for its number and request
-MAX_CHECKS = 64  # that wait for their work at a time
-EXERCISE_S = 3.0  # a check's work that takes longer is a bad check: agents that hang are what it looks for
-# A peer that is there answers in milliseconds. The first silence is noticed in under half a second; a
-# greeting may wait for an agent that comes up late, so later ones get longer. On suspicion alone a node stays
-# listed for no longer than the registry would keep it.
+HEAD_BYTES = 80  # bytes of an unreadable message that are examined: enough for its number and its trace
+MAX_CHECKS = 64  # maximum number of health checks that wait for the agent's work at a time
+EXERCISE_S = 3.0  # time limit of a health check's work; an agent that exceeds it hangs, so the check fails
+# A live agent answers within milliseconds, so the first silence is detected in under half a second. An agent
+# that starts slowly may greet late, so the greeting timeout grows with each attempt. While the agent is only
+# suspected to be down, the node stays listed for no longer than the registry keeps a node without reports.
 LIMITS = life.Limits(
     connect_s=0.4,
     greet_s=(0.4, 1.6),
@@ -44,7 +44,7 @@
 
 
 class AgentLink(LineConnection[Command]):
-    """One link; ``Agent`` makes the next when it breaks."""
+    """One connection to the agent; ``Agent`` opens the next one when it breaks."""
 
     where = "agent"
     max_body_bytes = MAX_BLOB_BYTES
@@ -52,10 +52,10 @@
     def __init__(self, agent: "Agent") -> None:
         super().__init__(agent.counters, 1 << 20, MAX_COMMANDS)
         self.agent = agent
-        self.fields: list[str] = []  # of the message that is being read
+        self.fields: list[str] = []  # fields of the message that is being read
 
     def encode(self, message: Command) -> bytes:
-        """Return the bytes of a command."""
+        """Return the wire format of a command."""
         return message.encode()
 
     def has_body(self, fields: list[str]) -> bool:
@@ -64,7 +64,7 @@
         return codec.has_body(fields)
 
     def receive_line(self, fields: list[str], body: bytes) -> None:
-        """Note that the agent is there, and handle its notice. Raises BadInputError."""
+        """Record that the agent is alive, and handle its notice. Raises BadInputError."""
         mine = self.agent.link_actor.life
         if mine.state is life.LinkState.PROBING:
             self.agent.link_actor.handle_event(life.MessageReceived(mine.link))
@@ -74,58 +74,59 @@
         self.fields = []
 
     def bad_input(self, problem: str) -> None:
-        """Cut the link: what could not be read comes again on the next one."""
+        """Cut the link; the agent repeats the unreadable notice on the next link."""
         fields = self.fields or self.inbox.peek(HEAD_BYTES).decode("utf-8", "replace").split(" ")
         self.agent.unreadable(fields, problem)
         self.drop()
 
     def _crowded(self) -> bool:
-        return False  # its notices make room: two ends that both stop reading would wait for ever
+        return False  # reading notices confirms commands; if both ends stopped reading, they would deadlock
 
     def input_ended(self) -> None:
-        """Break the connection, as nothing more can come."""
-        self.broken = True  # half a link is none
+        """Break the connection, as the agent can send no more notices on it."""
+        self.broken = True  # a half-closed link is of no use
 
 
 class Agent:
-    """Runs requests on the agent; keeps one link to it open and loses no command with a link."""
+    """Runs requests on the agent; keeps one link to it open and resends commands lost with a broken link."""
 
     def __init__(self, module: ModuleActor, gauges: tuple[str, ...], address: tuple[str, int]) -> None:
         self.module = module
         self.counters = module.counters
         self.link_actor = LinkActor(self, "agent", module, LIMITS, address)
-        self.lost: Callable[[], None] = lambda: None  # called when no link can be had for a while
+        self.lost: Callable[[], None] = lambda: None  # called when no link could be opened for some time
         self.gauges = gauges
         self.link: AgentLink | None = None
         self.runs = AgentRuns(module)
         self.notices = NoticeSequence(self.runs.miss_notices)
         self.checks = PendingChecks()
-        self.dispatches = 0  # runs handed over since the start
-        self.numbers = itertools.count(1)  # of commands, and the tags of samples and checks among them
-        self.last_sample = 0
-        self.sync_tag = ""
-        self.alive_at = math.inf  # when the agent's last message came; inf: none yet
-        self.subscribed_at = 0.0
-        self.greeted_at = math.inf
-        self.problem_logged_at = -math.inf
+        self.dispatches = 0  # number of runs passed to the agent since the process started
+        self.numbers = itertools.count(1)  # one sequence for commands and for the tags of samples and checks
+        self.last_sample = 0  # number of the most recent sample request
+        self.sync_tag = ""  # tag of the sample request that ends the synchronization of a new link
+        # The times below are in seconds of the module's clock; inf where the event has not happened yet.
+        self.alive_at = math.inf  # arrival of the agent's last message
+        self.subscribed_at = 0.0  # when the last handshake was sent
+        self.greeted_at = math.inf  # arrival of the last greeting
+        self.problem_logged_at = -math.inf  # when an unreadable message was last logged
 
     def start(self) -> None:
-        """Hold a link open from now on, for as long as the process lives."""
+        """Keep a link open from now on, for as long as the process runs."""
         self.link_actor.handle_event(life.Due())
 
     def move(self, address: tuple[str, int]) -> None:
-        """Go on at another address: a new link takes up the notices and commands where this one ends."""
+        """Connect to another address: the new link continues the notices and commands of the current one."""
         if address != self.link_actor.life.address:
             self.counters.add("agent.moves")
             self.link_actor.handle_event(life.Moved(address))
 
     def able(self) -> bool:
-        """Return whether runs can start: a link is up, or broke so lately that the next one is under way."""
+        """Return whether runs can start: a link is up, or broke so recently that it is being reopened."""
         return self.link_actor.life.able(self.module.clock())
 
     @property
     def synced(self) -> bool:
-        """Return whether all missed notices are in, so that commands may go out."""
+        """Return whether all missed notices have arrived, so that commands may be sent."""
         return self.link_actor.life.state in (life.LinkState.UP, life.LinkState.PROBING)
 
     async def converse(self, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -148,15 +149,15 @@
                 self.subscribed_at = self.module.clock()
                 self.link.post(Command(codec.subscribe_line(self.notices.last)))
             case life.SendSync():
-                # Notices that were missed come before the answer to this; until then nothing is sent again,
-                # as a run that ended meanwhile must not be started a second time.
+                # The agent sends all missed notices before it answers this sample request. No command is
+                # resent before that answer, as a run that has ended meanwhile must not be started twice.
                 self.sync_tag = f"s{next(self.numbers)}"
                 self.link.post(Command(codec.sample_line(self.sync_tag)))
             case life.SendProbe():
                 self.link.post(Command(codec.sample_line(codec.LIVENESS_TAG)))
 
     def link_over(self) -> None:
-        """Drop the link, and fail the checks that wait on it."""
+        """Drop the link, and fail the health checks that wait for a result on it."""
         if self.link is None:
             return
         link, self.link = self.link, None
@@ -168,12 +169,12 @@
     def launch(self, request: Request) -> None:
         """Start a run."""
         launch = Command(
-            codec.launch_line(request.trace, request.route), request.body, moves=True, starts=True
+            codec.launch_line(request.trace, request.route), request.body, advances=True, starts_run=True
         )
         self.runs.open[request.trace] = request
         if self._send(request, launch):
             self.dispatches += 1
-        else:  # dropped in silence it would hold a place on the cores for ever
+        else:  # the queue is full; without a reported end, the run would occupy a core forever
             self.runs.end(request.trace, Outcome.REJECTED)
 
     def stop(self, request: Request) -> None:
@@ -181,25 +182,25 @@
         self._send(request, Command(codec.pause_line(request.trace)))
 
     def resume(self, request: Request) -> None:
-        """Let a paused run go on."""
+        """Resume a paused run."""
         self._send(request, Command(codec.resume_line(request.trace)))
 
     def deliver(self, request: Request, reply: bytes) -> None:
         """Give a run the reply to its call."""
-        self._send(request, Command(codec.deliver_line(request.trace), reply, moves=True))
+        self._send(request, Command(codec.deliver_line(request.trace), reply, advances=True))
 
     def forgo(self, request: Request, mark: int) -> None:
-        """Let a run go on without the reply to the call ``mark``."""
-        self._send(request, Command(codec.forgo_line(request.trace, mark), None, moves=True))
+        """Let a run continue without the reply to the call with the number ``mark``."""
+        self._send(request, Command(codec.forgo_line(request.trace, mark), None, advances=True))
 
     def sample(self) -> None:
-        """Ask for the gauges."""
+        """Request the gauges."""
         if self.link is not None and self.synced:
             self.last_sample = next(self.numbers)
             self.link.post(Command(codec.sample_line(f"g{self.last_sample}")))
 
     def exercise(self, report: Callable[[bool], None]) -> None:
-        """Have a check's work done, and report whether it passed."""
+        """Run a health check's work on the agent, and call ``report`` with whether it passed."""
         if self.link is None or not self.synced or len(self.checks) >= MAX_CHECKS:
             report(False)
             return
@@ -218,7 +219,7 @@
 
     def _post(self, link: AgentLink, command: Command) -> None:
         command.sends += 1
-        if not link.post(command):  # full, as the agent does not read: the next link carries it
+        if not link.post(command):  # the queue is full, as the agent does not read; the next link resends it
             link.drop()
 
     # --- notices
@@ -259,12 +260,14 @@
                 self.counters.add("agent.unknown_notices")
 
     def _greeted(self, warming_up: bool, age_s: float) -> None:
-        """Note a greeting; the runs and notices of an agent that has started anew are lost.
-
-        Its last message may have been read after that start, and the new one's notices would be taken for old
-        ones. So it is anew as well if it started, at the earliest that its age allows, after an earlier one
-        had greeted us. Raises BadInputError for a greeting that answers no subscription of this link: it
-        would be taken for a start anew, and the next link is greeted for certain.
+        """Handle a greeting; if the agent has restarted, its runs and numbered notices are lost.
+
+        The greeting holds the agent's age. The agent has restarted if it started after its last message was
+        read. That comparison alone misses a restart where the last message was read late, after the restart,
+        and the new notices would be taken for old ones. So the agent also counts as restarted if it started,
+        at the earliest time that its age allows, after the previous greeting. Raises BadInputError for a
+        greeting that answers no subscription of this link: it would count as a restart, and the next link is
+        certain to get its own greeting.
         """
         if self.link_actor.life.state is not life.LinkState.GREETING:
             raise BadInputError("a greeting that was not asked for")
@@ -283,16 +286,17 @@
             self.notices.restart()
             sent = [run for run in self.runs.open.values() if not self.runs.unconfirmed.never_sent(run.trace)]
             self.runs.lose(sent)
-            if self.link is not None:  # asked for what comes after a number that it never gave
+            if self.link is not None:  # it subscribed with a notice number of the agent's earlier process
                 self.link.drop()
             return
         self.module.post(WorkersStarted(warming_up, age_s))
         self.link_actor.handle_event(life.Greeted(self.link_actor.life.link))
 
     def unreadable(self, fields: list[str], problem: str) -> None:
-        """Note a message that is no notice.
+        """Handle a message that cannot be parsed.
 
-        One that comes in that form a second time would end every link, and is passed over.
+        The agent repeats an unreadable notice on each new link, which would break every link. So a notice
+        that is unreadable twice in a row is skipped.
         """
         now = self.module.clock()
         if not 0 <= now - self.problem_logged_at < 1.0:
@@ -316,22 +320,22 @@
         if tag == self.sync_tag and not self.synced:
             self.link_actor.handle_event(life.Synced(self.link_actor.life.link))
             self._resend()
-        elif tag[:1] == "g":  # all that went out before this sample was asked for has been read
+        elif tag[:1] == "g":  # the agent has read all commands that were sent before this sample request
             sample = int(tag[1:])
             if sample > self.last_sample:
                 raise BadInputError("an answer to a question that was not asked")
             self.runs.unconfirmed.settle_before(sample)
 
     def over(self) -> None:
-        """Nothing: a link that is always made again has no end."""
+        """Do nothing: this link is reopened after every break."""
 
     def _resend(self) -> None:
-        """After a break: what may have been lost, less what the notices since then have overtaken."""
+        """Resend, after a break, the unconfirmed commands that are still needed."""
         for number, request, command in self.runs.unconfirmed:
             if not request.running:
                 self.runs.unconfirmed.settle(number)
             elif (request.answered or request.cancelled) and self.runs.unconfirmed.never_sent(request.trace):
-                self.runs.end(request.trace, Outcome.MOOT)  # nobody waits for it: it need not run at all
+                self.runs.end(request.trace, Outcome.MOOT)  # nobody waits for the result
             elif self.link is not None:
                 self.counters.add("agent.commands_sent_again")
                 self._post(self.link, command)
--- a/beechrock/net/agent_checks.py
+++ b/beechrock/net/agent_checks.py
@@ -1,10 +1,10 @@
-"""Health checks whose work the agent does. Pure."""
+"""Pending health checks whose work runs on the agent. No I/O."""
 
 from collections.abc import Callable
 
 
 class PendingChecks:
-    """Checks whose work the agent does; each is reported once."""
+    """Health checks whose work runs on the agent; the result of each is reported exactly once."""
 
     def __init__(self) -> None:
         self.reports: dict[str, Callable[[bool], None]] = {}
@@ -13,17 +13,17 @@
         return len(self.reports)
 
     def add(self, tag: str, report: Callable[[bool], None]) -> None:
-        """Keep a check until its result comes."""
+        """Store a check until its result arrives."""
         self.reports[tag] = report
 
     def end(self, tag: str, passed: bool) -> None:
-        """Report the result of a check, if it still waits."""
+        """Report the result of a check, if the check is still pending."""
         report = self.reports.pop(tag, None)
         if report is not None:
             report(passed)
 
     def fail_all(self) -> None:
-        """Fail the checks of a link that broke, as their results cannot come."""
+        """Fail all pending checks, as their results cannot arrive after the link broke."""
         broken, self.reports = self.reports, {}
         for report in broken.values():
             report(False)
--- a/beechrock/net/agent_codec.py
+++ b/beechrock/net/agent_codec.py
@@ -1,6 +1,7 @@
-"""The codec of the render farm agent's lines: notices in, command lines out. Pure.
+"""Codec of the render farm agent's line protocol: decodes notices, encodes commands. No I/O.
 
-A line is fields between spaces, the first of which is its kind; this module alone knows the wire's words.
+A line consists of fields separated by spaces; the first field is its kind. The names used on the wire appear
+in this module only.
 """
 
 import math
@@ -13,15 +14,18 @@
 RUN_OVER, CALL_WANTED, SKIPPED = "outcome", "request", "aside"  # kinds of the numbered notices
 NUMBERED = (RUN_OVER, CALL_WANTED, SKIPPED)
 OUTCOMES = {"PASS": Outcome.OK, "FAIL": Outcome.ERROR, "KILLED": Outcome.STOPPED, "NOOP": Outcome.MOOT}
-WARM = "LOADED"  # a greeting of an agent that need not warm up
-PASSED = "PASS"  # of a check
-LIVENESS_TAG = "quiet"  # of samples that only show that the agent is there
-LAUNCH = "launch"  # the command that a refusal may be about
-MAX_AGE_MS = 1e12  # thirty years; no run and no agent is older
+WARM = "LOADED"  # field of a greeting: the agent needs no warm-up
+PASSED = "PASS"  # result field of a health check that passed
+LIVENESS_TAG = "quiet"  # tag of sample requests that only probe whether the agent is alive
+LAUNCH = "launch"  # the command that starts a run; refusals name it too
+MAX_AGE_MS = 1e12  # thirty years: the maximum age of a run or of the agent that is accepted as valid
 
 
 class RunNotice(NamedTuple):
-    """A run is over. A tuple, as each request has one: it costs less than a frozen dataclass."""
+    """Notice that a run has ended.
+
+    A named tuple, as there is one for each request: it costs less than a frozen dataclass.
+    """
 
     number: int
     trace: str
@@ -31,7 +35,10 @@
 
 
 class CallNotice(NamedTuple):
-    """A run waits for the reply to a call. A tuple, as requests have several."""
+    """Notice that a run waits for the reply to a call.
+
+    A named tuple for its lower cost, as a request may have several.
+    """
 
     number: int
     trace: str
@@ -40,14 +47,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SkippedNotice:
-    """A number without news for this node."""
+    """Notice number whose notice does not concern this node."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class SampleNotice:
-    """Gauges; the answer to the sample request with this tag."""
+    """Values of the gauges, in answer to the sample request with this tag."""
 
     tag: str
     values: list[float]
@@ -55,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GreetingNotice:
-    """The answer to a subscription."""
+    """Answer to a subscription: whether the agent warms up, and seconds since it started."""
 
     warming_up: bool
     age_s: float
@@ -63,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ExerciseNotice:
-    """The result of a check."""
+    """Result of a health check's work."""
 
     tag: str
     passed: bool
@@ -71,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RefusalNotice:
-    """A command was refused: its kind, and what it was about."""
+    """Refusal of a command: the command's kind, then its arguments."""
 
     arguments: list[str]
 
@@ -82,14 +89,14 @@
 
 
 def has_body(fields: list[str]) -> bool:
-    """Return whether a body follows a line."""
+    """Return whether a body follows the line."""
     return fields[0] == CALL_WANTED or (fields[0] == RUN_OVER and len(fields) > 5)
 
 
 def decode(fields: list[str], body: bytes) -> Notice | None:
-    """Return the notice, None where its kind is unknown.
+    """Return the decoded notice, or None if its kind is unknown.
 
-    Raises BadInputError, LookupError or ValueError where it is malformed.
+    Raises BadInputError, LookupError or ValueError if it is malformed.
     """
     match fields[0]:
         case "outcome":
@@ -117,7 +124,7 @@
 
 
 def finite(text: str) -> float:
-    """Return a finite number. Raises BadInputError or ValueError."""
+    """Parse a finite number. Raises BadInputError or ValueError."""
     value = float(text)
     if not math.isfinite(value):
         raise BadInputError(f"{text}: not finite")
@@ -125,7 +132,7 @@
 
 
 def seconds_of(milliseconds: str) -> float:
-    """Return a time that has passed, in seconds. Raises BadInputError or ValueError."""
+    """Parse a duration in milliseconds and return it in seconds. Raises BadInputError or ValueError."""
     value = finite(milliseconds)
     if not 0 <= value <= MAX_AGE_MS:
         raise BadInputError(f"{milliseconds}: no time that has passed")
@@ -133,40 +140,40 @@
 
 
 def subscribe_line(last_notice: int) -> str:
-    """Ask for the notices after this one, the handshake of a link."""
+    """Return the handshake of a link: a subscription to all notices after number ``last_notice``."""
     return f"subscribe {last_notice}"
 
 
 def sample_line(tag: str) -> str:
-    """Ask for the gauges."""
+    """Return the command that requests the gauges."""
     return f"sample {tag}"
 
 
 def exercise_line(tag: str) -> str:
-    """Ask for a check's work."""
+    """Return the command that runs a health check's work."""
     return f"exercise {tag}"
 
 
 def launch_line(trace: str, route: str) -> str:
-    """Start a run."""
+    """Return the command that starts a run."""
     return f"{LAUNCH} {trace} {route}"
 
 
 def pause_line(trace: str) -> str:
-    """Pause a run."""
+    """Return the command that pauses a run."""
     return f"freeze {trace}"
 
 
 def resume_line(trace: str) -> str:
-    """Let a paused run go on."""
+    """Return the command that resumes a paused run."""
     return f"thaw {trace}"
 
 
 def deliver_line(trace: str) -> str:
-    """Give a run the reply to its call."""
+    """Return the command that gives a run the reply to its call."""
     return f"deliver {trace}"
 
 
 def forgo_line(trace: str, mark: int) -> str:
-    """Let a run go on without the reply to the call of this number."""
+    """Return the command that lets a run continue without the reply to the call with the number ``mark``."""
     return f"forgo {trace} {mark}"
--- a/beechrock/net/agent_commands.py
+++ b/beechrock/net/agent_commands.py
@@ -1,4 +1,4 @@
-"""Commands to the render farm agent, and which of them it is not yet known to have read."""
+"""Commands to the render farm agent, and the queue of those that it has not confirmed as read."""
 
 import itertools
 from collections.abc import Iterator
@@ -11,19 +11,20 @@
 
 @dataclass(slots=True, eq=False, repr=False)
 class Command:
-    """One line to the agent. Those about a request are kept until the agent is known to have read them."""
+    """One command line to the agent. A command about a request is kept until the agent has confirmed it."""
 
     line: str
     body: bytes | None = None
-    moves: bool = False  # makes the run go on, so that its next notice proves that this was read
-    starts: bool = False  # begins the run
-    sends: int = 0  # on how many links it went out
-    settled: bool = False  # read, or of no use any more
+    advances: bool = False  # the run advances by this command, so its next notice proves that it was read
+    starts_run: bool = False  # the command starts the run
+    sends: int = 0  # number of links on which the command was sent
+    settled: bool = False  # the agent has read the command, or it is no longer needed
 
     def encode(self) -> bytes:
-        """Return the bytes to be written now: none where it has been settled since it was queued.
+        """Return the bytes to write now: none if the command was settled after it was queued.
 
-        A run's next notice may have been read meanwhile, so that the agent must not get the command again.
+        The run's next notice, read in the meantime, may have confirmed the command; then the agent must not
+        get it again.
         """
         if self.settled:
             return b""
@@ -33,17 +34,20 @@
 
 
 class UnconfirmedCommands:
-    """By number, in order, and by request; ``settle`` once a command is read or has no use any more."""
+    """Commands not yet confirmed, in the order of their numbers and indexed by request.
+
+    A command is removed by ``settle`` once the agent has read it, or once it is no longer needed.
+    """
 
     def __init__(self) -> None:
         self._commands: dict[int, tuple[Request, Command]] = {}
-        self._numbers: dict[str, list[int]] = {}  # by the request's trace
+        self._numbers: dict[str, list[int]] = {}  # numbers of the commands, by the request's trace
 
     def __len__(self) -> int:
         return len(self._commands)
 
     def add(self, number: int, request: Request, command: Command) -> bool:
-        """Keep a command. Return False if there are too many."""
+        """Store a command. Returns False if the queue is full."""
         if len(self._commands) >= MAX_COMMANDS:
             return False
         self._commands[number] = request, command
@@ -51,23 +55,23 @@
         return True
 
     def __iter__(self) -> Iterator[tuple[int, Request, Command]]:
-        """Yield all that are there now, in order; what is settled on the way is left out."""
+        """Yield all current commands in order; one that is settled during the iteration is left out."""
         for number, (request, command) in list(self._commands.items()):
             if number in self._commands:
                 yield number, request, command
 
     def launch_of(self, trace: str) -> Command | None:
-        """Return the command that starts a run, None once it is settled."""
+        """Return the command that starts a run, or None once it is settled."""
         commands = (self._commands[number][1] for number in self._numbers.get(trace, ()))
-        return next((command for command in commands if command.starts), None)
+        return next((command for command in commands if command.starts_run), None)
 
     def never_sent(self, trace: str) -> bool:
-        """Return whether the run cannot have begun, as its launch has gone out on no link."""
+        """Return whether the run cannot have started, as its launch was sent on no link."""
         launch = self.launch_of(trace)
         return launch is not None and not launch.sends
 
     def settle(self, number: int) -> None:
-        """Forget a command that was read, or is of no use any more."""
+        """Remove a command that the agent has read, or that is no longer needed."""
         request, command = self._commands.pop(number)
         command.settled, trace = True, request.trace
         numbers = self._numbers[trace]
@@ -76,19 +80,22 @@
             del self._numbers[trace]
 
     def settle_before(self, sample: int) -> None:
-        """Settle all before the sample request of this number, as its answer proves that they were read."""
+        """Settle all commands before the sample request ``sample``: its answer proves that they were read."""
         for number in list(itertools.takewhile(lambda number: number < sample, self._commands)):
             self.settle(number)
 
     def settle_read(self, trace: str, over: bool) -> None:
-        """Settle the commands before a run's notice: all of them, or those that made it go on."""
+        """Settle the commands of a run that its notice confirms.
+
+        If the run is ``over``, these are all its commands; otherwise those by which it advances.
+        """
         for number in list(self._numbers.get(trace, ())):
-            if over or self._commands[number][1].moves:
+            if over or self._commands[number][1].advances:
                 self.settle(number)
 
-    def settle_sent_moves(self, trace: str) -> None:
-        """Settle what went out and would make a run go on, as it must not go out again."""
+    def settle_sent_advances(self, trace: str) -> None:
+        """Settle the sent commands by which a run advances, as they must not be sent again."""
         for number in list(self._numbers.get(trace, ())):
             command = self._commands[number][1]
-            if command.moves and command.sends:
+            if command.advances and command.sends:
                 self.settle(number)
--- a/beechrock/net/agent_notices.py
+++ b/beechrock/net/agent_notices.py
@@ -1,32 +1,33 @@
-"""Which of the agent's numbered notices have been read. Pure."""
+"""Sequence numbers of the agent's notices. No I/O."""
 
 from collections.abc import Callable
 
 from beechrock.net.connection import BadInputError
 
-# A notice numbered further ahead is noise: taken as read it would hide all later ones.
+# Maximum gap between two notice numbers. A number further ahead is treated as corrupt: once accepted, it
+# would make all later notices look like repeats.
 MAX_MISSED_NOTICES = 1_000_000
 
 
 class NoticeSequence:
-    """Which numbered notices have been read; none counts twice."""
+    """Tracks which numbered notices have been read, so that none is handled twice."""
 
     def __init__(self, on_missed: Callable[[int], None]) -> None:
-        self.on_missed = on_missed  # called with how many notices are gone for good
-        self.last = 0
-        self.renumbered = False  # the agent started anew, and its next notice may have any number
-        self.unreadable = 0  # the last one that could not be read
+        self.on_missed = on_missed  # called with the number of notices that are lost for good
+        self.last = 0  # highest number accepted so far
+        self.renumbered = False  # the agent has restarted, so its next notice may have any number
+        self.unreadable = 0  # number of the last notice that could not be parsed
 
     def restart(self) -> None:
-        """Forget the numbers of an agent that has started anew."""
+        """Reset the sequence after a restart of the agent."""
         self.last = 0
         self.unreadable = 0
         self.renumbered = True
 
     def accept(self, number: int) -> bool:
-        """Count a notice as read. Return False if it was read already.
+        """Mark a notice as read. Returns False if it was read before.
 
-        Raises BadInputError where the number is noise.
+        Raises BadInputError if the number is too far ahead to be valid.
         """
         if number <= self.last:
             return False
@@ -40,7 +41,7 @@
         return True
 
     def repeats_unreadable(self, number: int) -> bool:
-        """Note a notice that could not be read. Return whether the last such was the same one."""
+        """Record a notice that could not be parsed. Returns whether the previous such notice was the same."""
         if number != self.unreadable:
             self.unreadable = number
             return False
--- a/beechrock/net/connecting.py
+++ b/beechrock/net/connecting.py
@@ -1,6 +1,6 @@
-"""Connecting to a server: every way to fail before it is made ends in one OSError.
+"""Opens connections to servers; any failure before a connection is made is raised as an OSError.
 
-Nothing was sent then, so whatever was to go over that connection never ran.
+In that case nothing was sent, so a request meant for the connection never ran.
 """
 
 import asyncio
@@ -9,7 +9,7 @@
 from beechrock.net.registration import RetryingStreamReader
 from beechrock.net.retrying_writer import RetryingStreamWriter
 
-STREAM_LIMIT = 65_536  # bytes; a stream holds twice as many before its connection is read no more
+STREAM_LIMIT = 65_536  # bytes; asyncio stops reading a connection once its stream holds twice as many
 
 Address = tuple[str, int]
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
@@ -18,11 +18,11 @@
 
 
 class NotConnectedError(OSError):
-    """No connection came about, for a reason that is no failed system call."""
+    """No connection was made, for a reason other than a failed system call."""
 
 
 async def open_streams(connect: Connect, limit: int = STREAM_LIMIT) -> Streams:
-    """Return the streams of the connection that ``connect`` makes. Raises OSError as it does."""
+    """Return the streams of the connection that ``connect`` makes. Raises OSError if ``connect`` does."""
     loop = asyncio.get_running_loop()
     reader = RetryingStreamReader(limit, loop)
     protocol = asyncio.StreamReaderProtocol(reader, loop=loop)
@@ -43,15 +43,15 @@
 
 
 async def connect(address: Address) -> Streams:
-    """Open a connection. Raises OSError where none is made; a cancelled caller leaves none behind."""
+    """Open a connection. Raises OSError if that fails; a cancelled caller leaves no connection open."""
     try:
         reader, writer = await open_connection(*address)
     except OSError:
         raise
-    except Exception as error:  # a name that no resolver takes, a loop that has no place for the socket
+    except Exception as error:  # such as a host name that no resolver accepts, or a failed registration
         raise NotConnectedError(f"{type(error).__name__}: {error}") from error
-    # EAGAIN (no free port) and EINTR from connect(2) are taken by asyncio for a
-    # connection under way, and its socket, which polls as writable, for one that is connected.
+    # After EAGAIN (no free port) or EINTR from connect(2), asyncio assumes that the connection is in
+    # progress. The socket polls as writable, and asyncio then takes it for connected although it is not.
     if writer.get_extra_info("peername") is None:
         writer.transport.abort()
         raise NotConnectedError("the socket is not connected")
