--- a/beechrock/net/connection.py
+++ b/beechrock/net/connection.py
@@ -1,4 +1,4 @@
-"""The actor at one end of a connection: a mailbox, and a ring buffer a direction."""
+"""Actor for one end of a connection: a mailbox of outgoing messages, and one ring buffer per direction."""
 
 import asyncio
 import sys
@@ -10,21 +10,21 @@
 from beechrock.net.ring_buffer import BufferFullError, RingBuffer
 
 T = TypeVar("T")
-CHUNK = 16_384
-CROWDED = 64  # messages that may wait before their receiver is no longer read from
-UNREAD_S = 20.0  # how long the last answers may stay unread after the other side's end
-LINGER_S = 1.0  # how long a closing connection still reads, so that its last answers are not cut off
-SLOW_S = 0.02  # pause after each chunk that is read in vain: what comes at full speed costs no core
+CHUNK = 16_384  # bytes read or written at once
+CROWDED = 64  # queued outgoing messages above which the connection is no longer read
+UNREAD_S = 20.0  # how long the peer may leave the last answers unread after it has sent its end of stream
+LINGER_S = 1.0  # interval at which a closing connection checks whether its last answers were delivered
+SLOW_S = 0.02  # pause after each chunk that is read and discarded, so that a fast sender takes no whole core
 
 
 class BadInputError(Exception):
-    """The other side sent what its protocol does not allow; nothing after it can be understood."""
+    """The peer violated the protocol; nothing that follows on the connection can be parsed."""
 
 
 class ConnectionActor(Generic[T]):
-    """Reads bytes into ``inbox`` and parses them; turns the mailbox's messages into bytes in ``outbox``.
+    """Reads bytes into ``inbox`` and parses them; encodes the mailbox's messages into ``outbox``.
 
-    One kind of peer overrides ``parse``, ``encode``, and what it needs of the rest.
+    A subclass for one kind of peer overrides ``parse`` and ``encode``, and other hooks as it needs them.
     """
 
     where = "peer"
@@ -34,69 +34,70 @@
         self.inbox = RingBuffer(max_in_bytes)
         self.outbox = RingBuffer(max_out_bytes)
         self.mailbox: Mailbox[T] = Mailbox(mailbox)
-        self.closing = False  # read no more messages; close once ``settled``
-        self.ending = False  # close once ``settled`` and nothing read or unread waits; until then go on
-        self.lost = False  # over: nothing is sent any more
-        self.broken = False  # reset, or dropped
-        self.flushed = True  # all messages so far are written
-        self.written = 0  # bytes
-        self.written_then = 0  # bytes, at the last sweep
-        self.unread = 0  # sweeps in which the other side read nothing
-        self.received = 0  # chunks
-        self.received_then = 0  # chunks, at the last sweep
-        # Read by ``connections/table.py``.
-        self.uses = 0  # complete messages that came
+        self.closing = False  # read no more messages, and close once ``settled``
+        self.ending = False  # keep reading, and close once ``settled`` and no input is left
+        self.lost = False  # the connection has ended, and nothing more is sent
+        self.broken = False  # the connection was reset or dropped
+        self.flushed = True  # all messages posted so far are written
+        self.written = 0  # bytes written so far
+        self.written_at_sweep = 0  # bytes written by the time of the last sweep
+        self.unread = 0  # number of successive sweeps in which the peer read nothing
+        self.received = 0  # chunks received so far
+        self.received_at_sweep = 0  # chunks received by the time of the last sweep
+        # Fields that ``connections/table.py`` reads; times in seconds of the module's clock.
+        self.uses = 0  # complete messages received
         self.opened_at = 0.0
         self.last_message_at = 0.0
-        self.back_from = 0.0  # when a retry time was given
-        self.back_at = 0.0  # that time
+        self.back_from = 0.0  # when the peer was last given a retry time
+        self.back_at = 0.0  # the retry time given then
         self.rejected = False
-        self._shut = False  # our end of the stream is closed, nothing may follow
-        self._sending = False  # messages have been taken from the mailbox, and are not all written
+        self._shut = False  # the outgoing stream is closed, and nothing may be sent after it
+        self._sending = False  # messages were taken from the mailbox, and not all are written yet
         self._reader: asyncio.StreamReader | None = None
         self._writer: asyncio.StreamWriter | None = None
 
-    # What a kind of peer adds.
+    # Hooks that subclasses override.
 
     def parse(self) -> None:
-        """Read the complete messages of ``inbox``. Raises BadInputError."""
+        """Handle the complete messages in ``inbox``. Raises BadInputError."""
         raise NotImplementedError
 
     def encode(self, message: T) -> bytes:
-        """Return the bytes of a message."""
+        """Return the wire format of a message."""
         raise NotImplementedError
 
     def bad_input(self, problem: str) -> None:
-        """Say what was wrong, where the protocol has fields for that."""
+        """Report a protocol violation to the peer, if the protocol has a message for that."""
 
     def failed_inside(self) -> None:
-        """Send that a message could not be handled, by a fault of this program."""
+        """Report to the peer that a message could not be handled because of an internal error."""
         self.bad_input("internal error")
 
     def settled(self) -> bool:
-        """Return whether nothing is owed on this connection."""
+        """Return whether no request on this connection still waits for an answer."""
         return True
 
     def answer_all(self) -> None:
-        """Give what is open an answer of last resort, as the process ends."""
+        """Answer all open requests with a failure, as the process ends."""
 
     def owes(self) -> bool:
         """Return whether an answer, or a part of one, is still to be sent."""
         return not (self.settled() and self.flushed)
 
     def begun(self) -> bool:
-        """Return whether a part of a message has come, and may go on."""
+        """Return whether a message has been received in part, and the rest may still arrive."""
         return False
 
     def input_waits(self) -> bool:
-        """Return whether bytes have come that were not read, in the kernel or in the stream.
+        """Return whether received bytes are unread, in the kernel or in the stream.
 
-        A request is ours once it is written: on a loop that lags it may wait here for longer than the 50 ms
-        in which a caller sends again what crossed a close.
+        The node is responsible for a request as soon as the caller has written it. On a lagging event loop,
+        the request may stay unread for longer than the 50 ms in which a caller resends a request that crossed
+        a close.
         """
         if self._reader is None or self._writer is None or self._writer.transport.is_closing():
             return False
-        if self._shut:  # what comes after our end is not ours, and must not keep a place in a full table
+        if self._shut:  # input after our end of stream is ignored, and must not keep a place in a full table
             return False
         if StreamEndpoint(self._reader, self._writer).holds_input():
             return True
@@ -105,10 +106,10 @@
         except OSError:
             return False
 
-    # The actor.
+    # Actor methods.
 
     def post(self, message: T) -> bool:
-        """Queue a message. Return False where the connection is over, or the mailbox full."""
+        """Queue a message. Returns False if the connection has ended, or the mailbox is full."""
         if self.lost or self._shut:
             return False
         if self.mailbox.put(message):
@@ -118,22 +119,22 @@
         return False
 
     def finish(self) -> None:
-        """Read no more; close once all that is owed has been written."""
+        """Stop reading; close once all answers have been written."""
         self.closing = True
         self.mailbox.wake()
 
     def end(self) -> None:
-        """Close at the first moment at which nothing is owed and nothing that came is unread.
+        """Close as soon as no answer is pending and no input is unread.
 
-        Until then messages are read and answered as ever, as what was written before our close is ours.
+        Until then, messages are still answered, as a request written before our close must get an answer.
         """
         self.ending = True
         self.mailbox.wake()
 
     def shut(self) -> bool:
-        """Send our end of the stream now, unless something is owed or unread. Return whether it was sent.
+        """Close the outgoing stream unless an answer is due or input is unread. Return whether it was closed.
 
-        The check and the close are one step: a request that is read in between would be thrown away.
+        The check and the close happen in one step, as a request that is read in between would be lost.
         """
         if self._reader is None or self._writer is None or self.closing or self.owes() or len(self.outbox):
             return False
@@ -143,14 +144,14 @@
             elif not StreamEndpoint(self._reader, self._writer).end_if_empty():
                 return False
             self._shut = True
-        except OSError:  # the other side has reset it; nobody waits for anything here
+        except OSError:  # the peer has reset the connection, so nobody waits for an answer
             self.drop()
             return True
         self.finish()
         return True
 
     def answer_unread(self, max_bytes: int) -> None:
-        """Read and answer what has come, up to ``max_bytes``, without a turn of the loop."""
+        """Read and answer up to ``max_bytes`` of pending input, without yielding to the event loop."""
         if self._reader is None or self._writer is None or self._ends_by_loop():
             return
         try:
@@ -159,10 +160,10 @@
             self._note_reset()
 
     def conclude(self, max_bytes: int, force: bool) -> bool:
-        """Read what has come, answer it, and end the connection, all without a turn of the loop.
+        """Read and answer pending input, and end the connection, without yielding to the event loop.
 
-        Reads up to ``max_bytes``; with ``force`` the connection is ended though more has come. Return whether
-        nothing is left to do. What the other side takes no more of is left to the loop.
+        Reads up to ``max_bytes``; with ``force``, ends the connection even if more is pending. Returns
+        whether nothing is left to do. Output that the kernel does not accept now is left to the event loop.
         """
         if self._reader is None or self._writer is None:
             return True
@@ -175,13 +176,13 @@
         return not self._sending
 
     def _ends_by_loop(self) -> bool:
-        """Return whether its end is sent, or an answer is written in part, behind which none may be put."""
+        """Return whether only the loop can finish it: its end was sent, or an answer is partly written."""
         return self._sending or self._shut or self._writer is None or self._writer.transport.is_closing()
 
     def conclude_on(self, endpoint: DirectEndpoint, max_bytes: int, force: bool) -> bool:
-        """Conclude a connection that is read and written by ``endpoint``, as ``conclude`` says.
+        """Conclude a connection that is read and written through ``endpoint``; see ``conclude``.
 
-        The end is sent in the same step as a look that finds nothing: what comes between them is lost.
+        The check for input and the end are one step, as a request that arrives between them would be lost.
         """
         try:
             if not self._answer_and_end(endpoint, max_bytes, force):
@@ -193,12 +194,12 @@
         return True
 
     def _note_reset(self) -> None:
-        """Note that the other side has reset the connection: nobody waits for an answer any more."""
+        """Record that the peer has reset the connection, so that nobody waits for an answer any more."""
         self.broken = True
         self.counters.add(f"intake.{self.where}_resets")
 
     def _answer_and_end(self, endpoint: DirectEndpoint, max_bytes: int, force: bool) -> bool:
-        """Answer until nothing waits, and send our end; return whether it was sent. Raises OSError."""
+        """Answer pending input and close the outgoing stream; return whether it is closed. Raises OSError."""
         left = max_bytes
         while True:
             left -= self._answer_unread(endpoint, left)
@@ -211,9 +212,10 @@
                 return True
 
     def _answer_unread(self, endpoint: DirectEndpoint, max_bytes: int) -> int:
-        """Answer until a read finds nothing or over ``max_bytes`` came; return how many did. Raises OSError.
+        """Answer input until a read finds none, or more than ``max_bytes`` were read.
 
-        ``closing`` is set where no more can come, and where the other side does not read.
+        Returns the number of bytes read. Raises OSError. Sets ``closing`` if the peer has ended its stream,
+        or if it does not read the answers.
         """
         self.rejected = True
         taken = 0
@@ -234,19 +236,19 @@
                 return taken
 
     def drop(self) -> None:
-        """End the connection at once, whatever is open on it."""
+        """Abort the connection at once, even if requests are open on it."""
         self.closing = self.broken = True
         if self._writer is not None:
             self._writer.transport.abort()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Run until the connection ends."""
+        """Serve the connection until it ends."""
         if self.broken:  # dropped while the connection was being made
             self.lost = True
             writer.close()
             return
         self._reader, self._writer = reader, writer
-        writer.transport.set_write_buffer_limits(high=0)  # what waits to be sent waits in the ring
+        writer.transport.set_write_buffer_limits(high=0)  # unsent bytes are buffered in ``outbox`` instead
         sending = self.counters.spawn(self._send(writer), self.where + ".send")
         receiving = self.counters.spawn(self._receive(reader), self.where + ".receive")
         try:
@@ -254,7 +256,7 @@
             self.broken = self.broken or (receiving.done() and receiving.exception() is not None)
             if sending.done():
                 await self._linger(receiving, writer)
-            # The end of what comes in is no reason to keep back what is owed: half a close is allowed.
+            # Pending answers are sent even after the peer's end of stream: a half-close is allowed.
             while not sending.done() and not self.broken:
                 await asyncio.wait((sending,), timeout=UNREAD_S)
                 if self.settled():
@@ -265,14 +267,14 @@
             self._reader = self._writer = None
             sending.cancel()
             receiving.cancel()
-            # A close waits for what is still unsent; the other side may never read it, so the rest is cut.
+            # A close would wait for unsent bytes, which the peer may never read; so they are discarded.
             writer.close() if complete else writer.transport.abort()
 
     async def _linger(self, receiving: "asyncio.Task[None]", writer: asyncio.StreamWriter) -> None:
-        """Read until the other side ends too, or has had the time to read what we sent.
+        """Keep reading until the peer ends its stream, or has received all answers, or UNREAD_S have passed.
 
-        A close over unread bytes resets the connection, and the kernel throws away the answers that a slow
-        reader had no space for yet.
+        Closing a socket with unread input resets the connection, and the kernel then discards the answers
+        for which a slow reader had no space yet.
         """
         for _ in range(round(UNREAD_S / LINGER_S)):
             await asyncio.wait((receiving,), timeout=LINGER_S)
@@ -291,18 +293,18 @@
                 self._parse_all(memoryview(data))
                 if self.ending:
                     self.mailbox.wake()
-                while not self.closing and self._crowded():  # who does not read is not read from
+                while not self.closing and self._crowded():  # backpressure on a peer that reads no answers
                     await asyncio.sleep(0.01)
             if not self.closing:
                 self.input_ended()
-        except OSError as error:  # a reset and a time-out are such
-            # The stream keeps its error, and so the traceback's frames and buffers.
+        except OSError as error:  # includes resets and time-outs
+            # The stream keeps a reference to the error, which would keep the frames and buffers alive.
             error.__traceback__ = None
             self.broken = True
             self.counters.add(f"intake.{self.where}_resets")
 
     def _parse_all(self, data: memoryview) -> None:
-        """Handle bytes that came; whatever is wrong with them ends the connection in order."""
+        """Handle received bytes; an error in them closes the connection gracefully."""
         try:
             while data and not self.closing:
                 taken = min(len(data), self.inbox.free_bytes)
@@ -316,13 +318,13 @@
             self.bad_input(str(error))
             self.finish()
         except Exception as error:
-            # As the task's end it would leave the connection open, and what comes on it unread.
+            # If the exception ended the task, the connection would stay open with its input unread.
             self.counters.record_error(f"{self.where}.receive", error)
             self.failed_inside()
             self.finish()
 
     def input_ended(self) -> None:
-        """Note that the other side sends no more."""
+        """Handle the peer's end of stream."""
 
     def _crowded(self) -> bool:
         return len(self.outbox) > self.outbox.max_bytes // 4 or len(self.mailbox) > CROWDED
@@ -342,12 +344,12 @@
                 if self.closing and self.settled() and not len(self.mailbox):
                     self._write_end(writer)
                     return
-        except OSError as error:  # a reset and a time-out are such
+        except OSError as error:  # includes resets and time-outs
             error.__traceback__ = None
             self.counters.add(f"sent.{self.where}_resets")
 
     def _encoded(self, message: T) -> bytes:
-        """Return the bytes of a message; one that has none costs itself and the connection, no other."""
+        """Return the wire format of a message; if encoding fails, drop only this message, and close."""
         try:
             return self.encode(message)
         except Exception as error:
@@ -356,7 +358,7 @@
             return b""
 
     async def _put(self, writer: asyncio.StreamWriter, message: T) -> None:
-        """Encode into ``outbox``; what does not fit there goes in parts."""
+        """Encode a message into ``outbox``; one that does not fit there is sent in parts."""
         data = memoryview(self._encoded(message))
         if len(data) > self.outbox.free_bytes:
             await self._flush(writer)
@@ -381,9 +383,9 @@
 
 
 def has_undelivered(writer: asyncio.StreamWriter) -> bool:
-    """Return whether the kernel still holds bytes that the other side has not taken.
+    """Return whether the kernel still holds sent bytes that were not delivered.
 
-    Over TCP its kernel, over a Unix socket its process.
+    Over TCP, delivered means acknowledged by the peer's kernel; over a Unix socket, read by its process.
     """
     if writer.transport.is_closing():
         return False
--- a/beechrock/net/connection_server.py
+++ b/beechrock/net/connection_server.py
@@ -1,4 +1,4 @@
-"""What all servers share: listening, and a bounded table of connections that bad ones cannot fill."""
+"""Base class of all servers: listens, and bounds the table of connections, evicting the least useful ones."""
 
 import asyncio
 import socket
@@ -19,17 +19,17 @@
 from beechrock.net.time_slice import TimeSlice
 
 P = TypeVar("P", bound=ConnectionActor[Any])
-SWEEP_S = 0.5
-DEPART_STEP_S = 0.004  # a tick of the module, whose answers are waited for
-FAIR_BYTES = READ_CHUNK  # read of each connection in the last pass before any has more
-MAX_LAST_BYTES = 2 * (
-    RECEIVE_BUFFER + READ_CHUNK
-)  # what may wait as the last pass begins: the kernel doubles
-LINGERING_PART = 16  # 1 / this of the table: connections ended for others that still hold a descriptor
+SWEEP_S = 0.5  # interval of the sweeps over the table
+DEPART_STEP_S = 0.004  # one tick of the module, which produces the answers that the shutdown waits for
+FAIR_BYTES = READ_CHUNK  # bytes read from each connection in the last pass before any is read further
+# Bytes that may be unread on a connection as the last pass begins: the kernel doubles the size of its buffer,
+# and asyncio holds two chunks.
+MAX_LAST_BYTES = 2 * (RECEIVE_BUFFER + READ_CHUNK)
+LINGERING_PART = 16  # evicted connections that still hold a descriptor may number 1/16 of the table's size
 
 
 class ConnectionServer(Generic[P]):
-    """Listens, and keeps its connections."""
+    """Listens, and manages the accepted connections."""
 
     where, at_once = "front", MAX_ACCEPTED_AT_ONCE
 
@@ -39,39 +39,40 @@
         self.peers: set[P] = set()
         self.server: Listener | None = None
         self._sweeping = False
-        self._arrivals: Arrivals = {}  # accepted, and not yet handed on
-        self._unserved: dict[
-            asyncio.StreamReader, asyncio.StreamWriter
-        ] = {}  # handed on, and not in ``peers``
-        self._lingering: dict[P, None] = {}  # ended for others, oldest first; read until the other end
+        self._arrivals: Arrivals = {}  # accepted connections that have no streams yet
+        # Connections with streams that are not in ``peers`` yet.
+        self._unserved: dict[asyncio.StreamReader, asyncio.StreamWriter] = {}
+        # Evicted connections, oldest first, which are read until the other side ends its stream.
+        self._lingering: dict[P, None] = {}
         self._slice = TimeSlice()
-        self._concluded: list[socket.socket] = []  # open until the process ends: a close could reset answers
+        # Sockets that stay open until the process ends, as closing them could reset unread answers.
+        self._concluded: list[socket.socket] = []
 
-    # What a kind of front adds.
+    # Hooks that subclasses override.
 
     def peer(self) -> P:
-        """Return one end of a new connection."""
+        """Create the actor for a new connection."""
         raise NotImplementedError
 
     def send_full(self, peer: P) -> None:
-        """Reject on a connection that is one too many; each request on it is to be refused."""
+        """Tell the peer that the table is full; each request on this connection is refused."""
         raise NotImplementedError
 
     def ended(self, peer: P) -> None:
-        """Cancel what is open on a connection that is over."""
+        """Cancel the open requests of a connection that has ended."""
         raise NotImplementedError
 
     def dismiss(self, peer: P) -> bool:
-        """End a connection with nothing open on it and nothing unread; False if it has such."""
+        """End a connection unless a request is open or input is unread. Returns whether it was ended."""
         return peer.shut()
 
     def look_at(self, peer: P, now: float) -> None:
-        """At each sweep: end a connection that does not do what it is for."""
+        """End a connection that is idle or too slow; called for each connection at each sweep."""
 
-    # The front.
+    # Server methods.
 
     async def start(self, host: str, port: int, fd: int | None = None) -> None:
-        """Listen; after ``pause``, again."""
+        """Start to listen, or listen again after ``pause``."""
         server = await listen(
             self._accepted,
             host,
@@ -84,31 +85,33 @@
             budget=self._accept_budget,
             arrivals=self._arrivals,
         )
-        self.close()  # of a start in the same shortage, before a pause: it would outlive the next one
+        self.close()  # an earlier start may have waited out the same shortage; its listener would stay open
         self.server = server
         if not self._sweeping:
             self._sweeping = True
             self._sweep()
 
     def pause(self) -> None:
-        """Take no more connections from a socket that others hold too; those that are open go on.
+        """Stop accepting from a socket that other processes hold too; open connections are still served.
 
-        What was accepted and not yet handed on is served all the same, which asyncio's own server drops.
+        Connections that were accepted but have no streams yet are served as well; asyncio's own server would
+        drop them.
         """
         self.close()
 
     def close(self) -> None:
-        """Accept no more; connections that were accepted are served on."""
+        """Stop accepting; accepted connections are still served."""
         if self.server is not None:
             self.server.close()
             self.server = None
 
     async def depart(self, cut_at: float, exit_at: float, end_at: float) -> None:
-        """Take no more connections and end all, so that each complete request read before has its answer.
+        """Stop accepting and end all connections, so that each complete request gets its answer.
 
-        Up to ``exit_at`` connections are ended as turns of the loop find them, from ``cut_at`` on whatever is
-        open. What is left then is concluded directly; turns are waited for up to ``end_at``, and only where
-        nothing goes without. All are of the loop's time.
+        Until ``exit_at``, connections are ended by turns of the event loop; from ``cut_at`` on, open requests
+        are answered with a failure so that their connections can end. The rest is then concluded directly,
+        without turns of the loop except where an answer is partly written, and until ``end_at`` at most. The
+        arguments are times of the loop's clock, in seconds.
         """
         load_input_check()
         await self._end_by_turns(cut_at, exit_at)
@@ -116,21 +119,22 @@
         self.close()
 
     async def _end_by_turns(self, cut_at: float, exit_at: float) -> None:
-        """End connections as turns of the loop find them, until none is left or ``exit_at`` has come."""
+        """End connections in turns of the event loop, until none is left or ``exit_at`` is reached."""
         loop = asyncio.get_running_loop()
         while loop.time() < exit_at and (self.server is not None or self.peers or self._coming()):
             if self.server is not None and self.server.close_empty():
                 self.server = None
             self._dismiss_all(loop.time() >= cut_at)
-            # Few turns without a wait: a shortage may keep the backlog from being emptied.
+            # Turns without a wait only once the listener is closed: while a shortage keeps the backlog from
+            # being emptied, they would take the whole core.
             await asyncio.sleep(0 if self.server is None and self._coming() else DEPART_STEP_S)
 
     def _coming(self) -> bool:
-        """Return whether a connection has been accepted that is not in ``peers`` yet."""
+        """Return whether an accepted connection is not in ``peers`` yet."""
         return bool(self._arrivals or self._unserved)
 
     async def _conclude(self, end_at: float) -> None:
-        """End all connections directly; turns of the loop serve answers that are written in part alone."""
+        """End all connections directly; turns of the loop serve only to finish partly written answers."""
         loop = asyncio.get_running_loop()
         while True:
             self._conclude_backlog(end_at)
@@ -141,10 +145,10 @@
             await asyncio.sleep(DEPART_STEP_S)
 
     def _conclude_backlog(self, end_at: float) -> None:
-        """Answer and end each connection that waits to be accepted.
+        """Answer and end each connection in the backlog.
 
-        After ``end_at`` each is read once, as those are that were accepted before. Where new ones may still
-        come, none is taken then.
+        After ``end_at`` each is read only once, like the accepted connections. If new connections may still
+        arrive, the first that is taken after ``end_at`` is the last.
         """
         if self.server is None:
             return
@@ -159,7 +163,7 @@
             self.server = None
 
     def _conclude_coming(self) -> None:
-        """Answer and end each connection that has been accepted and is not in ``peers`` yet."""
+        """Answer and end each accepted connection that is not in ``peers`` yet."""
         while self._arrivals:
             _, connection = self._arrivals.popitem()
             self._concluded.append(connection)
@@ -174,10 +178,10 @@
         self.ended(peer)
 
     def _shut_all(self) -> None:
-        """Answer what waits on all connections, and then end them one right after the other.
+        """Answer pending input on all connections, and then end them in quick succession.
 
-        A request that comes between the look for it and the end of its connection is lost, and on a busy
-        machine a process has to wait wherever its time slice ends. So the ends are done with a new slice.
+        A request that arrives between the check for input and the end of its connection is lost. On a busy
+        machine, the process is paused wherever its time slice ends; so the ends are done in a new time slice.
         """
         for peer in self.peers:
             peer.answer_unread(FAIR_BYTES)
@@ -186,9 +190,10 @@
             peer.shut()
 
     def _conclude_peers(self, end_at: float) -> bool:
-        """End all connections; return whether nothing is left to do on any.
+        """End all connections. Returns whether nothing is left to do on any of them.
 
-        Those that a few bytes empty come first, so that a caller that sends without end keeps nobody waiting.
+        Connections with little pending input are ended first, so that a caller that sends without end does
+        not delay the others.
         """
         loop = asyncio.get_running_loop()
         left: list[P] = []
@@ -203,7 +208,10 @@
         return not unfinished
 
     def _dismiss_all(self, cut: bool) -> None:
-        """End all connections that owe nothing; with ``cut`` what is open, and what comes, is answered."""
+        """End all connections without open requests.
+
+        With ``cut``, requests that are open or still arrive are answered at once, so that the rest can end.
+        """
         for peer in [peer for peer in self.peers if not peer.closing and (cut or not peer.begun())]:
             self._slice.renew_if_used()
             if not self.dismiss(peer) and cut:
@@ -212,7 +220,7 @@
                 peer.end()
 
     def _relieve(self) -> None:
-        """End the connection whose end costs least, as accept finds no descriptor or memory for a new one."""
+        """Evict the least useful connection, as accept(2) lacks a descriptor or memory for a new one."""
         evicted = next(iter(self._lingering), None) or victim(
             self.peers, self.max_connections, self.module.clock()
         )
@@ -227,12 +235,12 @@
         self.module.counters.spawn(self._serve(reader, writer), self.where)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if self._unserved.pop(reader, None) is None:  # concluded meanwhile
+        if self._unserved.pop(reader, None) is None:  # a shutdown has concluded it in the meantime
             return
         peer, counters = self.peer(), self.module.counters
         counters.add(f"intake.{self.where}_connections")
         peer.opened_at = self.module.clock()
-        # Descriptors are kept for the agent and the ledger.
+        # The bound on connections leaves descriptors for the links to the agent and the ledger.
         if len(self.peers) >= self.max_connections and not self._evict_if_full():
             counters.add(f"intake.{self.where}_connections_beyond_limit")
             peer.rejected = True
@@ -247,7 +255,7 @@
             self.ended(peer)
 
     def _accept_budget(self, arriving: int) -> int:
-        """Return how many connections may be accepted now; a rejected one may end for that."""
+        """Return how many connections may be accepted now; a rejected connection may be evicted for that."""
         budget, closable = accept_budget(
             self.peers, self.max_connections, arriving, self.at_once, self.module.clock()
         )
@@ -258,9 +266,9 @@
         return budget
 
     def _evict_if_full(self) -> bool:
-        """Return whether there is a place, for which the connection whose end costs least may have to end.
+        """Return whether the table has a free place, evicting the least useful connection if it is full.
 
-        Without it clients that ask once and stay would fill the table.
+        Without eviction, clients that send one request and stay connected would fill the table.
         """
         placement, evicted = place_connection(self.peers, self.max_connections, self.module.clock())
         if evicted is not None:
@@ -269,9 +277,11 @@
         return placement is not Placement.REJECT
 
     def _evict(self, peer: P) -> None:
-        """End a connection that owes nothing, in order: what crosses our end is read, so nothing is reset.
+        """End a connection without pending answers gracefully.
 
-        Its descriptor is free once the other side has ended it too; only the oldest of many are cut off.
+        Input that crosses our end of stream is still read, so that the connection is not reset. Its
+        descriptor is freed once the other side ends its stream too; if too many linger, the oldest are
+        aborted.
         """
         self.peers.discard(peer)
         if peer.closing or not self.dismiss(peer):
@@ -286,9 +296,9 @@
     def _sweep(self) -> None:
         now = self.module.clock()
         for peer in self.peers:
-            peer.unread = 0 if peer.flushed or peer.written != peer.written_then else peer.unread + 1
-            peer.written_then = peer.written
-            if peer.unread > UNREAD_SWEEPS:  # its descriptor and its answers would be held for ever
+            peer.unread = 0 if peer.flushed or peer.written != peer.written_at_sweep else peer.unread + 1
+            peer.written_at_sweep = peer.written
+            if peer.unread > UNREAD_SWEEPS:  # otherwise its descriptor and its answers would be kept forever
                 self.module.counters.add(f"intake.{self.where}_unread")
                 peer.drop()
             elif not (peer.closing or peer.ending):
--- a/beechrock/net/direct_endpoint.py
+++ b/beechrock/net/direct_endpoint.py
@@ -1,6 +1,6 @@
-"""Reads and writes a connection at once, without a turn of the event loop.
+"""Non-blocking reads and writes on a connection, without a turn of the event loop.
 
-A process that ends uses these: on a busy machine the loop may not run again before the process is killed.
+Used during shutdown: on a busy machine, the loop may not run again before the process is killed.
 """
 
 import asyncio
@@ -13,14 +13,14 @@
 from beechrock.net.retrying_writer import unsent_bytes
 
 CHUNK = 16_384  # bytes read by one call
-NO_BYTES = bytes(4)  # what FIONREAD says of a socket without input: an int of 0
+NO_BYTES = bytes(4)  # result of FIONREAD for a socket without unread input: an int of 0
 
 
 def load_input_check() -> tuple[ModuleType, ModuleType]:
-    """Return the modules ``fcntl`` and ``termios``, which take 0.1 MB of a started node if loaded earlier.
+    """Return the modules ``fcntl`` and ``termios``; a node that loads them at start uses 0.1 MB more.
 
-    To be called at the notice to leave, long before connections are ended one by one: while modules load, a
-    request may come between the look for unread bytes and the end of the stream.
+    Call this at the notice to shut down, long before connections are ended: while modules load, a request
+    could arrive between the check for unread bytes and the end of the stream, and be lost.
     """
     import fcntl
     import termios
@@ -29,66 +29,66 @@
 
 
 def input_waits(connection: socket.socket) -> bool:
-    """Return whether bytes wait in the kernel. Raises OSError."""
+    """Return whether the kernel holds unread bytes of the connection. Raises OSError."""
     fcntl, termios = load_input_check()
     return bool(fcntl.ioctl(connection.fileno(), termios.FIONREAD, NO_BYTES) != NO_BYTES)
 
 
 class DirectEndpoint(Protocol):
-    """One end of a connection whose calls never wait."""
+    """One end of a connection whose calls never block."""
 
     def receive(self) -> bytes | None:
-        """Return what has come: None where nothing waits, no bytes once the other side has ended.
+        """Return pending input: None if there is none, empty bytes once the other side has ended its stream.
 
-        Raises OSError where the connection is broken.
+        Raises OSError if the connection is broken.
         """
 
     def send(self, data: bytes) -> bool:
-        """Send bytes; return whether the kernel took all of them. Raises OSError."""
+        """Send bytes; return whether the kernel accepted all of them. Raises OSError."""
 
     def end(self) -> None:
-        """Send the end of our stream. Raises OSError."""
+        """Close the outgoing stream. Raises OSError."""
 
     def end_if_empty(self) -> bool:
-        """Send the end of our stream unless something has come; return whether it was sent. OSError."""
+        """Close the outgoing stream unless input is unread; return whether it was closed. Raises OSError."""
 
 
 class SocketEndpoint:
-    """A connection that no transport has been made for."""
+    """Endpoint on a plain socket that has no transport."""
 
     def __init__(self, connection: socket.socket) -> None:
         connection.setblocking(False)
         self._connection = connection
 
     def receive(self) -> bytes | None:
-        """Return what has come, as ``DirectEndpoint`` says."""
+        """Return pending input; see ``DirectEndpoint.receive``."""
         return _receive(self._connection)
 
     def send(self, data: bytes) -> bool:
-        """Send bytes; return whether the kernel took all of them. Raises OSError."""
+        """Send bytes; return whether the kernel accepted all of them. Raises OSError."""
         try:
             return self._connection.send(data) == len(data)
         except BlockingIOError:
             return False
 
     def end(self) -> None:
-        """Send the end of our stream. Raises OSError."""
+        """Close the outgoing stream. Raises OSError."""
         self._connection.shutdown(socket.SHUT_WR)
 
     def end_if_empty(self) -> bool:
-        """Send the end of our stream unless something has come, as ``DirectEndpoint`` says."""
+        """Close the outgoing stream unless input is unread; see ``DirectEndpoint.end_if_empty``."""
         return _shut_if_empty(self._connection)
 
 
 class StreamEndpoint:
-    """A connection of the event loop: what its stream holds comes before what the kernel holds."""
+    """Endpoint on a connection of the event loop; reads the stream's buffer before the kernel's."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._reader = reader
         self._writer = writer
 
     def receive(self) -> bytes | None:
-        """Return what has come, as ``DirectEndpoint`` says."""
+        """Return pending input; see ``DirectEndpoint.receive``."""
         if self.holds_input():
             held: bytearray = self._reader._buffer  # type: ignore[attr-defined]
             data = bytes(held)
@@ -100,38 +100,38 @@
             return _receive(connection)
 
     def send(self, data: bytes) -> bool:
-        """Send bytes; what the kernel does not take now is left to the loop. Raises OSError."""
+        """Send bytes; return whether the kernel accepted all, or the loop sends the rest. Raises OSError."""
         self._writer.write(data)
         return not unsent_bytes(self._writer)
 
     def end(self) -> None:
-        """Send the end of our stream, after what is left to the loop. Raises OSError."""
+        """Close the outgoing stream behind the output that the loop still has to send. Raises OSError."""
         if self._writer.can_write_eof():
             self._writer.write_eof()
 
     def end_if_empty(self) -> bool:
-        """Send the end of our stream unless something has come, as ``DirectEndpoint`` says."""
+        """Close the outgoing stream unless input is unread; see ``DirectEndpoint.end_if_empty``."""
         if self.holds_input():
             return False
-        if unsent_bytes(self._writer):  # the other side does not read: no more waits for it
+        if unsent_bytes(self._writer):  # the peer does not read its answers, so its further input is ignored
             self.end()
             return True
         if not _shut_if_empty(self._writer.get_extra_info("socket")):
             return False
-        with contextlib.suppress(OSError):  # the transport is to know it too; the other side may have gone
+        with contextlib.suppress(OSError):  # updates the transport's state; the peer may be gone by now
             self._writer.write_eof()
         return True
 
     def holds_input(self) -> bool:
-        """Return whether the stream holds bytes that nobody has read."""
-        return bool(getattr(self._reader, "_buffer", b""))  # asyncio has no public word for it
+        """Return whether the stream holds unread bytes."""
+        return bool(getattr(self._reader, "_buffer", b""))  # asyncio has no public accessor for it
 
 
 def _shut_if_empty(connection: socket.socket) -> bool:
-    """Shut the sending side unless bytes wait in the kernel, with nothing between the two system calls.
+    """Shut down the sending side unless the kernel holds unread bytes.
 
-    On a busy machine each further step there is one at which the process may be made to wait, while a request
-    comes that nobody will answer.
+    Nothing runs between the two system calls: on a busy machine, each further step is one at which the
+    process may be paused, while a request arrives that would never be answered.
     """
     fcntl, termios = load_input_check()
     ioctl = fcntl.ioctl
@@ -153,7 +153,7 @@
 
 @contextlib.contextmanager
 def _borrowed_socket(writer: asyncio.StreamWriter) -> Iterator[socket.socket]:
-    """Give a socket for the transport's descriptor, which stays the transport's."""
+    """Yield a socket for the transport's descriptor, which the transport continues to own."""
     held = writer.get_extra_info("socket")
     connection = socket.socket(held.family, held.type, held.proto, fileno=held.fileno())
     try:
--- a/beechrock/net/frame_codec.py
+++ b/beechrock/net/frame_codec.py
@@ -1,7 +1,7 @@
-"""The codec of the front ends' frames: kinds, codes, fields and their names on the wire. Pure.
+"""Codec of the front ends' frame protocol: kinds, codes, fields and their names on the wire. No I/O.
 
-A frame is its length, its kind and the number of its stream, then a payload. A request's payload is fields
-and a body. This module alone knows the wire's words for what the rest of the program names by the field.
+A frame consists of its length, its kind, the number of its stream and a payload. A request's payload consists
+of fields and a body. The field names used on the wire appear in this module only.
 """
 
 import struct
@@ -9,15 +9,15 @@
 
 from beechrock.core.requests import Verdict
 
-HEAD = struct.Struct(">IBI")  # length of what follows it, kind, stream
-MIN_LENGTH = 5
-MAX_LENGTH = 262_144
-REQUEST, ANSWER, CANCEL, CHECK, CHECKED, NO_MORE = 1, 2, 3, 4, 5, 6  # kinds
+HEAD = struct.Struct(">IBI")  # frame header: number of bytes after the length itself, kind, stream
+MIN_LENGTH = 5  # length of a frame without payload: kind and stream
+MAX_LENGTH = 262_144  # maximum length of a frame, in bytes
+REQUEST, ANSWER, CANCEL, CHECK, CHECKED, NO_MORE = 1, 2, 3, 4, 5, 6  # kinds of frames
 SERVED, REFUSED, FAILED = 0, 8, 13  # codes of an answer
 CODES = {Verdict.SERVED: SERVED, Verdict.REFUSED: REFUSED, Verdict.FAILED: FAILED}
 HEALTHY, UNHEALTHY = 0, 1  # codes of a health check's result
 
-# Fields of a request, by what the program calls them.
+# Names of a request's fields on the wire.
 ROUTE_FIELD = "route"
 TRACE_FIELD = "trace"
 KEY_FIELD = "nonce"
@@ -29,23 +29,23 @@
 RETRY_FIELD = "redo"
 TENANT_FIELD = "customer"
 ENTITY_FIELD = "entity"
-# Of a health check.
+# Names of a health check's fields on the wire.
 THOROUGH_FIELD = "thorough"
-# Of an answer.
+# Names of an answer's fields on the wire.
 ADVICE_FIELD = "advice"
 RETRY_AFTER_MS_FIELD = "pause"
 NO_RETRY_FIELD = "terminal"
-TRUE = "1"
+TRUE = "1"  # value of a field that is a set flag
 
 
 class BadRequestError(Exception):
-    """A complete frame that asks for what cannot be; ``route`` where its class is a known one."""
+    """A complete frame whose request is invalid; ``route`` is its service if that is known, else empty."""
 
     route = ""
 
 
 def fields_of(data: bytes) -> tuple[dict[str, str], bytes]:
-    """Return the fields and what follows them. Raises BadRequestError."""
+    """Decode the fields at the start of ``data``; return them and the rest. Raises BadRequestError."""
     if not data:
         raise BadRequestError("no fields")
     fields_by_name: dict[str, str] = {}
@@ -70,7 +70,7 @@
 
 
 def fields(values: dict[str, str]) -> bytes:
-    """Return the bytes of fields, as ``fields_of`` reads them."""
+    """Encode fields in the format that ``fields_of`` decodes."""
     out = bytearray([len(values)])
     for name, value in values.items():
         out += bytes([len(name)]) + name.encode() + len(value).to_bytes(2, "big") + value.encode()
@@ -78,13 +78,13 @@
 
 
 def frame(kind: int, stream: int, payload: bytes = b"") -> bytes:
-    """Return a whole frame."""
+    """Encode a frame."""
     return HEAD.pack(MIN_LENGTH + len(payload), kind, stream) + payload
 
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """A message to a front end: an answer, a check's result, an error, or the wish for no more requests."""
+    """A message to a front end: an answer, a health check's result, an error, or a stop to new requests."""
 
     kind: int
     stream: int = 0
@@ -93,7 +93,7 @@
     body: bytes = b""
 
     def encode(self) -> bytes:
-        """Return its frame."""
+        """Encode the message as a frame."""
         if self.kind == NO_MORE:
             return frame(NO_MORE, 0)
         payload = bytes([self.code]) + fields(dict(self.values)) + self.body
@@ -101,19 +101,19 @@
 
 
 def advice_fields(value: float | None) -> tuple[tuple[str, str], ...]:
-    """Return the field with the node's advice (a share from 0 to 1), none where there is none."""
+    """Return the field with the node's advice (a share from 0 to 1), or no field if there is no advice."""
     return () if value is None else ((ADVICE_FIELD, f"{value:.4f}"),)
 
 
 def patience_s_of(values: dict[str, str]) -> float | None:
-    """Return how long the caller waits, in seconds from the birth, where its deployment passes that on."""
+    """Return how long the caller waits, in seconds from the request's birth; None if the field is absent."""
     if not values.get(PATIENCE_MS_FIELD):
         return None
     return number_of(values, PATIENCE_MS_FIELD, 0, 2**53) / 1000.0
 
 
 def number_of(values: dict[str, str], name: str, minimum: float, below: float) -> float:
-    """Return a numeric field from ``minimum`` to under ``below``. Raises BadRequestError."""
+    """Parse a numeric field from ``minimum`` to below ``below``. Raises BadRequestError."""
     try:
         value = float(values.get(name, ""))
     except ValueError:
--- a/beechrock/net/frame_server.py
+++ b/beechrock/net/frame_server.py
@@ -70,8 +70,8 @@
         A message that comes slowly and steadily has more sweeps than one that does not go on.
         """
         if not peer.uses or len(peer.inbox) or peer.skipping:
-            peer.silent += 1.0 if peer.received == peer.received_then else SLOW_SWEEP
-        peer.received_then = peer.received
+            peer.silent += 1.0 if peer.received == peer.received_at_sweep else SLOW_SWEEP
+        peer.received_at_sweep = peer.received
         callers_s = self.module.settings.idle_timeout_s or 0.0
         match ends_at_sweep(peer, peer.silent, now, self.module.status.idle_s or callers_s, callers_s):
             case CloseReason.STALE:
