--- a/beechrock/net/agent.py
+++ b/beechrock/net/agent.py
@@ -76,7 +76,7 @@
     def bad_input(self, problem: str) -> None:
         """Cut the link; the agent repeats the unreadable notice on the next link."""
         fields = self.fields or self.inbox.peek(HEAD_BYTES).decode("utf-8", "replace").split(" ")
-        self.agent.unreadable(fields, problem)
+        self.agent.handle_unreadable(fields, problem)
         self.drop()
 
     def _crowded(self) -> bool:
@@ -138,7 +138,7 @@
             await link.serve(reader, writer)
         finally:
             if self.link is link:
-                self.link_over()
+                self.discard_link()
 
     def send_control(self, action: life.Action) -> None:
         """Send the handshake, the sync request or the liveness request."""
@@ -156,7 +156,7 @@
             case life.SendProbe():
                 self.link.post(Command(codec.sample_line(codec.LIVENESS_TAG)))
 
-    def link_over(self) -> None:
+    def discard_link(self) -> None:
         """Drop the link, and fail the health checks that wait for a result on it."""
         if self.link is None:
             return
@@ -239,7 +239,7 @@
                     self.runs.end(trace, outcome, elapsed_s, result)
             case codec.CallNotice(number, trace, body):
                 if self.notices.accept(number):
-                    self.runs.unconfirmed.settle_read(trace, over=False)
+                    self.runs.unconfirmed.settle_read(trace, run_ended=False)
                     self.module.post(CallRequested(trace, number, body))
             case codec.SkippedNotice(number):
                 self.notices.accept(number)
@@ -251,15 +251,15 @@
     def _handle_unnumbered(self, notice: codec.Notice | None) -> None:
         match notice:
             case codec.SampleNotice(tag, values):
-                self._sampled(tag, values)
+                self._handle_sample(tag, values)
             case codec.GreetingNotice(warming_up, age_s):
-                self._greeted(warming_up, age_s)
+                self._handle_greeting(warming_up, age_s)
             case codec.ExerciseNotice(tag, passed):
                 self.checks.end(tag, passed)
             case None:
                 self.counters.add("agent.unknown_notices")
 
-    def _greeted(self, warming_up: bool, age_s: float) -> None:
+    def _handle_greeting(self, warming_up: bool, age_s: float) -> None:
         """Handle a greeting; if the agent has restarted, its runs and numbered notices are lost.
 
         The greeting holds the agent's age. The agent has restarted if it started after its last message was
@@ -292,7 +292,7 @@
         self.module.post(WorkersStarted(warming_up, age_s))
         self.link_actor.handle_event(life.Greeted(self.link_actor.life.link))
 
-    def unreadable(self, fields: list[str], problem: str) -> None:
+    def handle_unreadable(self, fields: list[str], problem: str) -> None:
         """Handle a message that cannot be parsed.
 
         The agent repeats an unreadable notice on each new link, which would break every link. So a notice
@@ -313,7 +313,7 @@
             if run is not None and fields[0] == codec.RUN_OVER:
                 self.runs.lose([run])
 
-    def _sampled(self, tag: str, values: list[float]) -> None:
+    def _handle_sample(self, tag: str, values: list[float]) -> None:
         if tag == codec.LIVENESS_TAG:
             return
         self.module.post(GaugesSampled(gauges_from(self.gauges, values)))
@@ -326,7 +326,7 @@
                 raise BadInputError("an answer to a question that was not asked")
             self.runs.unconfirmed.settle_before(sample)
 
-    def over(self) -> None:
+    def link_ended(self) -> None:
         """Do nothing: this link is reopened after every break."""
 
     def _resend(self) -> None:
--- a/beechrock/net/agent_commands.py
+++ b/beechrock/net/agent_commands.py
@@ -84,13 +84,13 @@
         for number in list(itertools.takewhile(lambda number: number < sample, self._commands)):
             self.settle(number)
 
-    def settle_read(self, trace: str, over: bool) -> None:
+    def settle_read(self, trace: str, run_ended: bool) -> None:
         """Settle the commands of a run that its notice confirms.
 
-        If the run is ``over``, these are all its commands; otherwise those by which it advances.
+        If ``run_ended``, these are all its commands; otherwise those by which it advances.
         """
         for number in list(self._numbers.get(trace, ())):
-            if over or self._commands[number][1].advances:
+            if run_ended or self._commands[number][1].advances:
                 self.settle(number)
 
     def settle_sent_advances(self, trace: str) -> None:
--- a/beechrock/net/frame_connection.py
+++ b/beechrock/net/frame_connection.py
@@ -1,4 +1,4 @@
-"""The front ends' connections: frames in, answers out. It decides nothing about load or health."""
+"""Front ends' connections: parses request frames and sends answers; load and health are decided elsewhere."""
 
 import functools
 from typing import TYPE_CHECKING
@@ -46,38 +46,43 @@
 if TYPE_CHECKING:
     from beechrock.net.frame_server import FrameServer
 
-MAX_OPEN = 32  # requests and checks that are open on one connection
-MAX_BODY_BYTES = 2048
-MAX_RESULT_BYTES = 4096
-MAX_OUT_BYTES = 524_288
-MAX_REQUEST_BYTES = 16_384  # more than every field and the longest body need; more is never stored
-MAX_BAD_REQUESTS = 16  # requests that cannot be served, after which a connection ends
-MAX_BAD_REQUESTS_UNREAD = 256  # and after so many it ends, whatever is unread
-MAX_GAPS = 512  # stream numbers remembered one by one above the highest below which all are used
-BEGUN_SWEEPS = 1.0  # counted so, after which a part of a message keeps no place in a full table
-MAILBOX_SIZE = 4096  # messages
+MAX_OPEN = 32  # maximum number of open requests and health checks on one connection
+MAX_BODY_BYTES = 2048  # maximum length of a request's body
+MAX_RESULT_BYTES = 4096  # maximum length of an answer's body
+MAX_OUT_BYTES = 524_288  # size of the output buffer of a connection
+# Maximum length of a stored frame: enough for all fields and the longest body. A longer frame is skipped.
+MAX_REQUEST_BYTES = 16_384
+MAX_BAD_REQUESTS = 16  # number of invalid requests after which a connection is closed gracefully
+MAX_BAD_REQUESTS_UNREAD = 256  # number of invalid requests after which it is closed with input unread
+MAX_GAPS = 512  # used stream numbers remembered individually, above the range in which all are used
+PARTIAL_MESSAGE_SWEEPS = (
+    1.0  # sweep count up to which a partly received message protects its connection from eviction
+)
+MAILBOX_SIZE = 4096  # maximum number of queued messages
 
 
 class UsedStreams:
-    """Which stream numbers a connection has used; of old ones only the highest is kept."""
+    """Stream numbers that a connection has used, in bounded memory."""
 
     def __init__(self) -> None:
-        self._below = 0  # up to this one all are used
-        self._above = set[int]()
+        self._used_up_to = 0  # all numbers up to this one count as used
+        self._used_above = set[int]()  # used numbers above it
 
-    def use(self, stream: int) -> bool:
-        """Mark a stream as used. Return False if it was."""
-        if stream <= self._below or stream in self._above:
+    def mark_used(self, stream: int) -> bool:
+        """Mark a stream number as used. Returns False if it was used before."""
+        if stream <= self._used_up_to or stream in self._used_above:
             return False
-        self._above.add(stream)
-        while self._below + 1 in self._above or len(self._above) > MAX_GAPS:
-            self._below = self._below + 1 if self._below + 1 in self._above else min(self._above)
-            self._above.discard(self._below)
+        self._used_above.add(stream)
+        while self._used_up_to + 1 in self._used_above or len(self._used_above) > MAX_GAPS:
+            self._used_up_to = (
+                self._used_up_to + 1 if self._used_up_to + 1 in self._used_above else min(self._used_above)
+            )
+            self._used_above.discard(self._used_up_to)
         return True
 
 
 class FrameConnection(ConnectionActor[Reply]):
-    """One connection of a front end: reads its frames and sends the answers."""
+    """A front end's connection: reads its frames and sends the answers."""
 
     where = "frames"
 
@@ -85,22 +90,22 @@
         super().__init__(front.module.counters, HEAD.size + MAX_REQUEST_BYTES, MAX_OUT_BYTES, MAILBOX_SIZE)
         self.front = front
         self.module = front.module
-        self.skipping = 0  # bytes still to come of a frame that is too long
-        self.bad = 0  # requests that could not be served so far
-        self.open: dict[int, Request | None] = {}  # None: a health check that waits for work
+        self.skipping = 0  # bytes left to skip of a frame that is too long
+        self.bad = 0  # number of invalid requests so far
+        self.open: dict[int, Request | None] = {}  # by stream; None: a health check that waits for its work
         self.streams = UsedStreams()
         self.last_message_at = self.module.clock()
-        self.silent = 0.0  # sweeps without a complete message
+        self.silent = 0.0  # sweeps without a complete message, slow progress counting less
 
     def parse(self) -> None:
-        """Handle each complete frame. Raises BadInputError."""
+        """Handle all complete frames. Raises BadInputError."""
         while not self.closing:
             if self.skipping:
                 skipped = min(self.skipping, len(self.inbox))
                 self.inbox.skip(skipped)
                 self.skipping -= skipped
             if len(self.inbox) < HEAD.size:
-                # Nothing after a length out of bounds can be values apart, nor may it be waited for.
+                # After an invalid length, the bounds of later frames are unknown, so do not wait for more.
                 if (
                     len(self.inbox) >= 4
                     and not MIN_LENGTH <= int.from_bytes(self.inbox.peek(4), "big") <= MAX_LENGTH
@@ -110,10 +115,10 @@
             length, kind, stream = HEAD.unpack(self.inbox.peek(HEAD.size))
             if not MIN_LENGTH <= length <= MAX_LENGTH:
                 raise BadInputError(f"a frame of length {length}")
-            if length > MAX_REQUEST_BYTES:  # answered at once and skipped: many such would fill the memory
+            if length > MAX_REQUEST_BYTES:  # not stored, as many such frames would fill the memory
                 self.inbox.skip(HEAD.size)
                 self.skipping = length - MIN_LENGTH
-                self._too_long(kind, stream, length)
+                self._reject_too_long(kind, stream, length)
                 continue
             if len(self.inbox) < 4 + length:
                 return
@@ -123,55 +128,57 @@
             self.silent = 0.0
             self.last_message_at = self.module.clock()
             self.back_at = 0.0
-            self._frame(kind, stream, payload)
+            self._handle_frame(kind, stream, payload)
 
-    def _frame(self, kind: int, stream: int, payload: bytes) -> None:
+    def _handle_frame(self, kind: int, stream: int, payload: bytes) -> None:
         if kind == REQUEST and stream:
             self._receive_request(stream, payload)
         elif kind == CANCEL:
             request = self.open.pop(stream, None)
             if request is not None:
                 self.module.post(RequestCancelled(request))
-                # None is owed, but a caller that cancels all its requests must have some answer.
-                # It counts as one, as it is one to whoever counts answers.
+                # The protocol requires no answer here, but a caller that cancels all its requests must get
+                # some answer. It is counted as a failure, as callers count it too.
                 self.post(Reply(ANSWER, stream, FAILED, body=b"taken back"))
                 self.module.table.counts.on_front_answer(request.route, Verdict.FAILED)
         elif kind == CHECK:
-            self._check(stream, payload)
+            self._handle_check(stream, payload)
         else:
             raise BadInputError(f"a frame of type {kind} on stream {stream}")
 
-    def _bad(self, stream: int, problem: str) -> None:
-        """Answer a request that cannot be served; a connection that brings many of them ends."""
+    def _reject_bad_request(self, stream: int, problem: str) -> None:
+        """Answer an invalid request with an error; many of them close the connection."""
         self.counters.add("intake.frames_bad")
         self.post(Reply(ANSWER, stream, FAILED, body=problem.encode()))
         self.bad += 1
-        if self.bad == MAX_BAD_REQUESTS:  # complete requests may follow it, and those can be understood
+        if self.bad == MAX_BAD_REQUESTS:  # close gracefully, as valid requests may follow
             self.counters.add("intake.frames_malformed")
             self.post(Reply(ANSWER, 0, FAILED, body=f"{self.bad} bad requests".encode()))
             self.post(Reply(NO_MORE))
             self.end()
-        elif self.bad == MAX_BAD_REQUESTS_UNREAD:  # with bytes coming without end it would never end
+        elif self.bad == MAX_BAD_REQUESTS_UNREAD:  # a graceful close never completes if input keeps coming
             self.finish()
 
-    def _too_long(self, kind: int, stream: int, length: int) -> None:
-        if kind != REQUEST or not stream or not self.streams.use(stream):
+    def _reject_too_long(self, kind: int, stream: int, length: int) -> None:
+        if kind != REQUEST or not stream or not self.streams.mark_used(stream):
             raise BadInputError(f"a frame of type {kind} on stream {stream} of {length} bytes")
-        self._bad(stream, f"a request of {length} bytes, over {MAX_REQUEST_BYTES}")
+        self._reject_bad_request(stream, f"a request of {length} bytes, over {MAX_REQUEST_BYTES}")
 
     def _receive_request(self, stream: int, payload: bytes) -> None:
-        if not self.streams.use(stream):  # an answer on that stream would be a second one
-            self._bad(0, f"stream {stream} was used before")
+        if not self.streams.mark_used(
+            stream
+        ):  # the stream would get a second answer, so the error uses stream 0
+            self._reject_bad_request(0, f"stream {stream} was used before")
             return
-        if stream in self.open:  # the end of the check would take the answer with it
-            self._bad(stream, f"stream {stream} is that of a health check")
+        if stream in self.open:  # when the check ends, it would remove the request from ``open``
+            self._reject_bad_request(stream, f"stream {stream} is that of a health check")
             return
         try:
-            request = self._request(stream, *fields_of(payload))
+            request = self._parse_request(stream, *fields_of(payload))
         except BadRequestError as error:
             if error.route:
                 self.module.table.counts.on_front_answer(error.route, Verdict.FAILED)
-            self._bad(stream, str(error))
+            self._reject_bad_request(stream, str(error))
             return
         if self.rejected or len(self.open) >= MAX_OPEN or not self.module.post(RequestReceived(request)):
             self.counters.add("intake.frames_beyond_limit")
@@ -180,17 +187,17 @@
             return
         self.open[stream] = request
 
-    def _request(self, stream: int, values: dict[str, str], body: bytes) -> Request:
+    def _parse_request(self, stream: int, values: dict[str, str], body: bytes) -> Request:
         klass = self.front.routes.get(values.get(ROUTE_FIELD, ""))
         if klass is None:
             raise BadRequestError(f"route: unknown class {values.get(ROUTE_FIELD, '')!r}")
         try:
-            return self._request_of(klass, stream, values, body)
+            return self._build_request(klass, stream, values, body)
         except BadRequestError as error:
             error.route = values[ROUTE_FIELD]
             raise
 
-    def _request_of(self, klass: int, stream: int, values: dict[str, str], body: bytes) -> Request:
+    def _build_request(self, klass: int, stream: int, values: dict[str, str], body: bytes) -> Request:
         settings = self.module.settings.classes[klass]
         nonce = values.get(KEY_FIELD) or None
         if (settings.idempotency is Idempotency.KEYED) is not (nonce is not None):
@@ -212,7 +219,7 @@
             route=values[ROUTE_FIELD],
             born=birth.born,
             body=body,
-            answer=functools.partial(self._answer, stream),
+            answer=functools.partial(self._send_answer, stream),
             kb=size,
             rank=number_of(values, RANK_FIELD, 0, 1),
             caller=int(caller),
@@ -225,12 +232,12 @@
             patience_s=patience_s,
         )
 
-    def _answer(self, stream: int, answer: Answer) -> None:
+    def _send_answer(self, stream: int, answer: Answer) -> None:
         if stream not in self.open:
-            return  # cancelled before the core knew of it; that was answered
+            return  # answered when it was cancelled; the core had not handled the cancellation yet
         del self.open[stream]
         values = advice_fields(answer.advice)
-        if len(answer.body) > MAX_RESULT_BYTES:  # an SCGI server's result can be longer than a frame's may be
+        if len(answer.body) > MAX_RESULT_BYTES:  # results of SCGI servers may be longer than a frame allows
             self.counters.add("answered.too_long")
             answer = Answer(Verdict.FAILED, f"a result of {len(answer.body)} bytes".encode())
         if answer.retry_after_s:
@@ -242,12 +249,12 @@
         if not self.post(Reply(ANSWER, stream, CODES[answer.verdict], values, answer.body)):
             self.counters.add("answered.without_connection")
 
-    def _check(self, stream: int, payload: bytes) -> None:
+    def _handle_check(self, stream: int, payload: bytes) -> None:
         try:
             values, _ = fields_of(payload) if payload else ({}, b"")
         except BadRequestError as error:
             raise BadInputError(f"a health check: {error}") from None
-        if stream in self.open:  # its answer would be taken for the request's
+        if stream in self.open:  # the caller would take the check's answer for the request's
             raise BadInputError(f"a health check on the open stream {stream}")
         self.counters.add("intake.checks")
         work = self.module.ports.work
@@ -272,30 +279,30 @@
         )
 
     def encode(self, message: Reply) -> bytes:
-        """Return a reply's frame."""
+        """Return the wire format of a reply."""
         return message.encode()
 
     def answer_all(self) -> None:
-        """Fail what is open, as the process ends."""
+        """Answer all open requests and health checks with a failure, as the process ends."""
         for stream, request in list(self.open.items()):
             if request is None:
                 self._checked(stream, False)
-            else:  # it may have run
+            else:  # a failure and no refusal, as the request may have run
                 self.counters.add("answered.at_exit")
-                self._answer(stream, Answer(Verdict.FAILED, b"the node ends"))
+                self._send_answer(stream, Answer(Verdict.FAILED, b"the node ends"))
 
     def bad_input(self, problem: str) -> None:
-        """Send the problem on stream 0, as it belongs to no request."""
+        """Send the problem on stream 0, as no request belongs to it."""
         self.post(Reply(ANSWER, 0, FAILED, body=problem.encode()))
 
     def settled(self) -> bool:
-        """Return whether nothing is open."""
+        """Return whether no request or health check is open."""
         return not self.open
 
     def begun(self) -> bool:
-        """Return whether a part of a frame has come lately."""
-        return len(self.inbox) > 0 and self.silent <= BEGUN_SWEEPS
+        """Return whether a part of a frame was received recently."""
+        return len(self.inbox) > 0 and self.silent <= PARTIAL_MESSAGE_SWEEPS
 
     def input_ended(self) -> None:
-        """Close once all is answered: a front end that has sent its last request may still wait."""
+        """Close once all requests are answered, as the front end may still wait for its last answers."""
         self.finish()
--- a/beechrock/net/frame_server.py
+++ b/beechrock/net/frame_server.py
@@ -1,4 +1,4 @@
-"""The server of front ends: listens, and keeps their connections."""
+"""Server for front ends: listens, and manages their connections."""
 
 from beechrock.connections.table import CloseReason, ends_at_sweep
 from beechrock.core.actor import ModuleActor
@@ -7,16 +7,21 @@
 from beechrock.net.frame_codec import ANSWER, NO_MORE, REFUSED, Reply
 from beechrock.net.frame_connection import FrameConnection
 
-SLOW_SWEEP = 0.25  # what a sweep counts in which a part of a message came; a complete one has 8 s to come
+# Weight of a sweep in which a part of a message came: a message that comes slowly has 8 s to be complete.
+SLOW_SWEEP_WEIGHT = 0.25
 
 
 class FrameServer(ConnectionServer[FrameConnection]):
-    """Listens for front ends and keeps their connections."""
+    """Listens for front ends and manages their connections."""
 
     where = "frames"
 
     def __init__(self, module: ModuleActor, max_connections: int, customers: bool = True) -> None:
-        """Create it; ``customers``: frames name the settings' tenants, as these are no inventory's teams."""
+        """Create the server.
+
+        ``customers`` is whether frames name the tenants of the settings; they do not if the tenants are the
+        teams of an inventory.
+        """
         super().__init__(module, max_connections)
         self.customers = customers
         self.routes: dict[str, int] = {}
@@ -25,7 +30,7 @@
         self.renew()
 
     def renew(self) -> None:
-        """Read the settings: by route the first of its classes, as frames name no team."""
+        """Apply new settings. Each route maps to the first of its classes, as frames name no team."""
         self.routes = {}
         for index, settings in enumerate(self.module.settings.classes):
             if not settings.removed:
@@ -36,8 +41,9 @@
     def tenant(self, name: str | None) -> int | None:
         """Return the index in the settings of the tenant that a frame names.
 
-        One that the settings do not list is served as a request of nobody, which has no share to be beyond:
-        so the module treats an index that is not in its list.
+        Returns None if the frame names no tenant, or one that the settings do not list: such a request is
+        served without a tenant, so that no tenant's share limits it. The module treats an index that is not
+        in its list the same way.
         """
         if not name or not self.tenants:
             return None
@@ -47,30 +53,30 @@
         return index
 
     def peer(self) -> FrameConnection:
-        """Return one end of a new connection; while draining it is asked for no requests."""
+        """Create the actor for a new connection; while draining, tell the peer to send no requests on it."""
         peer = FrameConnection(self)
         if self.leaving:
             peer.post(Reply(NO_MORE))
         return peer
 
     def send_full(self, peer: FrameConnection) -> None:
-        """Say that the table is full, and ask for no requests."""
+        """Tell the peer that the table is full, and to send no requests."""
         peer.post(Reply(ANSWER, 0, REFUSED, body=b"too many connections"))
         peer.post(Reply(NO_MORE))
 
     def ended(self, peer: FrameConnection) -> None:
-        """Cancel the requests that are open on it."""
+        """Cancel the open requests of a connection that has ended."""
         for request in peer.open.values():
             if request is not None:
                 self.module.post(RequestCancelled(request))
 
     def look_at(self, peer: FrameConnection, now: float) -> None:
-        """End a connection without a complete message in time, or idle for as long as callers keep it.
+        """End a connection that sends no complete message in time, or that is idle for too long.
 
-        A message that comes slowly and steadily has more sweeps than one that does not go on.
+        A message that arrives slowly but steadily is given more sweeps than one that has stalled.
         """
         if not peer.uses or len(peer.inbox) or peer.skipping:
-            peer.silent += 1.0 if peer.received == peer.received_at_sweep else SLOW_SWEEP
+            peer.silent += 1.0 if peer.received == peer.received_at_sweep else SLOW_SWEEP_WEIGHT
         peer.received_at_sweep = peer.received
         callers_s = self.module.settings.idle_timeout_s or 0.0
         match ends_at_sweep(peer, peer.silent, now, self.module.status.idle_s or callers_s, callers_s):
@@ -82,8 +88,8 @@
                 self.module.counters.add("intake.frames_idle")
 
     def leave(self) -> None:
-        """Ask for no new requests on any connection, those to come included; go on reading all the same."""
+        """Tell the peers of all current and new connections to send no new requests; keep reading them."""
         self.leaving = True
         for peer in self.peers:
-            if not peer.rejected:  # those were asked when they came
+            if not peer.rejected:  # a rejected peer was told when it connected
                 peer.post(Reply(NO_MORE))
--- a/beechrock/net/line_connection.py
+++ b/beechrock/net/line_connection.py
@@ -1,20 +1,23 @@
-"""Connections that speak in lines, some of which have a body."""
+"""Connections with a line protocol, in which a line may be followed by a body."""
 
 from beechrock.core.counters import Counters
 from beechrock.net.connection import BadInputError, ConnectionActor, T
 
 
 class LineConnection(ConnectionActor[T]):
-    """A connection of lines of fields; some are followed by as many bytes as their last field says."""
+    """A connection with a protocol of lines of fields.
+
+    A line may be followed by a body, whose length in bytes is the line's last field.
+    """
 
     max_line_bytes, max_body_bytes = 4096, 1 << 20
 
     def __init__(self, counters: Counters, max_out_bytes: int, mailbox: int) -> None:
         super().__init__(counters, self.max_line_bytes + self.max_body_bytes + 4, max_out_bytes, mailbox)
-        self._waiting: tuple[list[str], int] | None = None  # a line whose body is still to come
+        self._waiting: tuple[list[str], int] | None = None  # fields of a line, and its body's length
 
     def has_body(self, fields: list[str]) -> bool:
-        """Return whether a body follows this line; its length is the last field."""
+        """Return whether a body follows the line; its length in bytes is the last field."""
         raise NotImplementedError
 
     def receive_line(self, fields: list[str], body: bytes) -> None:
@@ -22,7 +25,7 @@
         raise NotImplementedError
 
     def parse(self) -> None:
-        """Read the complete lines, each with its body. Raises BadInputError."""
+        """Handle all complete lines with their bodies. Raises BadInputError."""
         while not self.closing:
             if self._waiting is None:
                 line = self.inbox.line(self.max_line_bytes)
--- a/tests/net/test_agent_histories.py
+++ b/tests/net/test_agent_histories.py
@@ -144,7 +144,7 @@
     def break_link(self) -> None:
         self.cores.linked = False
         self.cores.to_node.clear()
-        self.agent.link_over()
+        self.agent.discard_link()
         self.agent.link_actor.handle_event(life.Ended(self.agent.link_actor.life.link))
 
     def flow(self, most: int) -> None:
