--- a/beechrock/net/listener.py
+++ b/beechrock/net/listener.py
@@ -1,17 +1,18 @@
-"""A listening socket on asyncio's loop that goes on accepting whatever accept(2) reports.
+"""Listening socket on asyncio's loop that keeps accepting despite the errors that accept(2) reports.
 
-asyncio's own server was measured and left for these faults (Lib/asyncio/selector_events.py, 3.11 to 3.13):
+It replaces asyncio's own server for these faults (Lib/asyncio/selector_events.py, 3.11 to 3.13):
 
-- On EMFILE, ENFILE, ENOBUFS and ENOMEM it stops accepting for a second, and tries the call again up to
-  ``backlog`` times before that; requests with short deadlines in the backlog are lost meanwhile. After that
-  second it accepts again, also where its server was paused or closed within it.
-- Errors of one connection that Linux reports through accept(2) end that turn with a traceback in the log.
-- A connection whose set-up fails is dropped without a count.
-- Accepted connections have no TCP_NODELAY where the listening socket does not name IPPROTO_TCP, which
-  ``socket.create_server`` leaves out.
+- On EMFILE, ENFILE, ENOBUFS and ENOMEM, the server repeats the call up to ``backlog`` times, and then stops
+  accepting for a second; requests with short deadlines expire in the backlog meanwhile. After that second it
+  accepts again, even if it was paused or closed in between.
+- Linux reports errors of a single connection through accept(2). They end that turn of the loop with a
+  traceback in the log.
+- A connection whose set-up fails is dropped without being counted.
+- Accepted connections have no TCP_NODELAY if the listening socket does not name IPPROTO_TCP, and
+  ``socket.create_server`` does not name it.
 
-No reserve descriptor is kept for EMFILE: it would serve to accept and close, and a request on that connection
-would be lost, while in the backlog it waits. A lasting shortage ends idle connections instead (``relieve``).
+No reserve descriptor is kept for EMFILE. It would allow accepting a connection only to close it, which loses
+its request; in the backlog, the request waits. If a shortage lasts, ``relieve`` ends an idle connection.
 """
 
 import asyncio
@@ -30,19 +31,19 @@
 from beechrock.net.tolerant_socket import tolerant
 
 log = logging.getLogger("beechrock")
-READ_CHUNK = 16_384  # bytes; asyncio holds twice as many of a connection before it stops reading
-BACKLOG = 1024  # connections the kernel may hold for us
-MAX_ACCEPTED_AT_ONCE = 16  # taken from them in one turn of the loop, before the full table can end others
-RECEIVE_BUFFER = 65_536  # bytes the kernel holds of what a connection sends, so that many fit in memory
-RELIEVE_AFTER = 5  # tries in a row without descriptor or memory, after which an idle connection goes
-START_PATIENCE_S = 2.0  # how long a shortage may keep a listening socket from being made
-SO_BINDTOIFINDEX = 62  # socket(7) of Linux 5.0 and later; the module ``socket`` does not name it
+READ_CHUNK = 16_384  # stream limit in bytes; asyncio stops reading a connection at twice as many unread bytes
+BACKLOG = 1024  # maximum number of connections that wait in the kernel to be accepted
+MAX_ACCEPTED_AT_ONCE = 16  # connections accepted per turn of the loop, before a full table can evict others
+RECEIVE_BUFFER = 65_536  # bytes of a connection's unread input in the kernel; bounds the memory of many
+RELIEVE_AFTER = 5  # successive failures for lack of a descriptor or memory, after which ``relieve`` is called
+START_PATIENCE_S = 2.0  # how long the creation of a listening socket is retried during a shortage
+SO_BINDTOIFINDEX = 62  # socket option of Linux 5.0 and later; the module ``socket`` does not define it
 NO_INTERFACE = 2**31 - 1  # an index that no network interface has
 
 SHORTAGES = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
 # accept(2): "Linux accept() passes already-pending network errors on the new socket as an error code from
-# accept() ... treat them like EAGAIN by retrying"; and EPERM, where a firewall forbids the connection. Each
-# tells of one connection that is gone, and says nothing of the next.
+# accept() ... treat them like EAGAIN by retrying"; and EPERM, if a firewall forbids the connection. Each
+# concerns one connection that is lost, and does not affect the next.
 CONNECTION_ERRORS = frozenset(
     {
         errno.ECONNABORTED,
@@ -62,16 +63,16 @@
 )
 
 Accepted = Callable[[asyncio.StreamReader, asyncio.StreamWriter], None]
-Arrivals = dict[asyncio.StreamReader, socket.socket]  # accepted, and not yet handed on as streams
+Arrivals = dict[asyncio.StreamReader, socket.socket]  # accepted connections that have no streams yet
 
 
 class Listener:
-    """Accepts from ``sock``, which it owns, and hands the streams of each connection to ``accepted``.
+    """Accepts connections from ``sock``, which it owns, and passes the streams of each to ``accepted``.
 
-    ``arrivals`` holds accepted connections until they are handed on; one that is taken out of it meanwhile
-    belongs to who took it. ``relieve`` is called at each try of a shortage that lasts, to free a descriptor
-    and memory. ``budget`` says how many more may be accepted while so many arrive; what finds none waits in
-    the backlog.
+    ``arrivals`` holds accepted connections until their streams are passed on; whoever removes one before
+    that owns it. ``relieve`` is called at each failed try of a lasting shortage, to free a descriptor and
+    memory. ``budget`` is called with the number of connections whose set-up is in progress, and returns how
+    many more may be accepted; the others wait in the backlog.
     """
 
     def __init__(
@@ -86,31 +87,31 @@
         arrivals: Arrivals | None = None,
         shared: bool = False,
     ) -> None:
-        """``shared``: other processes hold the same socket, and accept from it."""
+        """Start to accept; ``shared`` is whether other processes accept from the same socket."""
         self.accepted = accepted
         self.counters = counters
         self.where = where
         self.at_once = at_once
         self.relieve = relieve
         self.budget = budget
-        self.arriving = 0  # accepted, and their set-up is under way
+        self.arriving = 0  # number of accepted connections whose set-up is in progress
         self.arrivals: Arrivals = {} if arrivals is None else arrivals
         self._sock = sock
         self._shared = shared
-        self.refusing = False  # what is connected now is refused, and the backlog is still there
+        self.refusing = False  # the kernel refuses new connections; the backlog can still be accepted
         self._loop = asyncio.get_running_loop()
         self._retry: asyncio.TimerHandle | None = None
-        self._failures = 0  # tries in a row that brought no connection because of an error of our own
+        self._failures = 0  # successive failures of accept(2) or of the registration, other than a peer's
         sock.setblocking(False)
         self._watch()
 
     @property
     def sockets(self) -> tuple[socket.socket, ...]:
-        """Return the listening socket, as asyncio's servers name it; none once closed."""
+        """The listening socket, under the name that asyncio's servers use; empty once closed."""
         return () if self._sock.fileno() < 0 else (self._sock,)
 
     def close(self) -> None:
-        """Accept no more, and close our descriptor; what was accepted before is served all the same."""
+        """Stop accepting, and close our descriptor; connections accepted before are still served."""
         if self._retry is not None:
             self._retry.cancel()
             self._retry = None
@@ -119,23 +120,24 @@
             self._sock.close()
 
     def _refuse(self) -> None:
-        """Have the kernel refuse what is connected from here on; what is in the backlog can be accepted.
+        """Make the kernel refuse new connections; those in the backlog can still be accepted.
 
-        A connection that comes between the last accept and the close would be reset with its request, and on
-        a busy machine a process may have to wait there. Bound to an interface that is not there, the socket
-        gets no new ones. Not for a socket that others accept from.
+        A connection that arrives between the last accept and the close would be reset, and its request lost;
+        on a busy machine, the process may be paused between the two. Binding the socket to an interface that
+        does not exist keeps new connections away. A shared socket is left alone, as other processes accept
+        from it.
         """
         if self.refusing or self._shared or not self.sockets:
             return
-        with contextlib.suppress(OSError):  # before Linux 5.7 it takes a privilege; then the gap stays
+        with contextlib.suppress(OSError):  # needs a privilege before Linux 5.7; without it, the gap remains
             self._sock.setsockopt(socket.SOL_SOCKET, SO_BINDTOIFINDEX, NO_INTERFACE)
             self.refusing = True
 
     def _close_unwatched(self) -> None:
-        """Close a socket that the loop does not watch any more, with nothing before the system call.
+        """Close a socket that the loop no longer watches; the system call comes first, without delay.
 
-        A connection that comes between the last accept and the close is reset, with its request: to a socket
-        that could not refuse before.
+        If the socket could not be made to refuse connections, one that arrives between the last accept and
+        the close is reset, and its request is lost.
         """
         self._sock.close()
         self.close()
@@ -144,16 +146,16 @@
         self._retry = None
         try:
             self._loop.add_reader(self._sock.fileno(), self._accept_ready)
-        except OSError:  # epoll_ctl(2): ENOMEM, ENOSPC; left so, it would never accept again
+        except OSError:  # epoll_ctl(2): ENOMEM, ENOSPC; without a retry it would never accept again
             self._failures += 1
             self._registration_failed(self._failures)
             self._retry = self._loop.call_later(RETRY_S, self._watch)
 
     def close_empty(self) -> bool:
-        """Accept what waits, and close in the same step if that was all. Return whether it is closed.
+        """Accept from the backlog, and close in the same step once it is empty. Returns whether it is closed.
 
-        A listening socket that is closed resets the connections in its backlog, with their requests. Nothing
-        new comes into it from the first call on.
+        Closing a listening socket resets the connections in its backlog, and their requests are lost. From
+        the first call on, no new connections enter the backlog.
         """
         self._refuse()
         self._loop.remove_reader(self._sock.fileno())
@@ -163,9 +165,10 @@
         return True
 
     def take_backlog(self) -> Iterator[socket.socket]:
-        """Yield each connection that waits, without a transport; close the socket once none is left.
+        """Yield each connection in the backlog, without a transport; close the socket once it is empty.
 
-        For a process that ends, whatever the budget says. It stays open after an error of the process.
+        Used at the end of the process, regardless of the budget. The socket stays open after an error that
+        concerns more than one connection.
         """
         self._refuse()
         if self.sockets:
@@ -185,7 +188,7 @@
             yield connection
 
     def _accept_ready(self) -> bool:
-        """Accept up to ``at_once`` connections in this turn of the loop. Return whether none is left."""
+        """Accept up to ``at_once`` connections in this turn of the loop. Returns whether none is left."""
         taken = errors = 0
         count = min(self.at_once, self.budget(self.arriving))
         if count <= 0:
@@ -209,12 +212,12 @@
             reader = RetryingStreamReader(READ_CHUNK, self._loop, self._registration_failed)
             self.arrivals[reader] = connection
             self.counters.spawn(self._set_up(reader), f"{self.where}.accept")
-        if errors and not taken:  # the error stays, whatever it says: without a rest it would take a core
+        if errors and not taken:  # the error seems to persist; without a pause the retries would take a core
             self._pause()
         return False
 
     def _rest(self, error: OSError) -> None:
-        """After an error of the process or the system: try again soon, as the backlog goes on waiting."""
+        """Handle an error of the process or the system: retry soon, while connections wait in the backlog."""
         self._failures += 1
         self.counters.add(f"intake.{self.where}_accept_shortages")
         if self._failures == 1:
@@ -226,20 +229,20 @@
         self._pause()
 
     def _registration_failed(self, failures: int) -> None:
-        """After the socket or an accepted connection could not be registered, ``failures`` times in a row."""
+        """Handle ``failures`` successive failures to register the socket or an accepted connection."""
         self.counters.add(f"intake.{self.where}_accept_shortages")
         if failures > RELIEVE_AFTER:
             self.relieve()
 
     def _pause(self) -> None:
-        """Look again a little later; by one timer, however often it is called, as ``close`` cancels one."""
+        """Resume accepting after RETRY_S. There is at most one timer, as ``close`` cancels only one."""
         self._loop.remove_reader(self._sock.fileno())
         if self._retry is not None:
             self._retry.cancel()
         self._retry = self._loop.call_later(RETRY_S, self._watch)
 
     async def _set_up(self, reader: RetryingStreamReader) -> None:
-        """Give an accepted connection its streams; ``accepted`` is called as soon as they stand."""
+        """Create the streams of an accepted connection; ``accepted`` is called as soon as they exist."""
         connection = self.arrivals.get(reader)
         try:
             if connection is None:
@@ -248,7 +251,7 @@
             send_at_once(connection)
             protocol = AcceptedProtocol(reader, functools.partial(self._hand_on, reader), self._loop)
             await self._loop.connect_accepted_socket(lambda: protocol, connection)
-        except Exception as error:  # its descriptor would stay open for as long as anything refers to it
+        except Exception as error:  # close it here, as a reference to it would keep its descriptor open
             self.arrivals.pop(reader, None)
             if connection is not None:
                 connection.close()
@@ -270,9 +273,9 @@
 
 
 class AcceptedProtocol(asyncio.StreamReaderProtocol):
-    """Calls ``made`` in the step in which a connection has its transport.
+    """Calls ``made`` in the same step in which the connection gets its transport.
 
-    From then on bytes may lie in the stream, where nobody finds them who reads the socket.
+    From then on, received bytes may be in the stream, where a read from the socket does not find them.
     """
 
     def __init__(
@@ -285,31 +288,31 @@
         self._made = made
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport of the connection."""
+        """Store the connection's transport, and call ``made``."""
         assert isinstance(transport, asyncio.Transport)
         super().connection_made(transport)
         self._made(transport, self)
 
 
 def send_at_once(connection: socket.socket) -> None:
-    """Let the kernel hold back no small writes (TCP_NODELAY).
+    """Set TCP_NODELAY, so that the kernel delays no small writes.
 
-    asyncio sets it only where the socket names its protocol, which accepted ones may not. An answer that is
-    held back until the one before is acknowledged comes late, and is lost with a reset.
+    asyncio sets it only if the socket names its protocol, which accepted sockets may not. An answer that is
+    held back until the previous one is acknowledged comes late, and is lost if the connection is reset.
     """
     if connection.family != socket.AF_UNIX:
-        with contextlib.suppress(OSError):  # late answers are better than none
+        with contextlib.suppress(OSError):  # the connection works without it, with delayed answers
             connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
 def _listening_socket(host: str, port: int, fd: int | None) -> socket.socket:
-    if fd is not None:  # a descriptor of our own for it: others hold it too, and it outlives us
+    if fd is not None:  # duplicate it, as other processes use the socket too, and it outlives this listener
         sock = socket.socket(fileno=os.dup(fd))
     else:
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
         sock = socket.create_server((host, port), family=family, backlog=BACKLOG)
     try:
-        with contextlib.suppress(OSError):  # a bound on memory, without which connections work as well
+        with contextlib.suppress(OSError):  # this only bounds memory; connections work without it
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER)
         sock.listen(BACKLOG)
     except OSError:
@@ -327,10 +330,10 @@
     fd: int | None = None,
     **options: Any,
 ) -> Listener:
-    """Listen with a long backlog; ``fd``: at a socket that is there already.
+    """Listen with a long backlog, on a new socket or on the existing socket ``fd``.
 
-    A shortage of descriptors or memory is waited for, for START_PATIENCE_S; at a shared socket for as long
-    as it lasts, as there the process runs and nobody would ask again. Any other error is raised.
+    A shortage of descriptors or memory is retried for START_PATIENCE_S; on an existing socket, for as long as
+    it lasts, as the process runs already and nothing else would try again. Any other error is raised.
     """
     loop = asyncio.get_running_loop()
     end = loop.time() + START_PATIENCE_S
--- a/beechrock/net/registry.py
+++ b/beechrock/net/registry.py
@@ -1,4 +1,4 @@
-"""The registry's actor: reports this node, ready or draining, well within the 3 s of a report's validity."""
+"""Actor that reports this node to the registry as ready or draining. A report is valid for 3 s."""
 
 import asyncio
 from collections.abc import Callable
@@ -8,18 +8,18 @@
 from beechrock.core.mailbox import Mailbox
 
 Address = tuple[str, int]
-BEAT_S = 0.2  # reports get lost: with one in four gone, 3 s without any come once in a billion
-OPEN_S = 1.0  # a name that is looked up for longer is asked for anew; numbers need no time at all
-SEND_TRIES = 2  # an error that an earlier report met comes with the next send, which then sends nothing
+BEAT_S = 0.2  # interval of reports; if one in four is lost, 3 s without any happen once in a billion cases
+OPEN_S = 1.0  # time limit for opening a socket: a longer lookup of a host name is abandoned and retried
+SEND_TRIES = 2  # the error of an earlier report is raised by the next send, which then sends nothing
 
 
 def encode_report(name: str, state: str) -> bytes:
-    """Return the registry's datagram: a node and its state, "ready" or "draining"."""
+    """Encode a report to the registry: the node's name and its state, "ready" or "draining"."""
     return f"BEAT {name} {state}".encode()
 
 
 class Endpoint(asyncio.DatagramProtocol):
-    """One socket to the registry; ``failed`` once an error makes it worth being made anew."""
+    """One socket to the registry; ``failed`` is set once an error requires a new socket."""
 
     def __init__(self, counters: Counters) -> None:
         self.counters = counters
@@ -27,28 +27,28 @@
         self.failed = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         self.transport = transport
 
     def error_received(self, exc: Exception) -> None:
-        """Note an error of a send, or one that ICMP brought for an earlier one."""
+        """Handle an error of a send, or an ICMP error in response to an earlier datagram."""
         exc.__traceback__ = None
         self.counters.add("sent.beats_failed")
         self.failed = True
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Note that the socket has ended."""
+        """Mark the endpoint as failed, as its socket has been closed."""
         self.failed = True
 
     def send(self, report: bytes) -> bool:
-        """Return whether the system accepted it; where it did not, a new endpoint is needed."""
+        """Send a report. Returns whether the kernel accepted it; if not, a new endpoint is needed."""
         if self.failed:
             return False
         for _ in range(SEND_TRIES):
             self.failed = False
             self.transport.sendto(report)
-            # What the system does not take at once asyncio keeps and sends later, and without a bound: an old
-            # state would be reported after a newer one.
+            # asyncio buffers datagrams that the kernel does not accept at once, without a bound, and sends
+            # them later: an old state would be reported after a newer one.
             if self.transport.get_write_buffer_size():
                 self.counters.add("sent.beats_failed")
                 self.close()
@@ -58,14 +58,14 @@
         return False
 
     def close(self) -> None:
-        """Close at once, with whatever could not be sent."""
+        """Close at once, and discard unsent reports."""
         self.failed = True
         if self.transport is not None:
             self.transport.abort()
 
 
 class Registry:
-    """Its mailbox takes the state to report; it sends at once on a change, and then at every beat."""
+    """Reports the state in its mailbox: at once when it changes, and then at regular intervals."""
 
     def __init__(self, name: str, address: Address, counters: Counters, able: Callable[[], bool]) -> None:
         self.name = name
@@ -81,8 +81,8 @@
         self.mailbox.wake()
 
     async def run(self) -> None:
-        """Report for as long as the process lives; no error ends it, each is tried anew after a beat."""
-        while True:  # one endpoint an address, and a new one after an error
+        """Report for as long as the process runs; after an error, retry at the next beat."""
+        while True:  # a new endpoint for each address, and after each error
             address = self.address
             endpoint = Endpoint(self.counters)
             try:
@@ -90,7 +90,7 @@
                 while self.address == address and not endpoint.failed:
                     self._report(endpoint)
                     await self._beat()
-            except OSError:  # a time-out is one
+            except OSError:  # includes time-outs
                 self.counters.add("sent.beats_impossible")
                 await self._beat()
             except Exception as error:
@@ -105,7 +105,8 @@
 
     def _report(self, endpoint: Endpoint) -> None:
         self._read_states()
-        # Who cannot have anything run is not ready: without a report it lapses, and is not asked.
+        # A node that cannot run requests must not report itself as ready. Without reports its registration
+        # expires, and it gets no requests.
         if self.state != "ready" or self.able():
             sent = endpoint.send(encode_report(self.name, self.state))
             self.counters.add("sent.beats", int(sent))
@@ -116,7 +117,7 @@
 
     async def _beat(self) -> None:
         """Wait for the next beat, or for a new state or address."""
-        self._read_states()  # also where none can be reported: left there, they would wake it without end
+        self._read_states()  # even if none can be reported, as unread states would end the wait at once
         alarm = asyncio.get_running_loop().call_later(BEAT_S, self.mailbox.wake)
         try:
             await self.mailbox.wait()
--- a/beechrock/net/retrying_writer.py
+++ b/beechrock/net/retrying_writer.py
@@ -1,7 +1,8 @@
-"""Writes to connections that may not be registered at the event loop, and loses no byte by that.
+"""Writes to connections that may not be registered with the event loop, without losing a byte.
 
-asyncio's transport registers such a connection as it finds that the kernel takes no more. Where epoll_ctl(2)
-fails there, it has sent a part, and the rest is nowhere. Here that part is sent by a call that counts it.
+asyncio's transport registers such a connection when the kernel accepts no more bytes. If epoll_ctl(2) fails
+then, a part of the data has been sent and the rest is lost. Here the first part is sent by a call of its own,
+so that the number of sent bytes is known.
 """
 
 import asyncio
@@ -10,26 +11,27 @@
 
 from beechrock.net.registration import RETRY_S, RegistrationFailed, ignore_failure, pause_s, resume
 
-MAX_FAILURES_AT_CLOSE = 128  # some 20 s, after which a connection that is to be closed is given up
+MAX_FAILURES_AT_CLOSE = 128  # failed tries (some 20 s) after which a connection to be closed is aborted
 
 Data = bytes | bytearray | memoryview
 
 
 @dataclass(slots=True)
 class KeptOutput:
-    """What was written and is not in the transport's hands, and what is to follow it."""
+    """Output that could not be passed to the transport yet, and the operations that must follow it."""
 
     data: bytearray
-    failures: int = 0  # tries in a row
-    end_asked: bool = False  # the end of the stream is to follow
-    close_asked: bool = False  # the end of the connection is to follow
+    failures: int = 0  # successive failures
+    end_asked: bool = False  # the stream is to be ended behind the data
+    close_asked: bool = False  # the connection is to be closed behind the data
 
 
 class RetryingStreamWriter(asyncio.StreamWriter):
-    """Registers a connection that is not being read, to wait until the kernel takes what was written.
+    """Stream writer for connections that may be paused for reading, and thus not registered with the loop.
 
-    What it cannot wait for yet is kept, and written as soon as the connection is registered. ``failed`` is
-    called after each try that failed.
+    Output that the kernel does not accept needs a registration, to wait until it does. If that fails, the
+    output is kept here, and written as soon as the connection is registered. ``failed`` is called after each
+    failed try.
     """
 
     def __init__(
@@ -46,12 +48,12 @@
 
     @property
     def unsent_bytes(self) -> int:
-        """Return how many bytes have been written that the kernel has not taken."""
+        """Number of written bytes that the kernel has not accepted yet."""
         kept_bytes = 0 if self._kept is None else len(self._kept.data)
         return kept_bytes + self.transport.get_write_buffer_size()
 
     def write(self, data: Data) -> None:
-        """Send what the kernel takes now, and the rest in the background."""
+        """Send as much as the kernel accepts now, and the rest in the background."""
         if self._kept is not None:
             self._kept.data += data
         elif may_wait(self.transport):
@@ -61,27 +63,27 @@
             self._try_later(self._kept)
 
     def write_eof(self) -> None:
-        """End the stream behind all that was written."""
+        """End the stream behind all written data."""
         if self._kept is not None:
             self._kept.end_asked = True
         else:
             super().write_eof()
 
     def close(self) -> None:
-        """Close the connection behind all that was written."""
+        """Close the connection behind all written data."""
         if self._kept is not None:
             self._kept.close_asked = True
         else:
             super().close()
 
     async def drain(self) -> None:
-        """Wait until the transport takes more. Raises OSError where the connection is over."""
+        """Wait until the transport accepts more data. Raises OSError if the connection has ended."""
         while self._kept is not None and not self.transport.is_closing():
             await asyncio.sleep(RETRY_S)
         await super().drain()
 
     def _hand_over(self, data: Data) -> bool:
-        """Give bytes to the transport; return False where the connection cannot be registered now."""
+        """Pass bytes to the transport. Returns False if the connection cannot be registered now."""
         transport = self.transport
         assert isinstance(transport, asyncio.ReadTransport)
         if transport.is_reading():
@@ -115,21 +117,21 @@
 
 
 def unsent_bytes(writer: asyncio.StreamWriter) -> int:
-    """Return how many bytes have been written to a stream that the kernel has not taken."""
+    """Return the number of bytes written to a stream that the kernel has not accepted yet."""
     if isinstance(writer, RetryingStreamWriter):
         return writer.unsent_bytes
     return writer.transport.get_write_buffer_size()
 
 
 def may_wait(transport: asyncio.WriteTransport) -> bool:
-    """Return whether a write can wait for the kernel without a new registration, or needs none."""
+    """Return whether a write needs no new registration to wait for the kernel, or does not wait at all."""
     assert isinstance(transport, asyncio.ReadTransport)
     return transport.is_reading() or transport.is_closing() or transport.get_write_buffer_size() > 0
 
 
 def _send_now(transport: asyncio.WriteTransport, data: Data) -> int:
-    """Return how many bytes the kernel took at once. An error is the transport's, which meets it again."""
-    try:  # by the descriptor: a socket object for it would cost a system call more, and twice the time
+    """Return how many bytes the kernel accepted at once. An error is left to the transport's own write."""
+    try:  # through the descriptor: a socket object would need one more system call, and twice the time
         return os.write(transport.get_extra_info("socket").fileno(), data)
     except OSError:
         return 0
--- a/beechrock/net/ring_buffer.py
+++ b/beechrock/net/ring_buffer.py
@@ -1,14 +1,14 @@
-"""The ring buffer of each direction of a connection."""
+"""Ring buffer for one direction of a connection."""
 
-START_BYTES = 1024  # of a buffer that holds little
+START_BYTES = 1024  # initial capacity of a buffer
 
 
 class BufferFullError(Exception):
-    """More was to be stored than the buffer may hold."""
+    """The data exceed the maximum size of the buffer."""
 
 
 class RingBuffer:
-    """Keeps bytes in order. It grows by doubling up to ``max_bytes``, and is small again once it is empty."""
+    """Byte queue that grows by doubling up to ``max_bytes``, and shrinks again once it is empty."""
 
     def __init__(self, max_bytes: int) -> None:
         self.max_bytes = max_bytes
@@ -21,11 +21,11 @@
 
     @property
     def free_bytes(self) -> int:
-        """Return how many bytes may still be written."""
+        """Number of bytes that may still be written."""
         return self.max_bytes - self._length
 
     def write(self, data: bytes | memoryview) -> None:
-        """Append bytes. Raises BufferFullError."""
+        """Append bytes. Raises BufferFullError if they do not fit."""
         size = len(data)
         if size > self.free_bytes:
             raise BufferFullError(f"{self._length} + {size} bytes in a buffer of {self.max_bytes}")
@@ -38,14 +38,14 @@
         self._length += size
 
     def peek(self, size: int, skip: int = 0) -> bytes:
-        """Return up to ``size`` bytes after the first ``skip``; they stay."""
+        """Return up to ``size`` bytes after the first ``skip``, without removing them."""
         size = max(0, min(size, self._length - skip))
         at = (self._start + skip) % len(self._data)
         first = bytes(self._data[at : at + size])
         return first if len(first) == size else first + bytes(self._data[: size - len(first)])
 
     def skip(self, size: int) -> None:
-        """Drop up to ``size`` bytes from the front."""
+        """Remove up to ``size`` bytes from the front."""
         size = min(size, self._length)
         self._start, self._length = (self._start + size) % len(self._data), self._length - size
         if not self._length:
@@ -54,13 +54,13 @@
                 self._data = bytearray(min(START_BYTES, self.max_bytes))
 
     def read(self, size: int) -> bytes:
-        """Return and drop up to ``size`` bytes from the front."""
+        """Remove and return up to ``size`` bytes from the front."""
         data = self.peek(size)
         self.skip(len(data))
         return data
 
     def line(self, max_bytes: int) -> bytes | None:
-        """Return the next line without its CR LF, None while it is incomplete.
+        """Remove and return the next line without its CR LF, or return None while it is incomplete.
 
         Raises BufferFullError once it is longer than ``max_bytes``.
         """
