--- a/beechrock/net/connection.py
+++ b/beechrock/net/connection.py
@@ -11,7 +11,7 @@
 
 T = TypeVar("T")
 CHUNK = 16_384  # bytes read or written at once
-CROWDED = 64  # queued outgoing messages above which the connection is no longer read
+MAX_QUEUED_MESSAGES = 64  # queued outgoing messages above which the connection is no longer read
 UNREAD_S = 20.0  # how long the peer may leave the last answers unread after it has sent its end of stream
 LINGER_S = 1.0  # interval at which a closing connection checks whether its last answers were delivered
 SLOW_S = 0.02  # pause after each chunk that is read and discarded, so that a fast sender takes no whole core
@@ -327,7 +327,7 @@
         """Handle the peer's end of stream."""
 
     def _crowded(self) -> bool:
-        return len(self.outbox) > self.outbox.max_bytes // 4 or len(self.mailbox) > CROWDED
+        return len(self.outbox) > self.outbox.max_bytes // 4 or len(self.mailbox) > MAX_QUEUED_MESSAGES
 
     async def _send(self, writer: asyncio.StreamWriter) -> None:
         try:
@@ -335,7 +335,7 @@
                 await self.mailbox.wait()
                 self._sending = True
                 for message in self.mailbox.drain():
-                    await self._put(writer, message)
+                    await self._buffer_message(writer, message)
                 await self._flush(writer)
                 self._sending = False
                 self.flushed = not len(self.mailbox)
@@ -357,7 +357,7 @@
             self.finish()
             return b""
 
-    async def _put(self, writer: asyncio.StreamWriter, message: T) -> None:
+    async def _buffer_message(self, writer: asyncio.StreamWriter, message: T) -> None:
         """Encode a message into ``outbox``; one that does not fit there is sent in parts."""
         data = memoryview(self._encoded(message))
         if len(data) > self.outbox.free_bytes:
--- a/beechrock/net/connection_server.py
+++ b/beechrock/net/connection_server.py
@@ -25,7 +25,7 @@
 # Bytes that may be unread on a connection as the last pass begins: the kernel doubles the size of its buffer,
 # and asyncio holds two chunks.
 MAX_LAST_BYTES = 2 * (RECEIVE_BUFFER + READ_CHUNK)
-LINGERING_PART = 16  # evicted connections that still hold a descriptor may number 1/16 of the table's size
+LINGERING_DIVISOR = 16  # evicted connections that still hold a descriptor may number 1/16 of the table's size
 
 
 class ConnectionServer(Generic[P]):
@@ -121,15 +121,15 @@
     async def _end_by_turns(self, cut_at: float, exit_at: float) -> None:
         """End connections in turns of the event loop, until none is left or ``exit_at`` is reached."""
         loop = asyncio.get_running_loop()
-        while loop.time() < exit_at and (self.server is not None or self.peers or self._coming()):
+        while loop.time() < exit_at and (self.server is not None or self.peers or self._has_pending()):
             if self.server is not None and self.server.close_empty():
                 self.server = None
             self._dismiss_all(loop.time() >= cut_at)
             # Turns without a wait only once the listener is closed: while a shortage keeps the backlog from
             # being emptied, they would take the whole core.
-            await asyncio.sleep(0 if self.server is None and self._coming() else DEPART_STEP_S)
+            await asyncio.sleep(0 if self.server is None and self._has_pending() else DEPART_STEP_S)
 
-    def _coming(self) -> bool:
+    def _has_pending(self) -> bool:
         """Return whether an accepted connection is not in ``peers`` yet."""
         return bool(self._arrivals or self._unserved)
 
@@ -138,7 +138,7 @@
         loop = asyncio.get_running_loop()
         while True:
             self._conclude_backlog(end_at)
-            self._conclude_coming()
+            self._conclude_pending()
             self._shut_all()
             if self._conclude_peers(end_at) or loop.time() >= end_at:
                 return
@@ -162,7 +162,7 @@
         if not self.server.sockets:
             self.server = None
 
-    def _conclude_coming(self) -> None:
+    def _conclude_pending(self) -> None:
         """Answer and end each accepted connection that is not in ``peers`` yet."""
         while self._arrivals:
             _, connection = self._arrivals.popitem()
@@ -288,7 +288,7 @@
             peer.drop()
             return
         self._lingering[peer] = None
-        while len(self._lingering) > max(1, self.max_connections // LINGERING_PART):
+        while len(self._lingering) > max(1, self.max_connections // LINGERING_DIVISOR):
             oldest = next(iter(self._lingering))
             del self._lingering[oldest]
             oldest.drop()
--- a/beechrock/net/listener.py
+++ b/beechrock/net/listener.py
@@ -28,7 +28,7 @@
 from beechrock.core.counters import Counters
 from beechrock.net.registration import RETRY_S, RetryingStreamReader
 from beechrock.net.retrying_writer import RetryingStreamWriter
-from beechrock.net.tolerant_socket import tolerant
+from beechrock.net.tolerant_socket import make_tolerant
 
 log = logging.getLogger("beechrock")
 READ_CHUNK = 16_384  # stream limit in bytes; asyncio stops reading a connection at twice as many unread bytes
@@ -247,9 +247,9 @@
         try:
             if connection is None:
                 return
-            connection = self.arrivals[reader] = tolerant(connection)
+            connection = self.arrivals[reader] = make_tolerant(connection)
             send_at_once(connection)
-            protocol = AcceptedProtocol(reader, functools.partial(self._hand_on, reader), self._loop)
+            protocol = AcceptedProtocol(reader, functools.partial(self._pass_on, reader), self._loop)
             await self._loop.connect_accepted_socket(lambda: protocol, connection)
         except Exception as error:  # close it here, as a reference to it would keep its descriptor open
             self.arrivals.pop(reader, None)
@@ -261,7 +261,7 @@
         finally:
             self.arriving -= 1
 
-    def _hand_on(
+    def _pass_on(
         self,
         reader: RetryingStreamReader,
         transport: asyncio.Transport,
--- a/beechrock/net/retrying_writer.py
+++ b/beechrock/net/retrying_writer.py
@@ -17,13 +17,13 @@
 
 
 @dataclass(slots=True)
-class KeptOutput:
+class PendingOutput:
     """Output that could not be passed to the transport yet, and the operations that must follow it."""
 
     data: bytearray
     failures: int = 0  # successive failures
-    end_asked: bool = False  # the stream is to be ended behind the data
-    close_asked: bool = False  # the connection is to be closed behind the data
+    end_requested: bool = False  # the stream is to be ended behind the data
+    close_requested: bool = False  # the connection is to be closed behind the data
 
 
 class RetryingStreamWriter(asyncio.StreamWriter):
@@ -44,45 +44,45 @@
     ) -> None:
         super().__init__(transport, protocol, reader, loop)
         self._failed = failed
-        self._kept: KeptOutput | None = None
+        self._pending: PendingOutput | None = None
 
     @property
     def unsent_bytes(self) -> int:
         """Number of written bytes that the kernel has not accepted yet."""
-        kept_bytes = 0 if self._kept is None else len(self._kept.data)
+        kept_bytes = 0 if self._pending is None else len(self._pending.data)
         return kept_bytes + self.transport.get_write_buffer_size()
 
     def write(self, data: Data) -> None:
         """Send as much as the kernel accepts now, and the rest in the background."""
-        if self._kept is not None:
-            self._kept.data += data
-        elif may_wait(self.transport):
+        if self._pending is not None:
+            self._pending.data += data
+        elif needs_no_registration(self.transport):
             super().write(data)
-        elif (rest := data[_send_now(self.transport, data) :]) and not self._hand_over(rest):
-            self._kept = KeptOutput(bytearray(rest))
-            self._try_later(self._kept)
+        elif (rest := data[_send_now(self.transport, data) :]) and not self._pass_to_transport(rest):
+            self._pending = PendingOutput(bytearray(rest))
+            self._schedule_retry(self._pending)
 
     def write_eof(self) -> None:
         """End the stream behind all written data."""
-        if self._kept is not None:
-            self._kept.end_asked = True
+        if self._pending is not None:
+            self._pending.end_requested = True
         else:
             super().write_eof()
 
     def close(self) -> None:
         """Close the connection behind all written data."""
-        if self._kept is not None:
-            self._kept.close_asked = True
+        if self._pending is not None:
+            self._pending.close_requested = True
         else:
             super().close()
 
     async def drain(self) -> None:
         """Wait until the transport accepts more data. Raises OSError if the connection has ended."""
-        while self._kept is not None and not self.transport.is_closing():
+        while self._pending is not None and not self.transport.is_closing():
             await asyncio.sleep(RETRY_S)
         await super().drain()
 
-    def _hand_over(self, data: Data) -> bool:
+    def _pass_to_transport(self, data: Data) -> bool:
         """Pass bytes to the transport. Returns False if the connection cannot be registered now."""
         transport = self.transport
         assert isinstance(transport, asyncio.ReadTransport)
@@ -95,24 +95,24 @@
         transport.pause_reading()
         return True
 
-    def _try_later(self, kept: KeptOutput) -> None:
-        kept.failures += 1
-        asyncio.get_running_loop().call_later(pause_s(kept.failures), self._write_kept, kept)
-        self._failed(kept.failures)
+    def _schedule_retry(self, pending: PendingOutput) -> None:
+        pending.failures += 1
+        asyncio.get_running_loop().call_later(pause_s(pending.failures), self._write_pending, pending)
+        self._failed(pending.failures)
 
-    def _write_kept(self, kept: KeptOutput) -> None:
+    def _write_pending(self, pending: PendingOutput) -> None:
         if self.transport.is_closing():
-            self._kept = None
+            self._pending = None
             return
-        if not self._hand_over(bytes(kept.data)):
-            if kept.close_asked and kept.failures >= MAX_FAILURES_AT_CLOSE:
+        if not self._pass_to_transport(bytes(pending.data)):
+            if pending.close_requested and pending.failures >= MAX_FAILURES_AT_CLOSE:
                 self.transport.abort()
-            self._try_later(kept)
+            self._schedule_retry(pending)
             return
-        self._kept = None
-        if kept.end_asked:
+        self._pending = None
+        if pending.end_requested:
             self.write_eof()
-        if kept.close_asked:
+        if pending.close_requested:
             self.close()
 
 
@@ -123,7 +123,7 @@
     return writer.transport.get_write_buffer_size()
 
 
-def may_wait(transport: asyncio.WriteTransport) -> bool:
+def needs_no_registration(transport: asyncio.WriteTransport) -> bool:
     """Return whether a write needs no new registration to wait for the kernel, or does not wait at all."""
     assert isinstance(transport, asyncio.ReadTransport)
     return transport.is_reading() or transport.is_closing() or transport.get_write_buffer_size() > 0
--- a/beechrock/net/scgi.py
+++ b/beechrock/net/scgi.py
@@ -1,4 +1,4 @@
-"""The SCGI front: one request a connection, by the public SCGI specification; answers with ``Status:``."""
+"""Server for SCGI callers: one request per connection, answered with a ``Status:`` header as in CGI."""
 
 import asyncio
 import math
@@ -34,9 +34,9 @@
 
 MAX_BODY_BYTES = 65_536
 MAX_OUT_BYTES = 1 << 21
-# A request that is not complete after this part of the shortest deadline, or after this long, is rejected.
-STALL_PART, STALL_S = 0.5, 2.5
-HELD_KB = 4.0  # memory of a request beside its body
+# A request is rejected if it is incomplete after this share of the shortest deadline, or after STALL_S.
+STALL_SHARE, STALL_S = 0.5, 2.5
+HELD_KB = 4.0  # memory of a request in KB, without its body
 ENDING = "this connection ends; nothing ran"
 
 
@@ -44,7 +44,7 @@
 
 
 def rejection_reply(found: "ContractRejection") -> Reply:
-    """Return the reply with all that a retry can act on; another node has the same contract."""
+    """Return the reply to a rejection, with headers for retries: other nodes have the same contract."""
     return Reply(
         503,
         f"beyond its contract ({found.reason}); this try never ran\n".encode(),
@@ -59,10 +59,10 @@
 
 
 class Edges(Protocol):
-    """The part for edges, where it is on."""
+    """Interface of the optional subsystem for edges."""
 
     def takes(self, request: Request, headers: dict[str, str], send_reply: Callable[[Reply], None]) -> bool:
-        """Return whether it will answer, as the request cannot be served now. Raises ScgiError."""
+        """Return whether edges answer the request, which cannot be served now. Raises ScgiError."""
         ...
 
 
@@ -70,8 +70,8 @@
 class Allowed:
     """A request within its contract.
 
-    ``share`` is the tenant that the module is given; ``ended`` is called once, with the run's seconds, or
-    None where it never ran; ``headers`` gives headers for the answer.
+    ``share`` is the tenant index for the module; ``ended`` is called once, with the duration of the run in
+    seconds, or None if it never ran; ``headers`` returns headers for the answer.
     """
 
     share: int
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ContractRejection:
-    """A request or connection beyond its contract; ``after_s``: seconds until a retry."""
+    """Rejection of a request or connection beyond its contract; ``after_s`` is the seconds until a retry."""
 
     after_s: float
     reason: str
@@ -89,16 +89,19 @@
 
 
 class Limits(Protocol):
-    """The part for contracts and budgets, where it is on."""
+    """Interface of the optional subsystem for contracts and budgets."""
 
     def admit(self, contract: tuple[str, str], size: int) -> Allowed | ContractRejection:
-        """Admit or reject a request after its headers and before its body; the contract is in force."""
+        """Admit or reject a request by its contract, after its headers and before its body are read."""
         ...
 
     def connect(
         self, team: str, own: "Iterable[ScgiConnection]"
     ) -> "ScgiConnection | ContractRejection | None":
-        """Place one more connection of a team beside its ``own``; one that is returned is closed for it."""
+        """Admit one more connection of a team with the connections ``own``.
+
+        Returns a rejection, or a connection of ``own`` to close in exchange, or None.
+        """
         ...
 
     def renew(self, meaning: "Inventory") -> None:
@@ -107,7 +110,7 @@
 
 
 class ScgiConnection(ConnectionActor[Reply]):
-    """One connection: a request in, one answer out."""
+    """One connection, with one request and one answer."""
 
     where = "scgi"
 
@@ -119,30 +122,30 @@
         self.last_message_at = self.born
         self.headers: dict[str, str] | None = None
         self.request: Request | None = None
-        self.bound_to: str | None = None  # the team that the inventory lets this front end ask for
-        self.team: str | None = None  # among whose connections it is counted
-        self.answered = False  # the one answer of this connection is on its way
-        self.allowed: Allowed | None = None  # by its contract
-        self.settled_with = False  # the limits know how it ended
-        limit = min(STALL_S, STALL_PART * min(c.deadline_s for c in self.module.settings.classes))
-        # What never becomes complete is answered too, long before any deadline.
-        self.stall = self.module.timers.at(self.born + limit, self._stalled)
+        self.only_team: str | None = None  # the only team for which this front end may send requests, if any
+        self.team: str | None = None  # the team whose connection count includes this one
+        self.answered = False  # the answer has been sent or queued
+        self.allowed: Allowed | None = None  # admission by the contract
+        self.end_reported = False  # the end of the request was reported to the limits
+        limit = min(STALL_S, STALL_SHARE * min(c.deadline_s for c in self.module.settings.classes))
+        # An incomplete request is answered too, long before any deadline.
+        self.stall = self.module.timers.at(self.born + limit, self._reject_stalled)
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Run until the connection ends; a host that is no front end of the inventory is rejected."""
+        """Serve the connection until it ends; reject a host that is no front end of the inventory."""
         known = self.front.inventory.front_ends
         if known is not None:
             host = (writer.get_extra_info("peername") or ("",))[0]
-            allowed, self.bound_to = known.team_of(host)
+            allowed, self.only_team = known.team_of(host)
             if not allowed:
                 self.counters.add("intake.scgi_strangers")
                 self.reject(ScgiError(403, f"{host} is no front end of the inventory"))
-            elif self.bound_to is not None and not self.rejected:
-                self._join(self.bound_to)
+            elif self.only_team is not None and not self.rejected:
+                self._join(self.only_team)
         await super().serve(reader, writer)
 
     def _join(self, team: str) -> bool:
-        """Return whether it has a place among its team's connections, and is still open."""
+        """Count the connection among those of its team. Returns whether it was admitted."""
         if self.team is not None or self.front.limits is None:
             return True
         own = self.front.held.setdefault(team, {})
@@ -157,19 +160,19 @@
         return True
 
     def is_silent(self) -> bool:
-        """Return whether nothing has come yet."""
+        """Return whether no input has been received yet."""
         return self.headers is None and not len(self.inbox)
 
     def parse(self) -> None:
         """Read the headers and the body, and post the request."""
         try:
-            if self.headers is None and not self._head():
+            if self.headers is None and not self._read_headers():
                 return
-            self._body()
+            self._read_body()
         except ScgiError as error:
             self.reject(error)
 
-    def _head(self) -> bool:
+    def _read_headers(self) -> bool:
         start = self.inbox.peek(8)
         digits, colon, _ = start.partition(b":")
         if not digits.isdigit() and (digits or colon):
@@ -191,15 +194,15 @@
             raise ScgiError(400, "the netstring does not end in a comma")
         self.headers = headers_of(block)
         length = self.headers[LENGTH_HEADER]
-        if len(length) > 10 or int(length) > MAX_BODY_BYTES:  # leading zeros could hide any number of digits
+        if len(length) > 10 or int(length) > MAX_BODY_BYTES:  # the first check bounds leading zeros
             raise ScgiError(413, f"a body of over {MAX_BODY_BYTES} bytes")
-        return self.front.limits is None or self._within(self.front.limits, self.headers, int(length))
+        return self.front.limits is None or self._admitted(self.front.limits, self.headers, int(length))
 
-    def _within(self, limits: Limits, headers: dict[str, str], size: int) -> bool:
-        """Return whether the body is read. A team beyond its contract is rejected before it."""
-        team, route, klass = self._contract(headers)
-        # A repeat of what is under way or has run costs no run: it gets that one's answer, whatever its team
-        # has left. Rejected, its caller would take what did run for what never did.
+    def _admitted(self, limits: Limits, headers: dict[str, str], size: int) -> bool:
+        """Return whether the body is to be read; a request beyond its contract is rejected before that."""
+        team, route, klass = self._find_contract(headers)
+        # A repeat of a request that runs or has run costs no run: it gets that request's answer, whatever its
+        # team has left. If it were rejected, its caller would conclude that the request never ran.
         nonce = headers.get(KEY_HEADER, "")
         if self.module.settings.classes[klass].idempotency is Idempotency.KEYED and (
             self.module.idempotency.knows(route, nonce, self.born)
@@ -217,7 +220,7 @@
         self.allowed = found
         return True
 
-    def _body(self) -> None:
+    def _read_body(self) -> None:
         if self.headers is None or self.request is not None or self.answered:
             return
         size = int(self.headers[LENGTH_HEADER])
@@ -229,10 +232,10 @@
             self.module.table.counts.on_front_answer(request.route, Verdict.REFUSED)
             raise ScgiError(503, ENDING)
         if self.allowed is not None:
-            request.limits_tenant, request.ended = self.allowed.share, self._ended
+            request.limits_tenant, request.ended = self.allowed.share, self._report_end
         edges = self.front.edges
-        if edges is not None and edges.takes(request, self.headers, self._send_reply):  # it gives the answer
-            self._ended(0.0)  # the limits count the start; later costs are the edge's
+        if edges is not None and edges.takes(request, self.headers, self._send_reply):  # edges answer it
+            self._report_end(0.0)  # the limits count only the start; the edge accounts for later costs
             self.request, self.uses = request, 1
             self.inbox.skip(len(self.inbox))
             return
@@ -240,15 +243,15 @@
             self.module.table.counts.on_front_answer(request.route, Verdict.REFUSED)
             raise ScgiError(503, "too many requests")
         self.request, self.uses = request, 1
-        self.inbox.skip(len(self.inbox))  # nothing may follow the body
+        self.inbox.skip(len(self.inbox))  # SCGI allows nothing after the body, so the rest is ignored
 
-    def _contract(self, headers: dict[str, str]) -> tuple[str, str, int]:
-        """Return team, service, and the index of their class. Raises ScgiError."""
+    def _find_contract(self, headers: dict[str, str]) -> tuple[str, str, int]:
+        """Return the team, the service and the index of their class. Raises ScgiError."""
         inventory = self.front.inventory
         route = headers.get(ROUTE_HEADER) or headers.get(PATH_HEADER, "").strip("/")
-        team = headers.get(TEAM_HEADER) or self.bound_to or ""
-        if self.bound_to is not None and team != self.bound_to:
-            raise ScgiError(403, f"X-Team: this front end asks for {self.bound_to} alone")
+        team = headers.get(TEAM_HEADER) or self.only_team or ""
+        if self.only_team is not None and team != self.only_team:
+            raise ScgiError(403, f"X-Team: this front end asks for {self.only_team} alone")
         if route not in inventory.upstreams:
             raise ScgiError(404, f"X-Route: no service {route!r}")
         if team not in inventory.teams:
@@ -259,7 +262,7 @@
         return team, route, klass
 
     def _request(self, headers: dict[str, str], body: bytes) -> Request:
-        team, route, klass = self._contract(headers)
+        team, route, klass = self._find_contract(headers)
         nonce = headers.get(KEY_HEADER) or None
         if self.module.settings.classes[klass].idempotency is not Idempotency.KEYED:
             nonce = None
@@ -285,21 +288,21 @@
         reply, request = reply_to(answer), self.request
         if self.allowed is not None:
             reply = replace(reply, headers=(*reply.headers, *self.allowed.headers()))
-        if request is not None and request.generation:  # the node that steered it here asks what ran
+        if request is not None and request.generation:  # the node that forwarded it needs the run's status
             reply = replace(reply, headers=(*reply.headers, ("X-Replied", str(request.replied))))
         self._send_reply(reply)
 
-    def _ended(self, cost_s: float | None) -> None:
-        if self.allowed is not None and not self.settled_with:
-            self.settled_with = True
+    def _report_end(self, cost_s: float | None) -> None:
+        if self.allowed is not None and not self.end_reported:
+            self.end_reported = True
             self.allowed.ended(cost_s)
 
-    def _stalled(self) -> None:
+    def _reject_stalled(self) -> None:
         if self.request is None and not self.lost:
             self.reject(ScgiError(408, "the request did not come whole in time"))
 
     def input_ended(self) -> None:
-        """Reject a request that is cut off; after a complete one its answer is still sent."""
+        """Reject a request that is cut off; a complete request still gets its answer."""
         if self.request is None:
             if len(self.inbox) or self.headers is not None:
                 self.reject(ScgiError(400, "the request is cut off"))
@@ -312,8 +315,8 @@
         self.reject(ScgiError(400, problem))
 
     def failed_inside(self) -> None:
-        """Answer with status 500 where no answer is to come."""
-        if self.request is None:  # else its answer comes
+        """Answer with status 500, unless a complete request gets its own answer."""
+        if self.request is None:
             self.reject(ScgiError(500, "internal error"))
 
     def reject(self, error: ScgiError) -> None:
@@ -333,18 +336,18 @@
         self.finish()
 
     def encode(self, message: Reply) -> bytes:
-        """Return a reply's bytes."""
+        """Return the wire format of a reply."""
         return message.encode()
 
     def settled(self) -> bool:
-        """Return whether no answer is to come."""
+        """Return whether no answer is pending."""
         return self.answered or self.request is None
 
     def end(self) -> None:
-        """Its one answer ends it, and without one it must not end: there is nothing to do."""
+        """Do nothing: the connection ends with its answer, and must not end without one."""
 
     def answer_all(self) -> None:
-        """Fail what is open, as it may have run; refuse what has not come whole."""
+        """Answer an open request with a failure, as it may have run; refuse an incomplete request."""
         if self.answered:
             return
         if self.request is None:
@@ -355,7 +358,7 @@
 
 
 class ScgiServer(ConnectionServer[ScgiConnection]):
-    """Listens for SCGI callers."""
+    """Listens for SCGI callers, and manages their connections."""
 
     where = "scgi"
 
@@ -364,12 +367,11 @@
         self.inventory = inventory
         self.edges: Edges | None = None
         self.limits: Limits | None = None
-        self.held: dict[
-            str, dict[ScgiConnection, None]
-        ] = {}  # with limits: by team, in the order they joined
+        # Connections by team, in the order in which they joined; empty without limits.
+        self.held: dict[str, dict[ScgiConnection, None]] = {}
 
     def peer(self) -> ScgiConnection:
-        """Return one end of a new connection."""
+        """Create the actor for a new connection."""
         return ScgiConnection(self)
 
     def send_full(self, peer: ScgiConnection) -> None:
@@ -377,14 +379,14 @@
         peer.reject(ScgiError(503, "too many connections"))
 
     def dismiss(self, peer: ScgiConnection) -> bool:
-        """End one; without a request it gets an answer first, as its request may be on the way."""
+        """End a connection; one without a request gets an answer first, as its request may be in transit."""
         if peer.request is None and not peer.answered and not peer.input_waits():
             peer.answer_all()
             return True
         return peer.shut()
 
     def ended(self, peer: ScgiConnection) -> None:
-        """Cancel its request, if it is not answered."""
+        """Cancel the request of a connection that has ended, if it is not answered."""
         peer.stall.cancel()
         if peer.team is not None:
             own = self.held[peer.team]
@@ -392,6 +394,6 @@
             if not own:
                 del self.held[peer.team]
         if peer.request is None:
-            peer._ended(None)  # it never came in full
+            peer._report_end(None)  # the request was never complete, so it never ran
         if peer.request is not None and not peer.request.answered:
             self.module.post(RequestCancelled(peer.request))
--- a/beechrock/net/scgi_codec.py
+++ b/beechrock/net/scgi_codec.py
@@ -1,4 +1,4 @@
-"""The codec of SCGI: requests and replies, and the names of their headers. Pure."""
+"""Codec of SCGI: encodes and decodes requests and replies, and holds the names of their headers. No I/O."""
 
 MAX_HEADER_BYTES = 16_384
 ENTITY_HEADER = "HTTP_X_ENTITY"
@@ -16,7 +16,7 @@
 
 
 class ScgiError(Exception):
-    """A request, or reply, that cannot be served; ``status`` says why."""
+    """An invalid request or reply; ``status`` is the status to answer with."""
 
     def __init__(self, status: int, problem: str) -> None:
         super().__init__(problem)
@@ -24,7 +24,7 @@
 
 
 def headers_of(block: bytes) -> dict[str, str]:
-    """Return the headers of a request. Raises ScgiError: CONTENT_LENGTH comes first, and SCGI is 1."""
+    """Decode the headers of a request. Raises ScgiError, such as if CONTENT_LENGTH is not the first."""
     if not block.endswith(b"\0"):
         raise ScgiError(400, "headers do not end in a null byte")
     parts = block[:-1].decode("latin-1").split("\0")
@@ -42,27 +42,33 @@
 
 
 def generation_of(text: str) -> int:
-    """Return the generation of routing policy that a node sent it here by; -1: without a plan; 0: none."""
+    """Parse the generation of the routing policy by which another node forwarded the request.
+
+    Returns -1 if that node had no plan, and 0 if no node forwarded the request.
+    """
     if text == "-1":
         return -1
     return int(text) if text.isascii() and text.isdigit() and len(text) < 10 else 0
 
 
 def request_bytes(headers: dict[str, str], body: bytes) -> bytes:
-    """Return a request as it goes over the wire."""
+    """Return the wire format of a request."""
     all_headers = {LENGTH_HEADER: str(len(body)), "SCGI": "1", **headers}
     block = "".join(f"{name}\0{value}\0" for name, value in all_headers.items()).encode("latin-1", "replace")
     return f"{len(block)}:".encode() + block + b"," + body
 
 
 def reply_of(data: bytes) -> tuple[int, str, bytes]:
-    """Return status, media type and body of a complete reply; without ``Status:`` it is 200, as in CGI."""
+    """Return the status, media type and body of a complete reply. Raises ScgiError."""
     status, headers, body = parts_of(data)
     return status, headers.get("content-type", ""), body
 
 
 def parts_of(data: bytes) -> tuple[int, Headers, bytes]:
-    """Return status, headers (names in lower case) and body of a reply. Raises ScgiError."""
+    """Return the status, headers (names in lower case) and body of a complete reply. Raises ScgiError.
+
+    As in CGI, the status is 200 if there is no ``Status:`` header.
+    """
     head, gap, body = data.partition(b"\r\n\r\n")
     if not gap:
         head, gap, body = data.partition(b"\n\n")
@@ -82,13 +88,14 @@
 
 
 def replied_of(status: int, headers: Headers, steered: bool) -> int:
-    """Return the status that a server gave; -1: none was reached; 0: not known.
+    """Return the status that a server gave, -1 if no server was reached, or 0 if that is unknown.
 
-    ``steered``: the reply is a node's. Its own error is no refusal by the service, which would end a write.
+    ``steered`` is whether the reply came from another node. That node's own error must not be taken for a
+    refusal by the service, which would end a write.
     """
     if not steered or 200 <= status < 300:
         return status
-    if 400 <= status < 500 or status == 503:  # nodes say these of what never ran
+    if 400 <= status < 500 or status == 503:  # a node answers so for a request that never ran
         return -1
     status_text = headers.get("x-replied", "")
     return int(status_text) if status_text.removeprefix("-").isdigit() else 0
--- a/beechrock/net/scgi_reply.py
+++ b/beechrock/net/scgi_reply.py
@@ -1,4 +1,4 @@
-"""Replies of SCGI: a status, headers, and the body; an answer's fields by their names on this wire."""
+"""SCGI replies: a status, headers and a body, and the encoding of an answer as such a reply."""
 
 import math
 from dataclasses import dataclass
@@ -28,7 +28,7 @@
     headers: tuple[tuple[str, str], ...] = ()
 
     def encode(self) -> bytes:
-        """Return its bytes."""
+        """Return the wire format of the reply."""
         media = () if any(k == "Content-Type" for k, _ in self.headers) else (("Content-Type", "text/plain"),)
         lines = [f"Status: {self.status} {REASONS.get(self.status, 'Unknown')}"]
         lines += [f"{k}: {v}" for k, v in (*media, *self.headers, ("Content-Length", str(len(self.body))))]
@@ -36,7 +36,7 @@
 
 
 def reply_to(answer: Answer) -> Reply:
-    """Return the SCGI reply of a final answer."""
+    """Return the SCGI reply for an answer to a request."""
     headers: tuple[tuple[str, str], ...] = ()
     if answer.advice is not None:
         headers = (("X-Advice", f"{answer.advice:.4f}"),)
@@ -46,7 +46,7 @@
     if answer.verdict is Verdict.FAILED:
         return Reply(500, answer.body or b"failed\n", headers)
     if answer.retry_after_s:
-        # Retry-After has whole seconds only, which are long for short pauses; the exact one stands beside it.
+        # Retry-After allows whole seconds only, too coarse for short delays; X-Retry-After-Ms is exact.
         headers += (
             ("Retry-After", str(math.ceil(answer.retry_after_s))),
             ("X-Retry-After-Ms", str(max(1, round(1000 * answer.retry_after_s)))),
--- a/beechrock/net/scgi_work.py
+++ b/beechrock/net/scgi_work.py
@@ -1,4 +1,4 @@
-"""Runs requests on small SCGI servers; fills the interface that the agent also fills."""
+"""Runs requests on SCGI servers; implements the same interface as the agent's link."""
 
 import asyncio
 import functools
@@ -36,19 +36,21 @@
     from beechrock.lowering.route import Router, Way
     from beechrock.lowering.sending import Reply
 
-MAX_REPLY_BYTES = 1 << 20
-CONNECT_S = 1.0
-LAG_S, LAG_STEP_S = 1.0, 0.02  # so long a request waits for the generation it came with to be in force here
-REJECT_RETRY_S = 1.0  # where policy knows nobody that runs a request now, it may come again after this
+MAX_REPLY_BYTES = 1 << 20  # maximum length of a server's reply
+CONNECT_S = 1.0  # time limit for connecting to a server
+# How long a forwarded request waits until the policy generation that it names is in force here, and how often
+# that is checked, in seconds.
+LAG_S, LAG_STEP_S = 1.0, 0.02
+REJECT_RETRY_S = 1.0  # retry time given when the policy currently allows no server to run a request
 
 
 def team_of(request: Request, module: ModuleActor) -> str | None:
-    """Return the name of the team that a request is of, if it is of one."""
+    """Return the name of the team to which a request belongs, or None."""
     return module.settings.tenants[request.tenant].name if request.tenant is not None else None
 
 
 def run_headers(request: Request, way: "Way | None", team: str | None) -> Headers:
-    """Return the headers of a run: the request by its names on this wire, and the way it goes."""
+    """Return the SCGI headers for a run: the fields of the request, and of its routing decision ``way``."""
     headers = {
         "REQUEST_METHOD": "POST",
         "REQUEST_URI": f"/{request.route}",
@@ -70,8 +72,8 @@
     return headers
 
 
-class RoutingRejection(Exception):  # noqa: N818 - an answer, and no fault
-    """Routing has no place for a request, which never ran; it may come again after this."""
+class RoutingRejection(Exception):  # noqa: N818 - a regular outcome, not an error
+    """Routing found no server for a request, which never ran; it may be retried after ``after_s`` seconds."""
 
     def __init__(self, after_s: float, reason: bytes) -> None:
         super().__init__(reason)
@@ -80,14 +82,14 @@
 
 
 def candidates(servers: Servers, request: Request, way: "Way | None") -> Sequence[Address]:
-    """Return where a request may go now, the best first."""
+    """Return the addresses to which a request may be sent now, the best first."""
     return servers.choose(request.route) if way is None else way.addresses
 
 
 def outcome_of(
     request: Request, way: "Way | None", data: bytes, counters: Counters
 ) -> tuple[Outcome, str, bytes]:
-    """Return outcome, media type and body of a reply. Raises RoutingRejection where a node did not run it."""
+    """Return outcome, media type and body of a reply. Raises RoutingRejection if a node did not run it."""
     try:
         status, headers, body = parts_of(data)
     except ScgiError as error:
@@ -101,7 +103,7 @@
 
 
 class ScgiRun(ConnectionActor[bytes]):
-    """One request at one server, whose reply ends with the connection."""
+    """One request sent to one server; the end of the connection marks the end of the reply."""
 
     where = "scgi_run"
 
@@ -110,37 +112,41 @@
         self.reply: bytes | None = None
 
     def parse(self) -> None:
-        """Wait: a reply is complete when the connection ends."""
+        """Do nothing: the reply is complete only when the connection ends."""
 
     def encode(self, message: bytes) -> bytes:
-        """Return the bytes as they are."""
+        """Return the message unchanged, as requests are encoded before they are queued."""
         return message
 
     def input_ended(self) -> None:
-        """Keep the reply, and close."""
+        """Store the complete reply, and close."""
         self.reply = self.inbox.read(len(self.inbox))
         self.finish()
 
 
 class ScgiWork:
-    """Sends runs to the servers of their service, to the least busy one first."""
+    """Sends each request to a server of its service, trying the least busy one first."""
 
     def __init__(self, module: ModuleActor, upstreams: Upstreams) -> None:
         self.module = module
         self.servers = Servers(upstreams)
         self.counters = module.counters
         self.runs: dict[Request, asyncio.Task[None]] = {}
-        self.router: Router | None = None  # where the table [lowering] is on
-        # Where [replica] has advice: a server is asked, and what comes of it; None: nothing in time.
+        self.router: Router | None = None  # set if the table [lowering] is configured
+        # Set if [replica] gives advice. It is called when a request goes to a server, with the address and a
+        # time limit, and returns a function that is called with the reply, or None if there was none.
         self.watch: Callable[[Address, float], Callable[[bytes | None], None]] | None = None
 
     def renew(self, upstreams: Upstreams) -> None:
-        """Begin no run at a server that is not listed any more; what is open there goes on to its end."""
+        """Replace the list of servers; runs on a server that is no longer listed continue to their end."""
         self.servers.renew(upstreams)
         self.counters.set("open.draining_servers", len(self.servers.draining()))
 
     def leave_out(self, out: frozenset[Address]) -> None:
-        """Begin no run at these, whatever the inventory or the policy's pools list; what is open goes on."""
+        """Start no run on these servers, even if the inventory or the policy's pools list them.
+
+        Open runs on them continue.
+        """
         self.servers.out = out
         if self.router is not None:
             self.router.acts.out = out
@@ -151,7 +157,7 @@
         return bool(self.servers.listed(route))
 
     def holds(self, request: Request) -> bool:
-        """Return whether the request is at a server."""
+        """Return whether a run of the request is open."""
         return request in self.runs
 
     def launch(self, request: Request) -> None:
@@ -163,29 +169,29 @@
         task = self.runs.pop(request, None)
         if task is not None:
             task.cancel()
-            self._ended(request, Outcome.STOPPED)
+            self._report_end(request, Outcome.STOPPED)
 
     def resume(self, request: Request) -> None:
-        """Count the command: nothing is ever paused here."""
+        """Count the unexpected command: runs on SCGI servers are never paused."""
         self.counters.add("trouble.scgi_resume")
 
     def deliver(self, request: Request, reply: bytes) -> None:
-        """Count the command: no run here makes calls."""
+        """Count the unexpected command: runs on SCGI servers make no calls."""
         self.counters.add("trouble.scgi_deliver")
 
     def forgo(self, request: Request, mark: int) -> None:
-        """Count the command: no run here makes calls."""
+        """Count the unexpected command: runs on SCGI servers make no calls."""
         self.counters.add("trouble.scgi_forgo")
 
     def sample(self) -> None:
-        """Small servers have no gauges."""
+        """Do nothing, as SCGI servers have no gauges."""
 
     def exercise(self, report: Callable[[bool], None]) -> None:
-        """Check that the services can be reached, and report whether they can."""
+        """Check whether all services can be reached, and report the result."""
         self.counters.spawn(self._exercise(report), "scgi_work.exercise")
 
     async def _exercise(self, report: Callable[[bool], None]) -> None:
-        """Report good when each service has a server that accepts connections."""
+        """Report success if each service has a server that accepts connections."""
         good = False
         try:
             good = all([await self._reached(service) for service in self.servers.upstreams])
@@ -193,7 +199,7 @@
             report(good)
 
     async def _reached(self, service: str) -> bool:
-        """Return whether a server of this service accepts connections, or none is listed."""
+        """Return whether a server of this service accepts connections, or no server is listed."""
         addresses = self.servers.choose(service) or self.servers.upstreams.get(service, ())
         for address in addresses:
             try:
@@ -206,37 +212,40 @@
 
     async def _run(self, request: Request) -> None:
         settings = self.module.settings.classes[request.klass]
-        # A server that hangs must not hold its place among the runs for ever.
-        timer = self.module.timers.at(request.born + settings.deadline_s, lambda: self._out_of_time(request))
+        # The deadline bounds the run, as one on a hanging server would otherwise stay open forever.
+        timer = self.module.timers.at(request.born + settings.deadline_s, lambda: self._time_out(request))
         try:
-            outcome, media, body = await self._try(request)
+            outcome, media, body = await self._send_request(request)
         except RoutingRejection as rejection:
-            # For the module a run that never ran; its caller gets the same, and a retry time.
+            # The module sees a run that never ran; the caller gets a refusal with a retry time.
             outcome, media, body = Outcome.REJECTED, "", b""
             if request in self.runs:
                 self.module.table.reject_unroutable(request, rejection.after_s, rejection.reason)
         except Exception as error:
-            # A task that ends without a word would leave its request open for ever, and its key held.
+            # If the exception ended the task, the request would stay open forever, and its key in use.
             self.counters.record_error("scgi_work.run", error)
             outcome, media, body = Outcome.ERROR, "", b"the run failed here"
         finally:
             timer.cancel()
         if self.runs.pop(request, None) is not None:
-            self._ended(request, outcome, media, body)
+            self._report_end(request, outcome, media, body)
 
-    def _out_of_time(self, request: Request) -> None:
+    def _time_out(self, request: Request) -> None:
         task = self.runs.pop(request, None)
         if task is not None:
             task.cancel()
             self.counters.add("sent.scgi_out_of_time")
-            self._ended(request, Outcome.ERROR)
+            self._report_end(request, Outcome.ERROR)
 
-    def _ended(self, request: Request, outcome: Outcome, media: str = "", body: bytes = b"") -> None:
+    def _report_end(self, request: Request, outcome: Outcome, media: str = "", body: bytes = b"") -> None:
         elapsed = max(0.0, self.module.clock() - request.launched_at)
         self.module.post(RunEnded(request.trace, outcome, elapsed, body, media))
 
     async def _caught_up(self, request: Request) -> None:
-        """Who hears first of a new generation steers by it; the log may reach this node a moment later."""
+        """Wait until the policy generation by which another node forwarded the request is in force here.
+
+        The agreed log may reach this node a moment later than that node.
+        """
         end = self.module.clock() + LAG_S
         while (
             self.router is not None
@@ -245,8 +254,11 @@
         ):
             await asyncio.sleep(LAG_STEP_S)
 
-    def _way(self, request: Request) -> "Way | None":
-        """Where policy sends it; all of its tries go by that, whatever comes into force meanwhile."""
+    def _choose_way(self, request: Request) -> "Way | None":
+        """Return the policy's routing decision for a request, which stays valid for all its attempts.
+
+        Returns None without a policy.
+        """
         if self.router is None:
             return None
         from beechrock.lowering.policy import Request as PolicyRequest
@@ -262,11 +274,11 @@
             self.router.note(request.trace, request.body, request.generation, way)
         return way
 
-    async def _try(self, request: Request) -> tuple[Outcome, str, bytes]:
-        """Send a request to the first server that accepts the connection; it goes to no second one."""
+    async def _send_request(self, request: Request) -> tuple[Outcome, str, bytes]:
+        """Send a request to the first server that accepts the connection, and to no other."""
         tried: set[Address] = set()
         await self._caught_up(request)
-        way = self._way(request)
+        way = self._choose_way(request)
         if way is not None and (way.refused or way.asked is not None):
             return await self._by_rule(request, way)
 
@@ -278,7 +290,7 @@
             if streams is None:
                 continue
             if address not in candidates(self.servers, request, way):
-                # Taken out while we connected; it may be back before the next one is, so it was not tried.
+                # The server was excluded while we connected. It was not tried, as it may soon return.
                 tried.discard(address)
                 streams[1].close()
                 continue
@@ -296,10 +308,10 @@
         return Outcome.ERROR, "", b"no server reached"
 
     async def _open(self, address: Address) -> Streams:
-        """Connect within CONNECT_S. Raises OSError (a time-out is one).
+        """Connect within CONNECT_S. Raises OSError, also after a time-out.
 
-        Not by ``asyncio.wait_for``: in Python 3.11 it swallows a cancel that comes as it is made, so
-        that a run would be sent after it was reported as stopped.
+        It does not use ``asyncio.wait_for``: in Python 3.11 that loses a cancellation that arrives as the
+        connection is made, so that a run would be sent after it was reported as stopped.
         """
         async with asyncio.timeout(CONNECT_S):
             return await connect(address)
@@ -335,7 +347,7 @@
                 over(reply)
 
     async def _by_rule(self, request: Request, way: "Way") -> tuple[Outcome, str, bytes]:
-        """Send a request under the limits of its rule, with its retries, hedge and mirrors."""
+        """Send a request under the limits of its policy rule, with the rule's retries, hedge and mirrors."""
         if way.asked is None or self.router is None:
             self.counters.add("lowering.turned_away")
             raise RoutingRejection(REJECT_RETRY_S, way.refused.encode())
@@ -362,13 +374,16 @@
     async def _send_attempt(
         self, request: Request, headers: Headers, body: bytes, address: Address, copy: bool
     ) -> "Reply | None":
-        """Make one attempt; None: not sent. ``body``: as a copy may go out after the request's end."""
+        """Make one attempt. Returns None if it was not sent.
+
+        ``body`` is passed separately, as a mirrored copy may be sent after the request has ended.
+        """
         from beechrock.lowering.sending import Reply
 
         streams = await self._connected(address)
         if streams is None:
             return None
-        if address in self.servers.out:  # taken out while we connected
+        if address in self.servers.out:  # the server was excluded while we connected
             streams[1].close()
             return None
         run = ScgiRun(self)
--- a/tests/connections/test_table.py
+++ b/tests/connections/test_table.py
@@ -276,7 +276,7 @@
         [peer] = frames.peers
         assert isinstance(peer, FrameConnection)
         stand.program.module.status.idle_s = 1.0
-        peer.back_from, peer.back_at = stand.now, stand.now + 3.0  # as ``_answer`` notes it
+        peer.back_from, peer.back_at = stand.now, stand.now + 3.0  # as ``_send_answer`` sets it
         await stand.play("clock 2.9\n")
         assert not peer.closing
         await stand.play("a > {04 00000003 00}\na < {05 00000003 01 00}\n")
--- a/tests/net/test_agent.py
+++ b/tests/net/test_agent.py
@@ -113,7 +113,7 @@
             try:
                 agent.receive_line(words, draw.choice([b"", b"x"]))
             except BadInputError as error:
-                agent.unreadable(words, str(error))
+                agent.handle_unreadable(words, str(error))
             assert agent.notices.last >= before or stand.program.counters["agent.restarts"] > 0
             module.tick(stand.now)
         assert module.table.by_id == {}
--- a/tests/net/test_ledger.py
+++ b/tests/net/test_ledger.py
@@ -78,10 +78,10 @@
 def test_a_link_whose_end_has_come_but_was_not_read_gets_no_call() -> None:
     async def work(stand: Stand) -> None:
         link = await free_link(stand)
-        assert link.takes("another")
+        assert link.accepts_call("another")
         assert link._reader is not None
         link._reader.feed_eof()
-        assert not link.takes("another")
+        assert not link.accepts_call("another")
 
     run(work)
 
@@ -91,7 +91,7 @@
         link = await free_link(stand)
         stand.now += IDLE_S + 4.0
         stand.program.module.timers.advance(stand.now)  # as the first thing in a batch
-        assert not link.takes("another")
+        assert not link.accepts_call("another")
 
     run(work)
 
--- a/tests/net/test_syscalls_streams.py
+++ b/tests/net/test_syscalls_streams.py
@@ -176,7 +176,7 @@
         await stand.step(line.split(), line)
 
 
-@pytest.mark.parametrize("method", ["_frame", "encode"])
+@pytest.mark.parametrize("method", ["_handle_frame", "encode"])
 def test_a_fault_of_our_own_answers_what_is_open_and_closes(
     method: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -187,13 +187,13 @@
         await stand.play(ask("a", 1) + launched(1) + ask("a", 2) + launched(2))
         with monkeypatch.context() as patch:
             patch.setattr(FrameConnection, method, fails)
-            await steps(stand, ask("a", 3) if method == "_frame" else ended(2, 1))
-            where = "receive" if method == "_frame" else "send"
+            await steps(stand, ask("a", 3) if method == "_handle_frame" else ended(2, 1))
+            where = "receive" if method == "_handle_frame" else "send"
             await until(lambda: stand.program.counters[f"trouble.frames.{where}"] > 0, lambda: "not counted")
-            if method == "_frame":  # its word on stream 0 is written before the real one is back
+            if method == "_handle_frame":  # its word on stream 0 is written before the real one is back
                 await steps(stand, 'a < {02 00000000 0d 00 "internal error"}\n')
         await steps(stand, ended(1, 2) + answered("a", 1))
-        if method == "_frame":
+        if method == "_handle_frame":
             await steps(stand, ended(2, 3) + answered("a", 2))
         await steps(stand, "a closed\n")
 
@@ -213,7 +213,7 @@
             ),
             admin=True,
         )
-        monkeypatch.setattr(ScgiConnection, "_head", fails)
+        monkeypatch.setattr(ScgiConnection, "_read_headers", fails)
         assert stand.program.admin is not None
         monkeypatch.setattr(stand.program.admin.calls, "answer", fails)
         await steps(stand, "a = connect scgi\na ask pack releases hello\na answered 500\n")
