--- a/beechrock/connections/__init__.py
+++ b/beechrock/connections/__init__.py
@@ -1,1 +1,1 @@
-"""Which connections a server keeps: decided without I/O, for ``beechrock/net/connection_server.py``."""
+"""Decides which connections a server keeps. No I/O; ``beechrock/net/connection_server.py`` acts on it."""
--- a/beechrock/connections/table.py
+++ b/beechrock/connections/table.py
@@ -1,92 +1,92 @@
-"""Which connection a full table keeps, replaces or rejects, and when an idle one is closed. Pure.
+"""Eviction policy of a full table of connections, and idle timeouts. No I/O.
 
-The state stays with each connection (``Connection``); the front carries out the decisions.
+The state is kept by each connection (``Connection``); the server carries out the decisions.
 
-States of a connection, in the order in which a full table ends them:
+States of a connection, in the order in which a full table evicts them:
 
-- ``CLOSING``: its last answer is written; its caller has no more use for it.
-- ``SILENT``: has sent no complete message for longer than a request may cross a close.
-- ``ONCE``: has carried one message, and owes nothing.
-- ``RETURNING``: has carried more, and owes nothing.
-- ``EXPECTED``: was refused with a retry time that has not passed.
-- ``FRESH``: has sent no complete message yet, and is too new for that to mean anything.
-- ``BEGUN``: is in the middle of a message, of which more came lately; ended now, its caller would write the
-  rest of a request into a closed connection.
-- ``NEEDED``: owes an answer, or has unread bytes. Never ended.
+- ``CLOSING``: its last answer is written, and its caller no longer needs it.
+- ``SILENT``: sent no complete message, for longer than a request may cross a close.
+- ``ONCE``: carried one message, and no answer is pending.
+- ``RETURNING``: carried more than one message, and no answer is pending.
+- ``EXPECTED``: its last request was refused with a retry time that has not passed.
+- ``FRESH``: sent no complete message yet, but is too new to count as silent.
+- ``BEGUN``: is in the middle of a message, a part of which came recently. If it were ended now, its caller
+  would write the rest of the request into a closed connection.
+- ``NEEDED``: has a pending answer or unread input. It is never evicted.
 
-Invariants, whatever the history (``tests/connections/test_table.py``):
+Invariants for any history (``tests/connections/test_table.py``):
 
-1. What is ``NEEDED`` is ended neither for another nor for being idle.
-2. Connections that are served stay within ``max_connections``, rejected ones within ``MAX_REJECTED``: what
-   would go beyond waits in the kernel's backlog (``accept_budget``).
+1. A ``NEEDED`` connection is neither evicted nor closed as idle.
+2. At most ``max_connections`` connections are served and at most ``MAX_REJECTED`` are rejected; further ones
+   wait in the kernel's backlog (``accept_budget``).
 3. A caller that was given a retry time finds its connection open at that time, unless the table is full of
-   such and needed ones, or callers close idle ones before it.
-4. What has carried one message only is ended before what returns, unless those that return have more than
-   ``PROTECTED_SHARE`` of the table: then age alone counts, so that new callers are not shut out.
+   such connections and needed ones, or callers close idle connections before that time.
+4. Connections that carried only one message are evicted before returning ones, unless the latter take more
+   than ``PROTECTED_SHARE`` of the table: then only the age counts, so that new callers are not shut out.
 """
 
 from collections.abc import Collection
 from enum import IntEnum
 from typing import Protocol, TypeVar
 
-CROSSING_S = 0.05  # a request that crosses a close goes again where it was written within this time
-PROTECTED_SHARE = 0.8  # of the table: a segmented LRU's protected part, the rest stays open to new callers
-MAX_REJECTED = 16  # connections whose requests are refused by a full table: as many as one turn accepts
-REJECTED_IDLE_S = 1.0  # how long these may stay silent; a caller that honours type 6 closes at once
-LATE_SHARE = 0.25  # of the time a caller was asked to wait: how much later than asked it may return
-SILENT_SWEEPS = 4  # sweeps (not seconds, as a machine may pause) without a complete message
-UNREAD_SWEEPS = 40  # sweeps in which the other side read nothing of what waits to be sent
+CROSSING_S = 0.05  # callers resend a request that crosses a close if they wrote it at most this long before
+PROTECTED_SHARE = 0.8  # share for returning connections, as in a segmented LRU; the rest is for new callers
+MAX_REJECTED = 16  # maximum number of connections that a full table rejects at a time: one turn's accepts
+REJECTED_IDLE_S = 1.0  # idle timeout of rejected connections; a caller that honours type 6 closes at once
+LATE_SHARE = 0.25  # a caller may return late by this share of the time that it was asked to wait
+SILENT_SWEEPS = 4  # limit of sweeps without a complete message; no seconds, as a machine may pause
+UNREAD_SWEEPS = 40  # limit of sweeps in which the peer read none of the output that waits to be sent
 
 
 class Connection(Protocol):
-    """What the table sees of a connection; times in seconds of the front's clock."""
+    """Interface of a connection in the table; times in seconds of the server's clock."""
 
     opened_at: float
-    last_message_at: float  # of its last complete message; before that, when it was opened
-    uses: int  # complete messages that it has carried
-    back_from: float  # when its caller was last refused with a retry time
-    back_at: float  # that retry time; 0 where none was given, or its caller has come since
+    last_message_at: float  # arrival of the last complete message; before the first one, the time of opening
+    uses: int  # number of complete messages received
+    back_from: float  # when the caller was last refused with a retry time
+    back_at: float  # the retry time; 0 if none was given, or if the caller has sent a message since
     closing: bool
-    rejected: bool  # the table was full: each of its requests is refused at once
+    rejected: bool  # the table was full, so that each request on the connection is refused at once
 
     def owes(self) -> bool:
         """Return whether an answer, or a part of one, is still to be sent."""
 
     def input_waits(self) -> bool:
-        """Return whether bytes have arrived that were not read yet."""
+        """Return whether input has arrived that was not read yet."""
 
     def begun(self) -> bool:
-        """Return whether a part of a message has been read, so lately that the rest may still come."""
+        """Return whether a part of a message was read so recently that the rest may still arrive."""
 
 
 C = TypeVar("C", bound=Connection)
 
 
 class State(IntEnum):
-    """What the end of a connection would cost its caller, the least first."""
+    """State of a connection, ordered by the cost of its end for the caller, lowest first."""
 
     CLOSING, SILENT, ONCE, RETURNING, EXPECTED, FRESH, BEGUN, NEEDED = range(8)
 
 
 class Placement(IntEnum):
-    """What a new connection gets: a free place, that of a connection that is ended, or a rejection."""
+    """Placement of a new connection: in a free place, in that of an evicted connection, or rejected."""
 
     FREE, REPLACE, REJECT = range(3)
 
 
 class CloseReason(IntEnum):
-    """Why a sweep ends a connection."""
+    """Reason for which a sweep ends a connection."""
 
     STALE, IDLE = range(2)
 
 
 def expected_until(c: Connection) -> float:
-    """Return the latest time at which its caller may be back, 0 if it was given no retry time."""
+    """Return the latest time at which the caller may return, or 0 if it was given no retry time."""
     return c.back_at + LATE_SHARE * (c.back_at - c.back_from) + CROSSING_S if c.back_at else 0.0
 
 
 def idle_state(c: Connection, now: float) -> State:
-    """Return its state without a look at what makes it ``NEEDED``."""
+    """Return the state of a connection, without the check whether it is ``NEEDED``."""
     if c.closing:
         return State.CLOSING
     if c.begun():
@@ -99,26 +99,26 @@
 
 
 def state_of(c: Connection, now: float) -> State:
-    """Return its state; unread bytes are looked at last, as that needs a system call."""
+    """Return the state of a connection; unread input is checked last, as that needs a system call."""
     return State.NEEDED if c.owes() or c.input_waits() else idle_state(c, now)
 
 
 def victim(connections: Collection[C], max_connections: int, now: float) -> C | None:
-    """Return the connection whose end costs least, None if each one is needed.
+    """Return the connection to evict, or None if all are needed.
 
-    One pass: only a connection that would be a better choice than the best so far is checked for being
-    needed, as a rush of new connections calls this for each of them.
+    This takes one pass, as it is called for each connection in a rush of new ones: the expensive check for
+    ``NEEDED`` is made only for a connection that would be a better choice than the best so far.
     """
-    # Beyond their share those that return lose to age alone: else no new caller would ever be kept.
+    # Beyond their share, returning connections are compared by age alone; otherwise no new caller could stay.
     crowded = sum(c.uses > 1 for c in connections) > PROTECTED_SHARE * max_connections
     best, choice = (State.NEEDED, 0.0), None
     for c in connections:
         if best[0] <= State.ONCE and c.uses and c.last_message_at >= best[1] and not c.closing:
-            continue  # most of a full table: ``ONCE`` at best, and younger
+            continue  # its cost is at least ``ONCE`` and it is younger, as most connections in a full table
         state = idle_state(c, now)
         if state is State.RETURNING and crowded:
             state = State.ONCE
-        # Of those with a retry time, the one that comes last can be spared longest.
+        # Of the connections with a retry time, the one with the latest time is needed last.
         cost = state, -c.back_at if state is State.EXPECTED else c.last_message_at
         if cost < best and not (c.rejected or c.owes() or c.input_waits()):
             best, choice = cost, c
@@ -128,7 +128,7 @@
 def place_connection(
     connections: Collection[C], max_connections: int, now: float
 ) -> tuple[Placement, C | None]:
-    """Return what a new connection gets, and which one has to end for that."""
+    """Return the placement of a new connection, and the connection to evict for it, if any."""
     if sum(not c.rejected for c in connections) < max_connections:
         return Placement.FREE, None
     if (replaced := victim(connections, max_connections, now)) is not None:
@@ -143,10 +143,11 @@
     at_once: int,
     now: float,
 ) -> tuple[int, C | None]:
-    """Return how many connections may be accepted now, and one that ends for that.
+    """Return how many connections may be accepted now, and a rejected one to end for that, if any.
 
-    ``arriving`` are accepted and not yet in the table. Each accepted connection is read, as its requests may
-    have come with it; whatever is beyond the bounds waits in the kernel's backlog, where nothing is lost.
+    ``arriving`` is the number of accepted connections that are not yet in the table. Each accepted connection
+    is read, as requests may have arrived with it; further connections wait in the kernel's backlog, where no
+    request is lost.
     """
     if len(connections) + arriving < max_connections:
         return at_once, None
@@ -165,9 +166,10 @@
 
 
 def idle_until(c: Connection, idle_s: float, callers_idle_s: float) -> float:
-    """Return when an idle connection is closed; ``idle_s`` is how long the node wants to keep it.
+    """Return when an idle connection is closed; ``idle_s`` is the node's idle timeout.
 
-    Callers close it after ``callers_idle_s``; one with a retry time is kept open as long as they keep it.
+    ``callers_idle_s`` is the callers' own idle timeout. A connection with a retry time is kept open until
+    then, unless the callers would close it earlier.
     """
     return max(
         c.last_message_at + idle_s, min(expected_until(c), c.last_message_at + max(callers_idle_s, idle_s))
@@ -181,13 +183,13 @@
     idle_s: float,
     callers_idle_s: float,
 ) -> CloseReason | None:
-    """Return why a sweep ends it, None if it stays.
+    """Return the reason for which a sweep ends the connection, or None if it stays.
 
-    ``silent_sweeps`` counts those without a complete message; idle times of 0 mean never.
+    ``silent_sweeps`` counts the sweeps without a complete message; an idle timeout of 0 means none.
     """
     if c.closing:
         return None
-    if silent_sweeps > SILENT_SWEEPS:  # on a loop that lags a complete message may be there
+    if silent_sweeps > SILENT_SWEEPS:  # if the loop lags, a complete message may be unread
         return None if c.input_waits() else CloseReason.STALE
     if c.rejected:
         idle = now - c.last_message_at > REJECTED_IDLE_S and not (c.owes() or c.input_waits())
