--- a/tests/connections/test_table.py
+++ b/tests/connections/test_table.py
@@ -161,7 +161,7 @@
 
 @options(max_examples=600, deadline=None, derandomize=True)
 @given(STEPS)
-def test_over_random_histories_what_is_needed_is_kept_and_the_bounds_hold(
+def test_random_histories_keep_needed_connections_and_respect_the_bounds(
     steps: list[tuple[str, int, float]],
 ) -> None:
     history = History()
@@ -176,7 +176,7 @@
         history.check()
 
 
-def test_a_rush_of_callers_that_ask_once_pushes_out_none_that_returns() -> None:
+def test_a_rush_of_one_time_callers_evicts_no_returning_connection() -> None:
     """Clients that ask once and stay would fill the table, if age alone counted."""
     now = count(100)
     front_ends = [one(9, 50.0 + n) for n in range(3)]
@@ -188,7 +188,7 @@
     assert all(c in connections for c in front_ends)
 
 
-def test_those_without_a_place_make_room_for_others_once_nothing_waits_on_them() -> None:
+def test_rejected_connections_are_ended_for_others_once_nothing_is_pending_on_them() -> None:
     busy = [one(1, open=1) for _ in range(MOST)]
     answered, silent, new = (
         One(at, at, uses, rejected=True) for at, uses in ((99.99, 1), (99.9, 0), (99.99, 0))
@@ -210,7 +210,7 @@
     assert rests == [CloseReason.IDLE, None, None]
 
 
-def test_where_those_that_return_hold_nearly_all_age_alone_counts() -> None:
+def test_only_age_counts_if_returning_connections_take_most_of_the_table() -> None:
     returning = [one(9, 50.0 + n) for n in range(MOST - 1)]
     newest = one(1, 99.0)
     assert table.victim([*returning, newest], MOST, 100.0) is newest
@@ -235,11 +235,11 @@
         (one(2, open=1, closing=True), State.NEEDED),
     ],
 )
-def test_states(c: One, state: State) -> None:
+def test_the_state_of_each_kind_of_connection(c: One, state: State) -> None:
     assert table.state_of(c, 100.0) is state
 
 
-def test_who_was_asked_to_come_back_is_awaited_but_no_longer_than_callers_keep_a_connection() -> None:
+def test_a_connection_with_a_retry_time_is_kept_until_then_unless_callers_close_it_earlier() -> None:
     refused = one(1, 100.0, back_from=100.2, back_at=103.2)
     assert table.idle_until(one(1, 100.0), 1.0, 30.0) == 101.0
     assert table.idle_until(refused, 1.0, 30.0) == pytest.approx(103.2 + 0.75 + 0.05)
@@ -247,7 +247,7 @@
     assert table.idle_until(refused, 1.0, 0.0) == 101.0
 
 
-def test_a_full_table_never_ends_a_connection_with_bytes_that_nobody_read_yet() -> None:
+def test_a_full_table_never_evicts_a_connection_with_unread_input() -> None:
     """On a loop that lags they may lie there for longer than a caller sends again what crossed a close."""
 
     async def work(stand: Stand) -> None:
@@ -265,7 +265,7 @@
     run(work)
 
 
-def test_a_refused_caller_finds_its_connection_when_it_comes_back() -> None:
+def test_a_refused_caller_finds_its_connection_open_when_it_retries() -> None:
     """Idle ones are closed early against a full table; its next try would have cost a new connection."""
 
     async def work(stand: Stand) -> None:
--- a/tests/net/test_agent.py
+++ b/tests/net/test_agent.py
@@ -31,7 +31,7 @@
     return stand.program.agent
 
 
-def test_a_freeze_and_a_thaw_that_may_be_lost_go_out_again_in_their_order() -> None:
+def test_pause_and_resume_commands_that_may_be_lost_are_resent_in_order() -> None:
     async def work(stand: Stand) -> None:
         agent, made = await agent_of(stand), request()
         agent.launch(made)
@@ -51,7 +51,7 @@
     run(work)
 
 
-def test_what_nobody_waits_for_any_more_is_not_launched_on_a_new_link_if_it_never_went_out() -> None:
+def test_a_request_that_nobody_waits_for_is_not_launched_on_a_new_link_if_it_was_never_sent() -> None:
     async def work(stand: Stand) -> None:
         agent, made = await agent_of(stand), request()
         await stand.play("g break\ncounter agent.ended_links 1\n")
@@ -65,7 +65,7 @@
     run(work)
 
 
-def test_a_launch_that_finds_no_room_among_the_commands_is_said_to_have_never_run(
+def test_a_launch_beyond_the_command_queues_bound_is_reported_as_never_run(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def work(stand: Stand) -> None:
@@ -79,7 +79,7 @@
     run(work)
 
 
-def test_a_link_that_takes_no_more_commands_is_cut_and_the_next_one_carries_them(
+def test_a_link_with_a_full_queue_is_cut_and_its_commands_are_kept_for_the_next_one(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def work(stand: Stand) -> None:
@@ -103,7 +103,7 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_no_line_of_any_words_is_more_than_a_cut_or_a_message_that_the_module_can_take(seed: int) -> None:
+def test_random_lines_cause_at_most_a_cut_or_a_message_that_the_module_can_handle(seed: int) -> None:
     async def work(stand: Stand) -> None:
         agent, draw = await agent_of(stand), random.Random(seed)
         module = stand.program.module
@@ -122,7 +122,7 @@
     run(work)
 
 
-def test_a_reply_is_not_sent_again_to_a_run_whose_next_call_was_read_with_the_word_to_send() -> None:
+def test_a_reply_is_not_resent_to_a_run_whose_next_call_was_read_with_the_sync_answer() -> None:
     async def work(stand: Stand) -> None:
         agent, made = await agent_of(stand), request()
         agent.launch(made)
@@ -144,7 +144,7 @@
     run(work)
 
 
-def test_a_start_anew_shows_though_the_last_words_before_it_are_read_after_it() -> None:
+def test_a_restart_is_detected_even_if_the_last_notice_before_it_is_read_after_it() -> None:
     """The node is late: it reads what the agent said before its end once the next agent is up already."""
 
     async def work(stand: Stand) -> None:
@@ -169,7 +169,7 @@
     run(work)
 
 
-def test_a_greeting_that_is_read_late_is_no_start_anew() -> None:
+def test_a_greeting_that_is_read_late_does_not_count_as_a_restart() -> None:
     async def work(stand: Stand) -> None:
         await agent_of(stand)
         await stand.play(
@@ -200,7 +200,7 @@
     run(work)
 
 
-def test_a_configuration_that_cannot_be_read_at_all_ends_no_search_for_the_agent() -> None:
+def test_an_unreadable_configuration_does_not_end_the_search_for_the_agent() -> None:
     """Looked for anew in the midst of a link's life, where an exception left the link without its alarm."""
 
     async def work(stand: Stand) -> None:
--- a/tests/net/test_agent_histories.py
+++ b/tests/net/test_agent_histories.py
@@ -243,7 +243,7 @@
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_all_is_answered_once_no_key_runs_twice_and_no_place_is_lost(seed: int) -> None:
+def test_every_request_is_answered_once_no_key_runs_twice_and_no_core_is_leaked(seed: int) -> None:
     asyncio.run(check(seed))  # a cut asks which task it runs in
 
 
--- a/tests/net/test_connection_server.py
+++ b/tests/net/test_connection_server.py
@@ -21,7 +21,7 @@
         return False
 
 
-def test_nothing_is_loaded_between_the_look_for_unread_bytes_and_a_connections_end(
+def test_no_module_is_loaded_between_the_check_for_unread_input_and_a_connections_end(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The first end of a process loaded two modules there, in which a request could come and be lost."""
--- a/tests/net/test_ledger.py
+++ b/tests/net/test_ledger.py
@@ -36,7 +36,7 @@
     return link
 
 
-def test_a_call_that_runs_out_while_its_link_is_made_is_never_sent_and_never_ran() -> None:
+def test_a_call_that_times_out_while_its_link_connects_is_never_sent_and_never_ran() -> None:
     async def work(stand: Stand) -> None:
         await stand.open()
         ledger, module = stand.program.ledger, stand.program.module
@@ -50,7 +50,7 @@
     run(work)
 
 
-def test_a_call_given_up_while_its_link_is_made_leaves_the_link_for_others() -> None:
+def test_a_call_abandoned_while_its_link_connects_leaves_the_link_to_other_calls() -> None:
     async def work(stand: Stand) -> None:
         await stand.open()
         ledger = stand.program.ledger
@@ -64,7 +64,7 @@
     run(work)
 
 
-def test_the_time_that_a_connect_took_is_taken_off_what_the_ledger_is_told() -> None:
+def test_the_time_that_a_connect_took_is_subtracted_from_the_limit_sent_to_the_ledger() -> None:
     async def work(stand: Stand) -> None:
         await stand.open()
         assert stand.program.ledger is not None
@@ -75,7 +75,7 @@
     run(work)
 
 
-def test_a_link_whose_end_has_come_but_was_not_read_gets_no_call() -> None:
+def test_a_link_with_an_unread_end_of_stream_gets_no_call() -> None:
     async def work(stand: Stand) -> None:
         link = await free_link(stand)
         assert link.accepts_call("another")
@@ -96,7 +96,7 @@
     run(work)
 
 
-def test_a_reply_that_came_while_the_process_stood_still_counts_and_one_that_did_not_ends_the_call() -> None:
+def test_after_a_pause_of_the_process_a_reply_that_arrived_counts_and_a_missing_one_times_out() -> None:
     async def work(stand: Stand) -> None:
         link = await free_link(stand)
         ledger, module = stand.program.ledger, stand.program.module
@@ -145,7 +145,7 @@
         "n" * 5000,
     ],
 )
-def test_noise_ends_its_connection_and_all_calls_on_it_once_and_no_other(noise: str) -> None:
+def test_a_corrupt_reply_ends_its_connection_and_all_calls_on_it_once_and_no_other(noise: str) -> None:
     async def work(stand: Stand) -> None:
         await stand.open()
         ledger = stand.program.ledger
@@ -168,7 +168,7 @@
     run(work)
 
 
-def test_without_a_connection_left_a_call_is_turned_away_unsent() -> None:
+def test_a_call_beyond_the_connection_limit_is_rejected_unsent() -> None:
     async def work(stand: Stand) -> None:
         await stand.open()
         assert stand.program.ledger is not None
@@ -179,7 +179,7 @@
     run(work)
 
 
-def test_of_a_reply_and_the_calls_end_only_the_first_counts() -> None:
+def test_of_a_reply_and_an_abandonment_only_the_first_counts() -> None:
     async def work(stand: Stand) -> None:
         link = await free_link(stand)
         ledger = stand.program.ledger
--- a/tests/net/test_listener.py
+++ b/tests/net/test_listener.py
@@ -78,7 +78,7 @@
 
 
 @pytest.mark.parametrize("number", OWN, ids=errno.errorcode.get)
-def test_a_shortage_costs_a_connection_in_the_backlog_tens_of_milliseconds(number: int) -> None:
+def test_a_shortage_delays_a_connection_in_the_backlog_by_tens_of_milliseconds_only(number: int) -> None:
     """asyncio's server stood still for a second, in which requests with short deadlines were lost."""
 
     async def work(echo: Echo, server: Listener) -> None:
@@ -95,7 +95,7 @@
 
 
 @pytest.mark.parametrize("number", PASSED_ON, ids=errno.errorcode.get)
-def test_an_error_of_one_connection_says_nothing_of_the_next(number: int) -> None:
+def test_an_accept_error_of_one_connection_does_not_affect_the_next(number: int) -> None:
     """asyncio's server ended its turn on those it does not list, with a traceback for each."""
 
     async def work(echo: Echo, server: Listener) -> None:
@@ -110,7 +110,7 @@
     run(work)
 
 
-def test_errors_without_end_take_no_core_and_a_lasting_shortage_frees_what_is_idle() -> None:
+def test_persistent_errors_take_no_core_and_a_lasting_shortage_calls_relieve() -> None:
     async def work(echo: Echo, server: Listener) -> None:
         address = server.sockets[0].getsockname()
         for number in (errno.EPERM, errno.EMFILE):
@@ -144,7 +144,7 @@
 
 
 @pytest.mark.parametrize("number", [errno.EMFILE, errno.EPROTO], ids=errno.errorcode.get)
-def test_a_listener_closed_within_its_rest_stays_closed(number: int) -> None:
+def test_a_listener_closed_during_its_pause_stays_closed(number: int) -> None:
     """asyncio's server took connections again a second after a shortage, though it was paused meanwhile."""
 
     async def work(echo: Echo, server: Listener) -> None:
@@ -162,7 +162,7 @@
     run(work)
 
 
-def test_a_connection_that_epoll_refuses_at_first_is_read_once_it_takes_it(
+def test_a_connection_that_epoll_refuses_at_first_is_read_once_epoll_accepts_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """epoll_ctl(2) may fail by ENOMEM and ENOSPC for an accepted one: it stayed open and was never read."""
@@ -186,7 +186,7 @@
     run(work)
 
 
-def test_a_rest_that_cannot_be_ended_is_tried_to_be_ended_again(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_registration_that_fails_after_a_pause_is_retried(monkeypatch: pytest.MonkeyPatch) -> None:
     """epoll_ctl(2) may fail by ENOMEM and ENOSPC: then nothing would be accepted for ever."""
 
     async def work(echo: Echo, server: Listener) -> None:
@@ -206,7 +206,7 @@
     run(work)
 
 
-def test_a_rest_that_epoll_does_not_end_for_long_frees_what_is_idle(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_pause_that_epoll_prolongs_calls_relieve(monkeypatch: pytest.MonkeyPatch) -> None:
     """ENOSPC lasts until a watch is given back, and nothing would be accepted for as long."""
 
     async def work(echo: Echo, server: Listener) -> None:
@@ -275,7 +275,7 @@
     run(work)
 
 
-def test_the_handovers_socket_accepts_through_a_shortage_and_leaves_no_name_behind(
+def test_the_handover_socket_accepts_after_a_shortage_and_leaves_no_file_behind(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A successor waits for its first word for a second, as long as asyncio's server stood still."""
--- a/tests/net/test_registrations.py
+++ b/tests/net/test_registrations.py
@@ -54,7 +54,7 @@
 
 
 @pytest.mark.parametrize(("number", "times"), [(errno.ENOMEM, 1), (errno.ENOSPC, 4)])
-def test_requests_behind_a_read_that_is_resumed_are_answered_though_epoll_refuses_it(
+def test_requests_behind_a_resumed_read_are_answered_although_epoll_refuses_it_at_first(
     number: int, times: int
 ) -> None:
     """Callers lost all requests of the chunk just taken and of the rest: asyncio raised out of the read."""
@@ -128,7 +128,7 @@
 
 @pytest.mark.parametrize("times", [3, None])
 @pytest.mark.parametrize("ends", ["relieve", "full table"])
-def test_a_connection_that_epoll_refused_gives_no_place_while_a_request_waits_on_it(
+def test_a_connection_that_epoll_refused_is_not_evicted_while_a_request_waits_on_it(
     ends: str, times: int | None
 ) -> None:
     """Else its caller lost a request that was written and never read."""
@@ -175,7 +175,7 @@
 
 
 @pytest.mark.parametrize("idle", [True, False])
-def test_a_connection_that_epoll_refuses_for_long_has_an_idle_one_ended_for_it(idle: bool) -> None:
+def test_a_connection_that_epoll_refuses_for_long_causes_the_eviction_of_an_idle_one(idle: bool) -> None:
     """ENOSPC lasts until a watch is given back; one that is owed an answer keeps its own."""
 
     async def work(stand: Stand) -> None:
@@ -257,7 +257,7 @@
 
 @pytest.mark.parametrize("reading", CHECKS)
 @pytest.mark.parametrize("times", [1, 3])
-def test_answers_to_a_slow_reader_are_whole_though_epoll_refuses_to_watch_for_room(
+def test_answers_to_a_slow_reader_are_complete_although_epoll_refuses_to_watch_for_writability(
     times: int, reading: str
 ) -> None:
     """Callers lost the rest of a write that the kernel took a part of: a stream that ends amid an answer."""
@@ -286,7 +286,7 @@
 
 
 @pytest.mark.parametrize("turns_before", [0, 20])  # as it is set up, and long after that
-def test_answers_that_the_kernel_has_no_room_for_as_the_node_ends_are_sent_though_epoll_refuses(
+def test_answers_beyond_the_send_buffer_as_the_node_ends_are_sent_although_epoll_refuses(
     turns_before: int,
 ) -> None:
     """The last answers to a slow reader were cut off amid one of them."""
--- a/tests/net/test_registrations_fleet.py
+++ b/tests/net/test_registrations_fleet.py
@@ -43,7 +43,7 @@
             await asyncio.sleep(0.1)
 
 
-def test_a_node_hears_another_though_epoll_refuses_their_link_at_first() -> None:
+def test_a_node_receives_messages_although_epoll_refuses_the_link_at_first() -> None:
     """It heard nothing: the sender saw its link up, and the kernel took message after message."""
 
     async def work() -> None:
@@ -66,7 +66,7 @@
     asyncio.run(work())
 
 
-def test_a_node_hears_another_though_epoll_refuses_its_listener_after_a_shortage() -> None:
+def test_a_node_receives_messages_although_epoll_refuses_its_listener_after_a_shortage() -> None:
     """It never accepted again: asyncio's server is registered anew by a timer whose error nobody sees."""
 
     async def work() -> None:
@@ -96,7 +96,7 @@
     return sock.type == socket.SOCK_DGRAM
 
 
-def test_a_member_hears_datagrams_though_epoll_refuses_its_socket_at_first() -> None:
+def test_a_member_receives_datagrams_although_epoll_refuses_its_socket_at_first() -> None:
     """It heard none until its process ended, and was dead to the others while it lived."""
 
     async def work() -> None:
--- a/tests/net/test_registrations_links.py
+++ b/tests/net/test_registrations_links.py
@@ -36,7 +36,7 @@
     return refused("register", errno.ENOMEM, times=times, of=of, events=READ)
 
 
-def test_a_link_to_the_agent_that_epoll_refuses_is_up_without_a_wait_for_its_limit() -> None:
+def test_a_link_to_the_agent_that_epoll_refuses_at_first_is_up_before_its_time_limit() -> None:
     """No run could be started until the greeting's limit ended the link, and the next one was made."""
 
     async def work(stand: Stand) -> None:
@@ -167,7 +167,7 @@
 CLAIMS = [messages.KeyClaimed(number.to_bytes(16, "big"), bytes(16), 1.0) for number in range(2000)]
 
 
-def test_claims_behind_a_read_that_is_resumed_are_received_though_epoll_refuses_it() -> None:
+def test_claims_behind_a_resumed_read_are_received_although_epoll_refuses_it_at_first() -> None:
     """A chunk was lost and the rest parsed as if it came next: claims gone, and one that nobody made."""
 
     async def work() -> None:
@@ -185,7 +185,7 @@
     asyncio.run(work())
 
 
-def test_messages_to_a_process_that_reads_slowly_are_whole_though_epoll_refuses_to_watch_for_room() -> None:
+def test_messages_to_a_slow_process_are_complete_although_epoll_refuses_to_watch_for_writability() -> None:
     """A message was cut off in its middle, its sender met an error, and the next one followed the cut."""
 
     async def work() -> None:
--- a/tests/net/test_registry.py
+++ b/tests/net/test_registry.py
@@ -84,7 +84,7 @@
 
 
 @pytest.mark.parametrize("number", SEND, ids=errno.errorcode.get)
-def test_a_report_that_cannot_be_sent_costs_a_beat(number: int, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_reports_continue_after_one_that_cannot_be_sent(number: int, monkeypatch: pytest.MonkeyPatch) -> None:
     async def work(play: Play) -> None:
         play.begin(await play.listen())
         await play.heard("BEAT n1 ready")
@@ -99,7 +99,7 @@
 @pytest.mark.parametrize(
     ("call", "number"), OPEN, ids=[f"{call}-{errno.errorcode[number]}" for call, number in OPEN]
 )
-def test_a_socket_that_cannot_be_had_is_tried_for_anew_at_each_beat(
+def test_a_socket_that_cannot_be_opened_is_retried_at_each_beat(
     call: str, number: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def work(play: Play) -> None:
@@ -133,7 +133,7 @@
     run(work, monkeypatch)
 
 
-def test_a_registry_that_is_down_for_long_is_told_when_it_is_back(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_reports_resume_when_a_registry_is_back_after_a_long_outage(monkeypatch: pytest.MonkeyPatch) -> None:
     """Its machine refuses by ICMP, which the next send reports in place of being sent."""
 
     async def work(play: Play) -> None:
@@ -148,7 +148,7 @@
     run(work, monkeypatch)
 
 
-def test_an_error_of_an_earlier_report_does_not_cost_the_word_that_this_node_drains(
+def test_an_error_of_an_earlier_report_does_not_lose_the_report_of_draining(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def work(play: Play) -> None:
--- a/tests/net/test_syscalls_connect.py
+++ b/tests/net/test_syscalls_connect.py
@@ -74,7 +74,7 @@
 
 
 @pytest.mark.parametrize(("call", "number"), CALLS, ids=IDS)
-def test_the_agent_is_met_at_the_next_attempt(call: str, number: int) -> None:
+def test_the_agent_is_reached_at_the_next_attempt(call: str, number: int) -> None:
     async def work(stand: Stand) -> None:
         await stand.open()
         await stand.play("g = accept agent\n" + GREET)
@@ -91,7 +91,7 @@
 
 
 @pytest.mark.parametrize(("call", "number"), CALLS, ids=IDS)
-def test_a_call_whose_connection_never_stood_never_ran_and_is_made_again(call: str, number: int) -> None:
+def test_a_call_whose_connection_failed_never_ran_and_is_made_again(call: str, number: int) -> None:
     async def work(stand: Stand) -> None:
         await stand.open()
         await stand.play("g = accept agent\n" + GREET + ASK)
@@ -112,7 +112,7 @@
     run(work)
 
 
-def test_what_is_no_failed_call_ends_an_attempt_as_well(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_exception_other_than_oserror_ends_the_attempt_as_well(monkeypatch: pytest.MonkeyPatch) -> None:
     """A name that no resolver takes raises UnicodeError: the life waited for its time limit."""
 
     async def work(stand: Stand) -> None:
@@ -181,7 +181,7 @@
 
 
 @pytest.mark.parametrize(("call", "number"), CALLS, ids=IDS)
-def test_an_scgi_server_that_cannot_be_reached_costs_one_answer(call: str, number: int) -> None:
+def test_an_unreachable_scgi_server_fails_one_request_only(call: str, number: int) -> None:
     async def work(stand: Stand) -> None:
         await open_scgi(stand)
         await stand.play(
@@ -194,7 +194,7 @@
     run(work)
 
 
-def test_a_run_that_fails_inside_still_has_its_answer(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_run_with_an_internal_error_is_still_answered(monkeypatch: pytest.MonkeyPatch) -> None:
     async def work(stand: Stand) -> None:
         await open_scgi(stand)
         assert stand.program.servers is not None
--- a/tests/net/test_syscalls_streams.py
+++ b/tests/net/test_syscalls_streams.py
@@ -61,7 +61,7 @@
 
 @pytest.mark.parametrize("call", ["recv", "send"])
 @pytest.mark.parametrize("kind", [*PASSING, Short(1)], ids=str)
-def test_what_passes_costs_no_connection(call: str, kind: int | Short) -> None:
+def test_transient_errors_and_short_calls_end_no_connection(call: str, kind: int | Short) -> None:
     """Seen with faults put in: ENOBUFS and ENOMEM ended a connection with all that was open on it."""
 
     async def work(stand: Stand) -> None:
@@ -116,7 +116,7 @@
     run(work)
 
 
-def test_the_end_of_the_other_side_is_seen_though_our_own_cannot_be_told() -> None:
+def test_the_peers_end_of_stream_is_handled_although_our_own_cannot_be_sent() -> None:
     async def work(stand: Stand) -> None:
         await open_frames(stand)
         with faults("shutdown", errno.ENOTCONN, of=on_front(stand)) as shutdown:
@@ -152,7 +152,7 @@
 
 
 @pytest.mark.parametrize("number", FATAL, ids=errno.errorcode.get)
-def test_a_ledger_connection_that_an_error_ends_proves_nothing(number: int) -> None:
+def test_a_call_on_a_ledger_connection_that_fails_is_not_reported_as_never_run(number: int) -> None:
     async def work(stand: Stand) -> None:
         await open_frames(stand)
         await stand.play(
@@ -177,7 +177,7 @@
 
 
 @pytest.mark.parametrize("method", ["_handle_frame", "encode"])
-def test_a_fault_of_our_own_answers_what_is_open_and_closes(
+def test_an_internal_error_answers_open_requests_and_closes_the_connection(
     method: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The reading task ended alone: what came later on that connection was never read, nor was it closed."""
@@ -200,7 +200,7 @@
     run(work)
 
 
-def test_a_fault_of_our_own_is_an_answer_at_the_other_fronts(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_internal_error_is_answered_at_the_other_servers(monkeypatch: pytest.MonkeyPatch) -> None:
     async def work(stand: Stand) -> None:
         await stand.open(
             inventory_of(
--- a/tests/net/test_time_slice.py
+++ b/tests/net/test_time_slice.py
@@ -20,7 +20,7 @@
         pass
 
 
-def test_a_slice_is_renewed_where_it_was_used_and_only_there(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_time_slice_is_renewed_only_after_it_was_used(monkeypatch: pytest.MonkeyPatch) -> None:
     sleeps = list[float]()
     monkeypatch.setattr(time_slice.time, "sleep", sleeps.append)
     current = TimeSlice()
@@ -31,7 +31,7 @@
 
 
 @pytest.mark.parametrize("by_turns", [True, False])
-def test_no_last_connection_is_ended_late_in_a_slice(monkeypatch: pytest.MonkeyPatch, by_turns: bool) -> None:
+def test_no_connection_is_ended_late_in_a_time_slice(monkeypatch: pytest.MonkeyPatch, by_turns: bool) -> None:
     """Requests were seen that came in a wait of up to 36 ms between the look for them and the end."""
     renewed_at, used = [float("-inf")], list[float]()
 
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -28,7 +28,7 @@
     return f'{name} < {{02 {stream:08x} 00 01 {ADVICE} "ok"}}\n'
 
 
-def test_a_connection_that_is_reset_takes_back_what_it_holds_and_a_further_try_of_that_runs() -> None:
+def test_a_reset_connection_cancels_its_request_and_a_retry_of_that_runs() -> None:
     async def work(stand: Stand) -> None:
         await stand.open()
         await stand.play(UP + "a = connect frames\nb = connect frames\n")
@@ -50,7 +50,7 @@
     run(work)
 
 
-def test_a_repeat_beyond_the_open_requests_of_a_connection_is_refused_itself_and_its_key_stands() -> None:
+def test_a_repeat_beyond_the_limit_of_open_requests_is_refused_and_its_key_stays_in_use() -> None:
     async def work(stand: Stand) -> None:
         await stand.open()
         await stand.play(UP + "a = connect frames\n" + ask("a", 1, 1, 1) + launched(1))
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -15,7 +15,7 @@
 
 
 @pytest.mark.parametrize("path", [p for p in FILES if not p.name.startswith("scgi")], ids=lambda p: p.stem)
-def test_the_node_says_what_the_exchange_records(path: Path) -> None:
+def test_the_node_sends_what_the_exchange_records(path: Path) -> None:
     play(path)
 
 
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize("path", [p for p in FILES if p.name.startswith("scgi")], ids=lambda p: p.stem)
-def test_both_fronts_say_what_the_exchange_records(path: Path) -> None:
+def test_both_servers_send_what_the_exchange_records(path: Path) -> None:
     async def work(stand: Stand) -> None:
         await open_both(stand)
         await stand.play(path.read_text())
@@ -55,7 +55,7 @@
     run(work)
 
 
-def test_a_full_scgi_table_ends_the_silent_and_turns_away_while_all_wait_for_an_answer() -> None:
+def test_a_full_scgi_table_evicts_a_silent_connection_and_rejects_if_all_wait_for_an_answer() -> None:
     async def work(stand: Stand) -> None:
         await open_both(stand)
         assert stand.program.scgi is not None
@@ -75,7 +75,7 @@
     run(work)
 
 
-def test_a_thorough_check_that_is_not_stored_has_the_agent_work() -> None:
+def test_a_thorough_check_without_a_stored_result_runs_on_the_agent() -> None:
     ask = 'a > {04 0000000%d 01 08"thorough" 0001"1"}'
     thorough = 'a < {05 0000000%d %s 01 06"advice" 0006"0.0000"}'
 
@@ -110,7 +110,7 @@
 )
 
 
-def test_a_connection_that_broke_is_kept_neither_by_a_kept_request_nor_by_its_error() -> None:
+def test_a_broken_connection_is_freed_despite_its_stored_request_and_its_error() -> None:
     async def work(stand: Stand) -> None:
         await stand.open()
         await stand.play(
@@ -162,7 +162,7 @@
     run(work)
 
 
-def test_who_never_reads_its_answers_does_not_keep_its_connection() -> None:
+def test_a_peer_that_never_reads_its_answers_is_dropped() -> None:
     async def work(stand: Stand) -> None:
         await stand.open()
         frames = stand.program.frames
--- a/tests/test_faults_inside.py
+++ b/tests/test_faults_inside.py
@@ -10,7 +10,7 @@
 from beechrock.net.frame_codec import ANSWER, FAILED, REFUSED
 
 
-def test_a_timer_that_raises_takes_no_other_with_it() -> None:
+def test_a_timer_that_raises_does_not_stop_other_timers() -> None:
     """Those of its tick, and those of later ticks that are due as well, fire in the next one."""
     wheel, fired = TimerWheel(0.004, 50.0), list[int]()
 
@@ -33,7 +33,7 @@
     assert fired == [1, 2, 4, 5] and wheel._armed == 0
 
 
-def test_a_request_that_cannot_be_taken_in_is_answered_and_takes_no_other_with_it(
+def test_a_request_that_fails_on_receipt_is_answered_and_does_not_affect_others(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """All three are read in one batch."""
@@ -63,7 +63,9 @@
     run(work)
 
 
-def test_what_the_module_never_heard_of_is_answered_as_it_is_due(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_request_that_the_module_never_received_is_answered_at_its_deadline(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async def work(stand: Stand) -> None:
         _, [caller] = await node(stand)
         module = stand.program.module
--- a/tests/test_front_histories.py
+++ b/tests/test_front_histories.py
@@ -109,7 +109,7 @@
 
 
 @pytest.mark.parametrize("seed", range(24))
-def test_each_whole_request_has_one_answer_whatever_crosses_the_ends_of_connections(seed: int) -> None:
+def test_each_complete_request_has_one_answer_whatever_crosses_the_end_of_its_connection(seed: int) -> None:
     async def work(stand: Stand) -> None:
         await history(stand, random.Random(seed))
         assert [line for line in stand.program.counters.lines() if line.startswith("trouble.")] == []
