--- a/tests/net/test_agent.py
+++ b/tests/net/test_agent.py
@@ -1,4 +1,4 @@
-"""Commands to the agent that cross a break of its link, or find no room."""
+"""Commands to the agent across a break of its link, or with a full queue; notices and greetings."""
 
 import random
 
@@ -43,7 +43,7 @@
         agent.resume(made)
         all_three = f"launch {TRACE} resolve 1\\r\\nx\\r\\nfreeze {TRACE}\\r\\nthaw {TRACE}\\r\\n"
         await stand.play("clock 0.03\n" + UP.replace("%s", "h") + f'h < "{all_three}"\n')
-        # Read by now, as the answer to a later question shows: a break costs nothing.
+        # The answer to a later sample request proves that the commands were read: a break loses nothing.
         agent.sample()
         await until(lambda: not len(agent.runs.unconfirmed), lambda: "not settled")
         await stand.play("h break\ncounter agent.ended_links 2\nclock 0.03\n" + UP.replace("%s", "i"))
@@ -145,7 +145,7 @@
 
 
 def test_a_restart_is_detected_even_if_the_last_notice_before_it_is_read_after_it() -> None:
-    """The node is late: it reads what the agent said before its end once the next agent is up already."""
+    """The node lags: it reads the old agent's last notice only when the new agent has started already."""
 
     async def work(stand: Stand) -> None:
         agent, made = await agent_of(stand), request()
@@ -156,7 +156,8 @@
             f'g < "launch {TRACE} resolve 1\\r\\nx\\r\\n"\nclock 0.05\ng > "aside 7 last words\\r\\n"\n'
         )
         await until(lambda: agent.notices.last == 7, lambda: "unread")
-        # Anew 10 ms before that was read, asked 30 ms after it; its numbers start at 1.
+        # The agent restarted 10 ms before that notice was read, and gets the subscription 30 ms after it. Its
+        # notice numbers start at 1 again.
         await stand.play(
             "g break\ncounter agent.ended_links 1\nclock 0.03\nh = accept agent\n"
             'h < "subscribe 7\\r\\n"\nh > "greeting EMPTY 40\\r\\n"\nh closed\n'
@@ -183,7 +184,7 @@
 
 @pytest.mark.parametrize("age_ms", [0, 5100])
 def test_a_greeting_that_nobody_asked_for_cuts_the_link_and_loses_no_run(age_ms: int) -> None:
-    """One of age 0 was taken for a start anew: what ran was given up, though it ran on."""
+    """A greeting with age 0 was taken for a restart, and runs were given up although they went on."""
 
     async def work(stand: Stand) -> None:
         agent, made = await agent_of(stand), request()
@@ -201,7 +202,7 @@
 
 
 def test_an_unreadable_configuration_does_not_end_the_search_for_the_agent() -> None:
-    """Looked for anew in the midst of a link's life, where an exception left the link without its alarm."""
+    """The configuration is read as a link handles an event; an exception left the link without a timer."""
 
     async def work(stand: Stand) -> None:
         agent, program = await agent_of(stand), stand.program
@@ -225,7 +226,7 @@
                     return
             raise AssertionError(f"no further attempt: {agent.link_actor.life.state}")
 
-        await refused(5)  # the file is looked at after each third
+        await refused(5)  # the file is read after every third refused attempt
         assert program.counters["trouble.reload"] == program.counters["reload.refused"] == 1
 
     run(work)
--- a/tests/net/test_agent_histories.py
+++ b/tests/net/test_agent_histories.py
@@ -1,4 +1,4 @@
-"""Random histories of a node and its agent: breaks, restarts, lost notices; the rules checked over each."""
+"""Random histories of a node and its agent with breaks, restarts and lost notices; invariants of each."""
 
 import asyncio
 import itertools
@@ -17,7 +17,7 @@
 from beechrock.net.agent import Agent
 from beechrock.net.agent_commands import Command
 
-KEPT = 5  # notices that the agent keeps, few so that some are missed for good
+KEPT = 5  # number of notices that the agent keeps, so few that some are lost for good
 
 
 @dataclass
@@ -29,14 +29,14 @@
 
 @dataclass
 class Cores:
-    """The agent as the page has it; it notes each start and each wrong delivery."""
+    """Model of the agent by its protocol page; it records each start of a run and each wrong delivery."""
 
     born: float
-    over: Any  # whether a request has its answer, or nobody waits for it
+    over: Any  # function: whether a request has its answer, or nobody waits for it
     number: int = 0
-    after: int = 0  # the link asked for what comes after this notice
+    after: int = 0  # the link subscribed to the notices after this number
     runs: dict[str, Run] = field(default_factory=dict)
-    ended: set[str] = field(default_factory=set)  # what is over here starts no more, as in the simulator
+    ended: set[str] = field(default_factory=set)  # traces whose runs have ended, and are not started again
     notices: deque[tuple[int, list[str], bytes]] = field(default_factory=lambda: deque(maxlen=KEPT))
     to_node: deque[tuple[list[str], bytes]] = field(default_factory=deque)
     starts: dict[str, list[float]] = field(default_factory=lambda: defaultdict(list))
@@ -148,11 +148,11 @@
         self.agent.link_actor.handle_event(life.Ended(self.agent.link_actor.life.link))
 
     def flow(self, most: int) -> None:
-        """Open a link that is under way, or carry some words of one that stands.
+        """Open a link that is connecting, or transport some messages of an open one.
 
-        A delivery that is sent again can cross the notice of the run's next call, and be taken for that
-        call's reply: no word of the wire tells them apart. In every other history nothing is on its way to
-        the node when the agent reads, and no reply may be wrong.
+        A resent delivery can cross the notice of the run's next call, and be taken for that call's reply:
+        nothing in the protocol tells them apart. In the histories with ``prompt``, which are every other one,
+        nothing is in transit to the node when the agent reads, and no reply may be wrong.
         """
         if self.agent.link_actor.life.state is life.LinkState.CONNECTING and self.desk.now >= self.cores.born:
             self.cores.linked = False
@@ -179,7 +179,7 @@
         self.agent.receive_line(words, body)
 
     def work(self) -> None:
-        """Let a run end, or stop at a call; the agent ends what nobody waits for at its calls."""
+        """Let a run end, or stop at a call; the agent ends runs that nobody waits for at their calls."""
         for trace, run in list(self.cores.runs.items()):
             if run.waits and self.over(trace):
                 self.cores.end(trace, "KILLED")
@@ -223,7 +223,7 @@
         if faults and chance < 0.04 and self.agent.link is not None:
             self.break_link()
         elif faults and chance < 0.05:
-            self.cores.restart(self.desk.now + 0.02)  # no process is up at once
+            self.cores.restart(self.desk.now + 0.02)  # a new process needs time to start
             if self.agent.link is not None:
                 self.break_link()
         elif faults and chance < 0.25:
@@ -244,7 +244,7 @@
 
 @pytest.mark.parametrize("seed", range(40))
 def test_every_request_is_answered_once_no_key_runs_twice_and_no_core_is_leaked(seed: int) -> None:
-    asyncio.run(check(seed))  # a cut asks which task it runs in
+    asyncio.run(check(seed))  # an event loop is needed, as a link's end compares the current task
 
 
 async def check(seed: int) -> None:
--- a/tests/net/test_connection_server.py
+++ b/tests/net/test_connection_server.py
@@ -1,4 +1,4 @@
-"""How a server of connections departs."""
+"""Shutdown of a connection server."""
 
 import asyncio
 import sys
@@ -11,11 +11,11 @@
 
 
 class Peer(ConnectionActor[bytes]):
-    """A connection that is open and owes nothing."""
+    """An open connection without pending answers."""
 
     def __init__(self) -> None:
         self.closing = False
-        self._reader = None  # nothing is left to conclude
+        self._reader = None  # there is nothing to conclude
 
     def begun(self) -> bool:
         return False
@@ -24,7 +24,7 @@
 def test_no_module_is_loaded_between_the_check_for_unread_input_and_a_connections_end(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The first end of a process loaded two modules there, in which a request could come and be lost."""
+    """The first connection's end loaded two modules there, while a request could arrive and be lost."""
     loaded: list[bool] = []
     server = ConnectionServer[Peer](Desk().actor, 10)
 
--- a/tests/net/test_ledger.py
+++ b/tests/net/test_ledger.py
@@ -1,4 +1,4 @@
-"""Where the end of a call crosses another event of its link, in an order that the test forces."""
+"""The end of a call crosses another event of its link, in an order that the test forces."""
 
 import pytest
 from play import Stand, run, until
@@ -18,12 +18,12 @@
 
 
 def ends(stand: Stand) -> list[Outcome]:
-    """How calls ended, taken from the module before it reads them."""
+    """Return the outcomes of ended calls, taken from the module's mailbox before the module reads them."""
     return [m.outcome for m in stand.program.module.mailbox.drain() if isinstance(m, CallDone)]
 
 
 async def free_link(stand: Stand) -> LedgerLink:
-    """A node whose ledger has one connection, on which a call has been replied to."""
+    """Start a node whose ledger has one connection, on which one call has got its reply."""
     await stand.open()
     assert stand.program.ledger is not None
     stand.program.ledger.call(request(), b"x", 1.0)
@@ -41,7 +41,7 @@
         await stand.open()
         ledger, module = stand.program.ledger, stand.program.module
         assert ledger is not None
-        ledger.call(request(), b"x", 0.2)  # nothing is awaited from here on: no connection comes about
+        ledger.call(request(), b"x", 0.2)  # no connection is made, as nothing is awaited until the call ends
         stand.now += 0.25
         module.timers.advance(stand.now)
         assert ends(stand) == [Outcome.UNREACHABLE]
@@ -90,7 +90,7 @@
     async def work(stand: Stand) -> None:
         link = await free_link(stand)
         stand.now += IDLE_S + 4.0
-        stand.program.module.timers.advance(stand.now)  # as the first thing in a batch
+        stand.program.module.timers.advance(stand.now)  # timers run first in a batch
         assert not link.accepts_call("another")
 
     run(work)
@@ -120,7 +120,7 @@
 def test_a_link_that_does_not_close_is_cut() -> None:
     async def work(stand: Stand) -> None:
         link = await free_link(stand)
-        link.settled = lambda: False  # type: ignore[method-assign]   # its last words never get out
+        link.settled = lambda: False  # type: ignore[method-assign]   # it never counts as settled
         link.finish()
         await stand.play("clock 1.1\nclock 2.1\ncounter ledger.cut_not_closed 1\nl closed\n")
         assert stand.program.ledger is not None
@@ -151,7 +151,7 @@
         ledger = stand.program.ledger
         assert ledger is not None
         ledger.max_links = 2
-        for trace in (TRACE, "bb", "cc"):  # the third finds no connection of its own
+        for trace in (TRACE, "bb", "cc"):  # the third call has to share a connection
             ledger.call(request(trace), b"x", 1.0)
         [shared] = [k for k in ledger.links if len(k.open) == 2]
         await stand.play("l = accept ledger\nm = accept ledger\ncounter ledger.links 2\n")
--- a/tests/net/test_listener.py
+++ b/tests/net/test_listener.py
@@ -1,4 +1,4 @@
-"""Accept(2) in every way it may fail: nothing that waits in the backlog is left there, or lost."""
+"""Failures of accept(2) of every kind: no connection in the backlog is left there or lost."""
 
 import asyncio
 import errno
@@ -19,12 +19,13 @@
 from beechrock.net import listener
 from beechrock.net.listener import Listener, listen
 
+# Errors that concern the process or the system, and errors that concern one connection.
 OWN = [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EINVAL, errno.EIO]
 PASSED_ON = sorted(listener.CONNECTION_ERRORS)
 
 
 class Echo:
-    """Answers what it reads on each connection, and counts them."""
+    """Echo server that keeps the writers of its connections, and counts the calls of ``relieve``."""
 
     def __init__(self) -> None:
         self.counters, self.writers = Counters(), list[asyncio.StreamWriter]()
@@ -79,7 +80,7 @@
 
 @pytest.mark.parametrize("number", OWN, ids=errno.errorcode.get)
 def test_a_shortage_delays_a_connection_in_the_backlog_by_tens_of_milliseconds_only(number: int) -> None:
-    """asyncio's server stood still for a second, in which requests with short deadlines were lost."""
+    """asyncio's server accepted nothing for a second, and requests with short deadlines were lost."""
 
     async def work(echo: Echo, server: Listener) -> None:
         address = server.sockets[0].getsockname()
@@ -96,7 +97,7 @@
 
 @pytest.mark.parametrize("number", PASSED_ON, ids=errno.errorcode.get)
 def test_an_accept_error_of_one_connection_does_not_affect_the_next(number: int) -> None:
-    """asyncio's server ended its turn on those it does not list, with a traceback for each."""
+    """asyncio's server ended its turn on an error that it does not list, with a traceback for each."""
 
     async def work(echo: Echo, server: Listener) -> None:
         address = server.sockets[0].getsockname()
@@ -117,7 +118,7 @@
             with faults("accept", number, times=None, of=on_port(address[1])) as accept:
                 waiting = asyncio.ensure_future(ask(address))
                 await asyncio.sleep(0.2)
-                # A try every 10 ms, of ``at_once`` calls at most; a turn of the loop takes far less.
+                # A try every 10 ms, with at most ``at_once`` calls; without a pause there are far more.
                 assert 0 < accept.failed <= 4 * 25
             assert await waiting == b"here"
         assert echo.relieved > 0
@@ -126,7 +127,7 @@
 
 
 def test_a_full_process_accepts_again_once_an_idle_connection_has_been_ended() -> None:
-    """Where the system allows fewer descriptors than the configuration says, the table alone frees none."""
+    """If the system allows fewer descriptors than the configuration, the bound on the table frees none."""
 
     async def work(stand: Stand) -> None:
         await stand.open()
@@ -145,18 +146,18 @@
 
 @pytest.mark.parametrize("number", [errno.EMFILE, errno.EPROTO], ids=errno.errorcode.get)
 def test_a_listener_closed_during_its_pause_stays_closed(number: int) -> None:
-    """asyncio's server took connections again a second after a shortage, though it was paused meanwhile."""
+    """asyncio's server accepted again a second after a shortage, even if it was paused in between."""
 
     async def work(echo: Echo, server: Listener) -> None:
         with socket.create_server(("127.0.0.1", 0)) as shared, socket.socket() as caller:
             second = await echo.listen(shared.fileno())
             with faults("accept", number, times=None, of=on_port(shared.getsockname()[1])) as accept:
                 caller.connect(shared.getsockname())
-                await until(lambda: accept.failed > 0, lambda: "not asked")
+                await until(lambda: accept.failed > 0, lambda: "accept was not called")
                 second.close()
             await asyncio.sleep(5 * listener.RETRY_S)
             shared.setblocking(False)
-            shared.accept()[0].close()  # it still waits there, for whoever holds the socket
+            shared.accept()[0].close()  # the connection still waits in the backlog of the shared socket
             assert not second.sockets and not echo.writers
 
     run(work)
@@ -165,7 +166,7 @@
 def test_a_connection_that_epoll_refuses_at_first_is_read_once_epoll_accepts_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """epoll_ctl(2) may fail by ENOMEM and ENOSPC for an accepted one: it stayed open and was never read."""
+    """After ENOMEM or ENOSPC from epoll_ctl(2), an accepted connection stayed open and was never read."""
 
     async def work(echo: Echo, server: Listener) -> None:
         address = server.sockets[0].getsockname()
@@ -187,7 +188,7 @@
 
 
 def test_a_registration_that_fails_after_a_pause_is_retried(monkeypatch: pytest.MonkeyPatch) -> None:
-    """epoll_ctl(2) may fail by ENOMEM and ENOSPC: then nothing would be accepted for ever."""
+    """After ENOMEM or ENOSPC from epoll_ctl(2), the listener would never accept again."""
 
     async def work(echo: Echo, server: Listener) -> None:
         loop = asyncio.get_running_loop()
@@ -207,7 +208,7 @@
 
 
 def test_a_pause_that_epoll_prolongs_calls_relieve(monkeypatch: pytest.MonkeyPatch) -> None:
-    """ENOSPC lasts until a watch is given back, and nothing would be accepted for as long."""
+    """ENOSPC lasts until a registration is removed, and nothing would be accepted until then."""
 
     async def work(echo: Echo, server: Listener) -> None:
         loop = asyncio.get_running_loop()
@@ -244,7 +245,7 @@
 
 
 def test_two_starts_within_one_shortage_leave_one_listener() -> None:
-    """A handover that goes to and fro starts the front a second time while the first start still waits."""
+    """A handover that goes back and forth starts the server again while its first start still waits."""
 
     async def work(stand: Stand) -> None:
         await stand.open()
@@ -257,7 +258,7 @@
             caller.connect(shared.getsockname())
             await asyncio.sleep(5 * listener.RETRY_S)
             shared.setblocking(False)
-            shared.accept()[0].close()  # nobody has taken it
+            shared.accept()[0].close()  # no listener has accepted it
 
     run_node(work)
 
@@ -278,7 +279,7 @@
 def test_the_handover_socket_accepts_after_a_shortage_and_leaves_no_file_behind(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A successor waits for its first word for a second, as long as asyncio's server stood still."""
+    """A successor waits one second for its first message, as long as asyncio's server accepted nothing."""
 
     async def work(echo: Echo, _: Listener) -> None:
         channel = Channel(tmp_path, "node")
@@ -303,7 +304,7 @@
 
 
 def test_small_answers_are_not_held_back() -> None:
-    """Without TCP_NODELAY the system keeps small writes, and a close over unread bytes loses them."""
+    """Without TCP_NODELAY the kernel delays small writes, and a close with unread input loses them."""
 
     async def work(echo: Echo, server: Listener) -> None:
         _, held = await asyncio.open_connection(*server.sockets[0].getsockname())
--- a/tests/net/test_registrations.py
+++ b/tests/net/test_registrations.py
@@ -1,4 +1,4 @@
-"""Epoll_ctl(2) refusing a descriptor (ENOMEM, ENOSPC) that is to be watched: no request is lost by that."""
+"""epoll_ctl(2) refuses to register a connection (ENOMEM, ENOSPC): no request is lost by that."""
 
 import asyncio
 import errno
@@ -22,9 +22,9 @@
 from beechrock.net.listener import RELIEVE_AFTER
 from beechrock.net.scgi_codec import request_bytes
 
-AT_ONCE = 400  # requests of 264 bytes: over twice what a stream holds, and more than one read brings
+AT_ONCE = 400  # requests of 264 bytes: more than twice the stream's limit, and more than one read returns
 PAD = 154 * "x"
-PATIENCE_S = 1.0  # a refusal of tens of milliseconds must cost a caller no more
+PATIENCE_S = 1.0  # maximum delay of a caller by a refusal that lasts for tens of milliseconds
 READ, WRITE = selectors.EVENT_READ, selectors.EVENT_WRITE
 
 
@@ -34,7 +34,7 @@
 
 
 async def answered_soon(caller: Caller) -> None:
-    """Wait until each whole request has its one answer, and no more came, on a connection without a reset."""
+    """Wait until each complete request has exactly one answer, on a connection without a reset."""
     try:
         async with asyncio.timeout(PATIENCE_S):
             while not (caller.answers() >= caller.owed or caller.ended):
@@ -57,7 +57,7 @@
 def test_requests_behind_a_resumed_read_are_answered_although_epoll_refuses_it_at_first(
     number: int, times: int
 ) -> None:
-    """Callers lost all requests of the chunk just taken and of the rest: asyncio raised out of the read."""
+    """Callers lost all requests of the chunk just read and all later ones: asyncio raised from the read."""
 
     async def work(stand: Stand) -> None:
         front, [caller] = await node(stand)
@@ -66,7 +66,7 @@
         assert len(many) == AT_ONCE * 264
         with refused("register", number, times=times, of=accepted_by(front), events=READ) as register:
             caller.send(many)
-            stand.now += 10.0  # each is refused, as it is due
+            stand.now += 10.0  # all requests are refused, as their deadline has passed
             await until(lambda: register.failed > 0, lambda: "it was never resumed")
             await answered_soon(caller)
             await until(lambda: register.failed == times, lambda: f"{register.failed} of {times}")
@@ -77,11 +77,11 @@
     run(work)
 
 
-# A connection that epoll refuses as it is set up.
+# epoll refuses a connection as it is set up.
 
 
 async def refused_caller(stand: Stand, register: Faults) -> Caller:
-    """A caller whose connection the node has taken, and epoll has refused."""
+    """Return a caller whose connection the node has accepted and epoll has refused."""
     front = stand.program.frames
     assert front is not None
     caller = connect(front)
@@ -90,7 +90,7 @@
 
 
 def test_a_request_on_a_connection_that_epoll_refused_is_answered_though_its_listener_is_closed() -> None:
-    """Callers lost the request: it was never read, though the connection stayed open for 2 s."""
+    """Callers lost the request: it was never read, although the connection stayed open for 2 s."""
 
     async def work(stand: Stand) -> None:
         front, _ = await node(stand, 0)
@@ -110,7 +110,7 @@
 def test_a_request_on_a_connection_that_epoll_refuses_is_answered_as_the_node_ends(
     times: int | None, turns_before: int
 ) -> None:
-    """However long epoll refuses it: the last look at a connection needs no watch."""
+    """This holds however long epoll refuses: the last read of a connection needs no registration."""
 
     async def work(stand: Stand) -> None:
         front, _ = await node(stand, 0)
@@ -131,7 +131,7 @@
 def test_a_connection_that_epoll_refused_is_not_evicted_while_a_request_waits_on_it(
     ends: str, times: int | None
 ) -> None:
-    """Else its caller lost a request that was written and never read."""
+    """Otherwise its caller lost a request that was written and never read."""
 
     async def work(stand: Stand) -> None:
         front, _ = await node(stand, 0)
@@ -139,7 +139,7 @@
         with first_watch(front, times) as register:
             caller = await refused_caller(stand, register)
             caller.send(CHECK_1)
-            stand.now += 1.0  # silent for long, as the table sees it
+            stand.now += 1.0  # long enough for the table to count it as silent
             front.max_connections = 1
             await turns(5)
             front._relieve() if ends == "relieve" else front._evict_if_full()
@@ -153,7 +153,7 @@
 def test_a_caller_that_ended_a_connection_that_epoll_refused_is_answered_and_holds_no_descriptor(
     how: str,
 ) -> None:
-    """The end was never read either: the descriptor was held until the sweep of silent ones."""
+    """The end of stream was never read either: the descriptor stayed open until a sweep for silence."""
 
     async def work(stand: Stand) -> None:
         front, _ = await node(stand, 0)
@@ -176,7 +176,7 @@
 
 @pytest.mark.parametrize("idle", [True, False])
 def test_a_connection_that_epoll_refuses_for_long_causes_the_eviction_of_an_idle_one(idle: bool) -> None:
-    """ENOSPC lasts until a watch is given back; one that is owed an answer keeps its own."""
+    """ENOSPC lasts until a registration is removed; a connection with a pending answer keeps its own."""
 
     async def work(stand: Stand) -> None:
         front, [earlier] = await node(stand)
@@ -201,7 +201,7 @@
 
 
 def test_a_request_at_scgi_is_answered_though_epoll_refuses_its_connection_at_first() -> None:
-    """Callers were told 408 after the stall's time: a whole request was taken for one that never came."""
+    """Callers got status 408 after the time limit: a complete request was treated as one that never came."""
 
     async def work(stand: Stand) -> None:
         await open_both(stand)
@@ -221,7 +221,7 @@
 
 
 def test_a_call_at_the_second_address_is_answered_though_epoll_refuses_its_connection_at_first() -> None:
-    """A probe of the health check had no answer, and a platform takes that for a node that is down."""
+    """A health probe at the admin address got no answer, which a platform interprets as a dead node."""
 
     async def work(stand: Stand) -> None:
         await stand.open(admin=True)
@@ -244,13 +244,14 @@
 # Writing.
 
 
-# Over twice what a stream holds, so that its reading is paused; and under that, so that its end is read.
+# Numbers of checks: more than twice the stream's limit, so that reading is paused, and fewer, so that the
+# end of the stream is read.
 CHECKS = {"paused": 6000, "ended": 2000}
 CHECKS_READ_AT_ONCE = 1000
 
 
 def send_little(front: ConnectionServer[Any]) -> None:
-    """Let the kernel hold few bytes of what connections, accepted from now on, send."""
+    """Give connections accepted from now on a small send buffer in the kernel."""
     assert front.server is not None
     front.server.sockets[0].setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
 
@@ -260,7 +261,7 @@
 def test_answers_to_a_slow_reader_are_complete_although_epoll_refuses_to_watch_for_writability(
     times: int, reading: str
 ) -> None:
-    """Callers lost the rest of a write that the kernel took a part of: a stream that ends amid an answer."""
+    """Callers lost the rest of a write accepted in part: the stream ended within an answer."""
 
     async def work(stand: Stand) -> None:
         front, _ = await node(stand, 0)
@@ -280,16 +281,16 @@
                     await asyncio.sleep(0.001)
             await answered_soon(caller)
             whole = sum(HEAD.size + len(payload) for _, _, payload in caller.frames())
-            assert whole == len(caller.got), "a part of an answer"
+            assert whole == len(caller.got), "an answer is incomplete"
 
     run(work)
 
 
-@pytest.mark.parametrize("turns_before", [0, 20])  # as it is set up, and long after that
+@pytest.mark.parametrize("turns_before", [0, 20])  # during the set-up, and long after it
 def test_answers_beyond_the_send_buffer_as_the_node_ends_are_sent_although_epoll_refuses(
     turns_before: int,
 ) -> None:
-    """The last answers to a slow reader were cut off amid one of them."""
+    """The last answers to a slow reader were cut off in the middle of one of them."""
 
     async def work(stand: Stand) -> None:
         front, _ = await node(stand, 0)
@@ -303,7 +304,7 @@
             caller.send(b"".join(frame(CHECK, stream, b"\0") for stream in range(1, CHECKS_READ_AT_ONCE)))
             now = asyncio.get_running_loop().time()
             await front.depart(now, now, now + 20.0)
-            register.left.clear()  # the kernel has memory again
+            register.left.clear()  # registrations succeed again
             await caller.closed()
 
     run(work)
@@ -311,7 +312,7 @@
 
 @pytest.mark.parametrize("half", [False, True])
 def test_last_answers_are_sent_though_epoll_refuses_until_their_connection_is_closed(half: bool) -> None:
-    """Callers lost what was kept apart from the transport, whose close waits for its own bytes alone."""
+    """Callers lost output kept outside the transport, whose close waits only for its own buffer."""
 
     async def work(stand: Stand) -> None:
         front, _ = await node(stand, 0)
@@ -325,7 +326,7 @@
                 caller.socket.shutdown(socket.SHUT_WR)
             now = asyncio.get_running_loop().time()
             await front.depart(now, now, now + 20.0)
-            end = now + 1.5 * LINGER_S  # the kernel's memory is short for longer than a close lingers
+            end = now + 1.5 * LINGER_S  # the shortage lasts for longer than a close lingers
             while asyncio.get_running_loop().time() < end:
                 await asyncio.sleep(0.01)
                 caller.read()
--- a/tests/net/test_registrations_fleet.py
+++ b/tests/net/test_registrations_fleet.py
@@ -1,4 +1,4 @@
-"""Epoll_ctl(2) refusing to watch what nodes of a fleet tell each other: no node is deaf after that."""
+"""epoll_ctl(2) refuses sockets between the nodes of a fleet: no node stops receiving after that."""
 
 import asyncio
 import errno
@@ -17,12 +17,12 @@
 from beechrock.talk.settings import FleetSettings
 
 KEY = key_from(b"a secret of sixteen bytes and more")
-HEARD_S = 5.0  # a new connection is made within 2 s, where the one before is known to be of no use
+HEARD_S = 5.0  # time limit for a message; a connection known to be broken is replaced within 2 s
 READ = selectors.EVENT_READ
 
 
 class Talker:
-    """A transport of its own, and what it received."""
+    """A transport, and the messages that it received."""
 
     def __init__(self, name: str) -> None:
         settings = FleetSettings(("127.0.0.1", 0), {}, KEY, Path("/nowhere"))
@@ -36,7 +36,7 @@
 
 
 async def heard(receiver: Talker, sender: Talker) -> None:
-    """Wait until one of the messages sent every 100 ms from now on has come."""
+    """Send a message every 100 ms until the receiver has received one."""
     async with asyncio.timeout(HEARD_S):
         while not receiver.received:
             sender.transport.send("b", "c", b"x")
@@ -44,7 +44,7 @@
 
 
 def test_a_node_receives_messages_although_epoll_refuses_the_link_at_first() -> None:
-    """It heard nothing: the sender saw its link up, and the kernel took message after message."""
+    """The receiver got nothing, while the sender's link was up and the kernel accepted each message."""
 
     async def work() -> None:
         loop_errors()
@@ -67,7 +67,7 @@
 
 
 def test_a_node_receives_messages_although_epoll_refuses_its_listener_after_a_shortage() -> None:
-    """It never accepted again: asyncio's server is registered anew by a timer whose error nobody sees."""
+    """It never accepted again: asyncio's server is registered again by a timer whose error is not handled."""
 
     async def work() -> None:
         loop_errors()
@@ -97,7 +97,7 @@
 
 
 def test_a_member_receives_datagrams_although_epoll_refuses_its_socket_at_first() -> None:
-    """It heard none until its process ended, and was dead to the others while it lived."""
+    """It received none until its process ended, and the others considered it dead."""
 
     async def work() -> None:
         loop_errors()
@@ -109,7 +109,7 @@
             return MembersActor(settings, name, 1, Counters(), 1)
 
         deaf = member("b")
-        # All of its tries: it makes another socket where the port is taken for the exchanges.
+        # All its tries fail: it opens another socket if the port is in use for the exchanges.
         with refused("register", errno.ENOMEM, times=None, of=of_datagrams, events=READ) as register:
             await deaf.listen()
             assert register.failed
--- a/tests/net/test_registrations_links.py
+++ b/tests/net/test_registrations_links.py
@@ -1,4 +1,4 @@
-"""Epoll_ctl(2) refusing to watch a link to others, or to the node's other process: no request is lost."""
+"""epoll_ctl(2) refuses links to peers, or to the node's other process: no request is lost."""
 
 import asyncio
 import errno
@@ -26,18 +26,18 @@
 from beechrock.net.connection import CHUNK
 
 AGENT = 'g = accept agent\ng < "subscribe 0\\r\\n"\ng > "greeting LOADED 60000\\r\\n"\nup agent\n'
-PATIENCE_S = 1.0  # a refusal of tens of milliseconds must cost a caller no more
+PATIENCE_S = 1.0  # maximum delay of a caller by a refusal that lasts for tens of milliseconds
 READ, WRITE = selectors.EVENT_READ, selectors.EVENT_WRITE
 
 
 def link_to(stand: Stand, name: str, times: int) -> AbstractContextManager[Faults]:
-    """Let the first registrations for reading of links to a stand-in fail."""
+    """Let the first ``times`` registrations for reading of links to a stand-in fail."""
     of = to_port(stand.address(name)[1])
     return refused("register", errno.ENOMEM, times=times, of=of, events=READ)
 
 
 def test_a_link_to_the_agent_that_epoll_refuses_at_first_is_up_before_its_time_limit() -> None:
-    """No run could be started until the greeting's limit ended the link, and the next one was made."""
+    """No run could start until the greeting's time limit ended the link and the next one was made."""
 
     async def work(stand: Stand) -> None:
         await stand.open()
@@ -58,7 +58,7 @@
 
 
 def test_a_call_on_a_link_to_the_ledger_that_epoll_refuses_has_its_reply() -> None:
-    """The reply was never read: the call ran out at its limit, though the ledger had done it."""
+    """The reply was never read: the call timed out, although the ledger had executed it."""
 
     async def work(stand: Stand) -> None:
         _, [caller] = await node(stand)
@@ -81,7 +81,7 @@
 
 
 def test_a_run_at_a_server_whose_connection_epoll_refuses_has_its_reply() -> None:
-    """The reply was never read: a caller was failed at its deadline, though its request had run."""
+    """The reply was never read: the request failed at its deadline, although it had run."""
 
     async def work(stand: Stand) -> None:
         await open_both(stand)
@@ -98,11 +98,11 @@
     run(work)
 
 
-# The other process of this node.
+# Channels to the other process of this node.
 
 
 def over_the_channel(side: str, name: str) -> Callable[[socket.socket], bool]:
-    """Sockets of a channel to the process that listens by this name: its own, or the other process's."""
+    """Match the sockets of a channel whose listening process has this name, on its own or the other side."""
 
     def chosen(sock: socket.socket) -> bool:
         if sock.family is not socket.AF_UNIX or sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
@@ -119,7 +119,7 @@
 def test_a_successor_learns_the_claims_though_epoll_refuses_the_channel_at_first(
     side: str, folder: Path
 ) -> None:
-    """After 1 s it took its predecessor for one that it cannot understand, and turned all keys away."""
+    """After 1 s it concluded that its predecessor is incompatible, and rejected all keys."""
 
     async def work(pair: Pair) -> None:
         old = await pair.start()
@@ -140,7 +140,7 @@
 
 
 class Owner:
-    """Keeps what comes over a channel."""
+    """Owner of a channel that keeps the received keys."""
 
     def __init__(self) -> None:
         self.counters, self.origin_s = Counters(), 0.0
@@ -152,7 +152,7 @@
 
 
 async def channel() -> tuple[Owner, ChannelPeer, "asyncio.Task[None]", socket.socket]:
-    """One end of a channel that is served, and the bare socket at its other end."""
+    """Return one end of a channel that is being served, and the plain socket at its other end."""
     near, far = socket.socketpair()
     owner = Owner()
     peer = ChannelPeer(owner, is_successor=False)
@@ -168,7 +168,7 @@
 
 
 def test_claims_behind_a_resumed_read_are_received_although_epoll_refuses_it_at_first() -> None:
-    """A chunk was lost and the rest parsed as if it came next: claims gone, and one that nobody made."""
+    """A chunk was lost and the rest was parsed without it: claims were missing, and one was invented."""
 
     async def work() -> None:
         owner, _, serving, far = await channel()
@@ -186,11 +186,11 @@
 
 
 def test_messages_to_a_slow_process_are_complete_although_epoll_refuses_to_watch_for_writability() -> None:
-    """A message was cut off in its middle, its sender met an error, and the next one followed the cut."""
+    """A message was cut off in the middle, its sender got an error, and the next one followed the cut."""
 
     async def work() -> None:
         loop_errors()
-        with refused("register", errno.ENOMEM, times=2) as register:  # to read, and to wait for room
+        with refused("register", errno.ENOMEM, times=2) as register:  # for reading, and for writing
             _, peer, serving, far = await channel()
             await turns(5)
             for claim in CLAIMS:
--- a/tests/net/test_registry.py
+++ b/tests/net/test_registry.py
@@ -1,4 +1,4 @@
-"""Reports to the registry, whatever its datagrams meet: the actor goes on as long as the process lives."""
+"""Reports to the registry despite errors of its datagrams: the actor continues after each."""
 
 import asyncio
 import errno
@@ -108,7 +108,7 @@
         began = loop.time()
         with faults(call, number, times=3, of=datagrams):
             play.begin(address)
-            # Reported while no socket is there, it neither gets lost nor wakes the actor without end.
+            # A state posted while there is no socket neither gets lost nor wakes the actor repeatedly.
             play.actor.mailbox.put("draining")
             await play.heard("BEAT n1 draining")
         assert play.counters["sent.beats_impossible"] == 3 and loop.time() - began > 2 * registry.BEAT_S
@@ -117,7 +117,7 @@
 
 
 def test_an_old_state_is_not_kept_back_to_be_sent_after_a_newer_one(monkeypatch: pytest.MonkeyPatch) -> None:
-    """asyncio keeps what the system does not take, without a bound, and sends it when the system does."""
+    """asyncio buffers datagrams that the kernel does not accept, without a bound, and sends them later."""
 
     async def work(play: Play) -> None:
         play.begin(await play.listen())
@@ -134,7 +134,7 @@
 
 
 def test_reports_resume_when_a_registry_is_back_after_a_long_outage(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Its machine refuses by ICMP, which the next send reports in place of being sent."""
+    """The registry's machine answers with ICMP errors, which the next send raises instead of sending."""
 
     async def work(play: Play) -> None:
         with closing(socket.socket(socket.AF_INET, socket.SOCK_DGRAM)) as free:
@@ -154,7 +154,7 @@
     async def work(play: Play) -> None:
         play.begin(await play.listen())
         await play.heard("BEAT n1 ready")
-        monkeypatch.setattr(registry, "BEAT_S", 60.0)  # so that only what is told at once is heard
+        monkeypatch.setattr(registry, "BEAT_S", 60.0)  # only reports that are sent at once arrive
         await play.heard("BEAT n1 ready")
         with faults("send", errno.ECONNREFUSED, of=datagrams):
             play.actor.mailbox.put("draining")
@@ -164,7 +164,7 @@
 
 
 def test_a_socket_that_ends_by_itself_is_replaced(monkeypatch: pytest.MonkeyPatch) -> None:
-    """asyncio closes it on what is no OSError, and takes every later report without a word."""
+    """asyncio closes the socket after an exception other than OSError, and silently drops later reports."""
 
     async def work(play: Play) -> None:
         made: list[Endpoint] = []
--- a/tests/net/test_syscalls_connect.py
+++ b/tests/net/test_syscalls_connect.py
@@ -1,4 +1,4 @@
-"""Connect(2) and socket(2) in every way they may fail: an attempt ends in a word, and leaves nothing open."""
+"""Failures of connect(2) and socket(2) of every kind: an attempt ends at once, and leaves nothing open."""
 
 import asyncio
 import errno
@@ -53,7 +53,7 @@
 
 @contextmanager
 def failing(call: str, number: int, port: int, times: int = 1) -> Iterator[None]:
-    """Let connections to this port fail, ``times`` over."""
+    """Let the next ``times`` connections to this port fail."""
 
     def chosen(sock: socket.socket) -> bool:
         if call == "setsockopt":
@@ -61,14 +61,14 @@
         return sock.fileno() < 0 or sock.type == socket.SOCK_STREAM
 
     with ExitStack() as stack:
-        if call == "getsockopt":  # asked only where the connection is still under way
+        if call == "getsockopt":  # called only while the connection is in progress
             stack.enter_context(faults("connect", errno.EINPROGRESS, times=times, of=chosen))
         stack.enter_context(faults(call, number, times=times, of=chosen))
         yield
 
 
 async def pass_over(stand: Stand, name: str, call: str, count: int) -> None:
-    """Where the connection stood at the other end already, and the node had to give it up."""
+    """Close connections that were established at the stand-in, but that the node had to give up."""
     for _ in range(count if call in ("getsockopt", "setsockopt") else 0):
         (await stand.links[name].get()).writer.close()
 
@@ -99,7 +99,7 @@
         with failing(call, number, stand.address("ledger")[1]):
             await stand.play('g > "request 1 0000000000000001 1\\r\\nc\\r\\n"\ncounter calls.unreachable 1\n')
         await pass_over(stand, "ledger", call, 1)
-        if call == "setsockopt":  # asyncio's half-made transport is a cycle, and holds the socket
+        if call == "setsockopt":  # asyncio's incomplete transport is a reference cycle that holds the socket
             gc.collect()
         await until(lambda: descriptors() == before, lambda: f"{descriptors()} of {before}")
         await stand.play(
@@ -113,7 +113,7 @@
 
 
 def test_an_exception_other_than_oserror_ends_the_attempt_as_well(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A name that no resolver takes raises UnicodeError: the life waited for its time limit."""
+    """An invalid host name raises UnicodeError: the link's state machine waited for its time limit."""
 
     async def work(stand: Stand) -> None:
         real, left = connecting.open_connection, [UnicodeError("label too long")]
@@ -139,7 +139,7 @@
 def test_a_run_that_is_stopped_as_its_connection_is_made_is_not_sent(
     turns: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """``asyncio.wait_for`` of Python 3.11 swallowed the cancel, and the stopped run went out."""
+    """``asyncio.wait_for`` of Python 3.11 lost the cancellation, and the stopped run was sent."""
 
     async def whole() -> None:
         made: asyncio.Future[None] = asyncio.get_running_loop().create_future()
--- a/tests/net/test_syscalls_streams.py
+++ b/tests/net/test_syscalls_streams.py
@@ -1,4 +1,4 @@
-"""Recv(2), send(2) and shutdown(2) failing in every way, and short: no request is lost by what passes."""
+"""Failures of recv(2), send(2) and shutdown(2), and short calls: transient ones lose no request."""
 
 import errno
 import socket
@@ -62,7 +62,7 @@
 @pytest.mark.parametrize("call", ["recv", "send"])
 @pytest.mark.parametrize("kind", [*PASSING, Short(1)], ids=str)
 def test_transient_errors_and_short_calls_end_no_connection(call: str, kind: int | Short) -> None:
-    """Seen with faults put in: ENOBUFS and ENOMEM ended a connection with all that was open on it."""
+    """With injected faults, ENOBUFS and ENOMEM ended a connection with all requests open on it."""
 
     async def work(stand: Stand) -> None:
         await open_frames(stand)
@@ -171,7 +171,7 @@
 
 
 async def steps(stand: Stand, text: str) -> None:
-    """Without the check that there was no trouble."""
+    """Play the steps without the check that no ``trouble.`` counter is set."""
     for line in text.splitlines():
         await stand.step(line.split(), line)
 
@@ -180,7 +180,7 @@
 def test_an_internal_error_answers_open_requests_and_closes_the_connection(
     method: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The reading task ended alone: what came later on that connection was never read, nor was it closed."""
+    """Only the reading task ended: later input on that connection was never read, and it stayed open."""
 
     async def work(stand: Stand) -> None:
         await open_frames(stand)
@@ -190,7 +190,7 @@
             await steps(stand, ask("a", 3) if method == "_handle_frame" else ended(2, 1))
             where = "receive" if method == "_handle_frame" else "send"
             await until(lambda: stand.program.counters[f"trouble.frames.{where}"] > 0, lambda: "not counted")
-            if method == "_handle_frame":  # its word on stream 0 is written before the real one is back
+            if method == "_handle_frame":  # the error on stream 0 is sent before the patch ends
                 await steps(stand, 'a < {02 00000000 0d 00 "internal error"}\n')
         await steps(stand, ended(1, 2) + answered("a", 1))
         if method == "_handle_frame":
--- a/tests/net/test_time_slice.py
+++ b/tests/net/test_time_slice.py
@@ -1,4 +1,4 @@
-"""The last connections are ended early in a time slice, as a process may have to wait wherever one ends."""
+"""The last connections are ended early in a time slice, as the process may be paused wherever one ends."""
 
 import asyncio
 import time
@@ -32,7 +32,7 @@
 
 @pytest.mark.parametrize("by_turns", [True, False])
 def test_no_connection_is_ended_late_in_a_time_slice(monkeypatch: pytest.MonkeyPatch, by_turns: bool) -> None:
-    """Requests were seen that came in a wait of up to 36 ms between the look for them and the end."""
+    """Requests arrived in pauses of up to 36 ms between the check for input and the end of a connection."""
     renewed_at, used = [float("-inf")], list[float]()
 
     def renew(current: TimeSlice) -> None:
@@ -40,7 +40,7 @@
 
     def ends(self: FrameConnection) -> None:
         used.append(time.thread_time() - renewed_at[0])
-        use_processor(SAFE_S / 2)  # as the answers of a few others take
+        use_processor(SAFE_S / 2)  # about the time of the answers on a few other connections
 
     async def work(stand: Stand) -> None:
         front, callers = await node(stand, 20)
