--- a/tests/callers.py
+++ b/tests/callers.py
@@ -1,4 +1,4 @@
-"""Callers over raw sockets: they see when a close reaches them, and count answers against whole requests."""
+"""Callers on raw sockets, which see a close as it arrives, and compare answers with complete requests."""
 
 import asyncio
 import socket
@@ -11,7 +11,7 @@
 
 
 def request(stream: int, born_ms: int = 1_700_000_000_000, trace: int = 0, **more: str) -> bytes:
-    """A whole request of the class that may be repeated."""
+    """Encode a complete request of the idempotent class."""
     return frame(
         REQUEST,
         stream,
@@ -31,10 +31,10 @@
 
 
 class Caller:
-    """One connection, whose every step is a system call of its own: nothing happens between two of them."""
+    """One connection without an event loop: each step makes its system calls at once."""
 
     def __init__(self, address: tuple[str, int], window: int = 0) -> None:
-        """``window``: bytes that the kernel holds for a reader that is slow; 0 for as many as it likes."""
+        """Connect; ``window`` is the size of the kernel's receive buffer in bytes, 0 for its default."""
         self.socket = socket.socket()
         if window:
             self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, window)
@@ -46,7 +46,7 @@
         self.ended_at = 0.0
 
     def send(self, data: bytes) -> None:
-        """Write; each whole message is owed an answer, unless the end was seen here before."""
+        """Write; each complete message is owed an answer, unless the node's end of stream was read before."""
         self.read()
         seen, at = self.ended, 0
         try:
@@ -60,7 +60,7 @@
             at += 4 + length
 
     def read(self) -> None:
-        """Take what has come, without waiting."""
+        """Read the available input without waiting."""
         try:
             while not self.ended:
                 data = self.socket.recv(65_536)
@@ -73,7 +73,7 @@
             self.ended, self.reset, self.ended_at = True, True, time.monotonic()
 
     def frames(self) -> list[tuple[int, int, bytes]]:
-        """Type, stream and payload of each whole frame that came."""
+        """Return the type, stream and payload of each complete frame received."""
         found, at = [], 0
         while at + HEAD.size <= len(self.got):
             length, kind, stream = HEAD.unpack(self.got[at : at + HEAD.size])
@@ -86,12 +86,12 @@
         return Counter((kind, stream) for kind, stream, _ in self.frames() if stream and kind != NO_MORE)
 
     async def answered(self) -> None:
-        """Wait until each whole request has its one answer."""
+        """Wait until each complete request has exactly one answer."""
         await until(lambda: self.answers() >= self.owed or self.ended, lambda: f"{self.frames()}")
         assert self.answers() == self.owed, f"answers {self.answers()}, owed {self.owed}"
 
     async def closed(self) -> None:
-        """Wait for the end; each whole request has its one answer by then, and no reset came."""
+        """Wait for the end of the stream; each complete request has one answer by then, and no reset came."""
 
         def over() -> bool:
             self.read()
@@ -103,6 +103,6 @@
 
 
 async def turns(count: int) -> None:
-    """Let the loop go round."""
+    """Let the event loop make ``count`` turns."""
     for _ in range(count):
         await asyncio.sleep(0)
--- a/tests/connections/test_table.py
+++ b/tests/connections/test_table.py
@@ -1,4 +1,4 @@
-"""Who keeps a connection: the pure part over random histories, and the front that carries it out."""
+"""Eviction policy of the connection table: over random histories, and as the server applies it."""
 
 from dataclasses import dataclass, field
 from itertools import count
@@ -15,7 +15,7 @@
 
 MOST = 5
 IDLE_S, CALLERS_IDLE_S = 1.0, 30.0
-# A check before the link to the agent is up: the answer is no.
+# A health check before the link to the agent is up, which gets a negative result.
 CHECKED = (
     "%(name)s = connect frames\n%(name)s > {04 0000000%(stream)s 00}\n"
     "%(name)s < {05 0000000%(stream)s 01 00}\n"
@@ -52,7 +52,7 @@
 
 @dataclass
 class History:
-    """A front as it carries out what the table says; the invariants at the table's top after each step."""
+    """Model of a server that follows the table's decisions, and checks the invariants after each step."""
 
     now: float = 100.0
     connections: list[One] = field(default_factory=list)
@@ -63,18 +63,18 @@
             assert spare.rejected and not (spare.open or spare.unread or spare.part)
             self.connections.remove(spare)
         if not most:
-            return  # it stays in the backlog
+            return  # the connection waits in the backlog
         room, least = table.place_connection(self.connections, MOST, self.now)
         if least is not None:
             self.check_replaced(least)
             self.connections.remove(least)
         new = One(self.now, self.now, rejected=room is Placement.REJECT)
         if new.rejected:
-            assert all(c.open or c.unread for c in self.connections if not c.rejected), "one was to spare"
+            assert all(c.open or c.unread for c in self.connections if not c.rejected), "one could be evicted"
         self.connections.append(new)
 
     def check_replaced(self, least: One) -> None:
-        """The invariants of the connection that ends for a new one."""
+        """Check the invariants of a connection that is evicted for a new one."""
         assert not (least.open or least.unread)
         better = [
             c
@@ -88,7 +88,7 @@
             and not least.closing
             and not least.rejected
             and kept <= table.PROTECTED_SHARE * MOST
-        ), "one that returns went before one used once"
+        ), "a returning connection was evicted before one used once"
         if least.back_at and self.now <= least.back_at and not least.rejected:
             assert all(
                 table.state_of(c, self.now) >= State.EXPECTED for c in self.connections if not c.rejected
@@ -96,7 +96,7 @@
         if least.part and not least.closing:
             assert all(
                 table.state_of(c, self.now) >= State.BEGUN for c in self.connections if not c.rejected
-            ), "one was ended amid a message"
+            ), "a connection was ended in the middle of a message"
 
     def ask(self, c: One) -> None:
         if not c.closing:
@@ -129,7 +129,7 @@
                 c.closing = True
 
     def act(self, kind: str, connection: One, seconds: float) -> None:
-        """One step of a connection that stands."""
+        """Make one step of an open connection."""
         match kind:
             case "ask":
                 self.ask(connection)
@@ -177,7 +177,7 @@
 
 
 def test_a_rush_of_one_time_callers_evicts_no_returning_connection() -> None:
-    """Clients that ask once and stay would fill the table, if age alone counted."""
+    """If only age counted, clients that send one request and stay connected would fill the table."""
     now = count(100)
     front_ends = [one(9, 50.0 + n) for n in range(3)]
     connections = [*front_ends]
@@ -248,7 +248,7 @@
 
 
 def test_a_full_table_never_evicts_a_connection_with_unread_input() -> None:
-    """On a loop that lags they may lie there for longer than a caller sends again what crossed a close."""
+    """On a lagging loop, input may stay unread for longer than callers resend what crossed a close."""
 
     async def work(stand: Stand) -> None:
         await stand.open()
@@ -256,7 +256,7 @@
         assert frames is not None
         await stand.play("".join(CHECKED % {"name": name, "stream": 1} for name in "ab"))
         frames.max_connections = 2
-        for name in "ab":  # in one turn of the loop: written, and not read
+        for name in "ab":  # all in one turn of the loop, so that the checks are written and not read
             stand.wires[name].writer.write(bytes.fromhex("00000006040000000300"))
         assert not frames._evict_if_full() and len(frames.peers) == 2
         await stand.play("a < {05 00000003 01 00}\nb < {05 00000003 01 00}\n")
@@ -266,7 +266,7 @@
 
 
 def test_a_refused_caller_finds_its_connection_open_when_it_retries() -> None:
-    """Idle ones are closed early against a full table; its next try would have cost a new connection."""
+    """Idle connections are closed early to keep the table free; the retry would need a new connection."""
 
     async def work(stand: Stand) -> None:
         await stand.open()
--- a/tests/syscall_faults.py
+++ b/tests/syscall_faults.py
@@ -1,12 +1,12 @@
-"""The one place where tests let system calls of chosen sockets fail, or read and write short.
+"""Fault injection for tests: system calls of chosen sockets fail, or read and write only a part.
 
-    with faults("accept", EMFILE, EMFILE) as accept:        # the next two accepts fail so, then all is well
-    with faults("send", Short(3), of=to(port)):             # one send to that port takes three bytes only
+    with faults("accept", EMFILE, EMFILE) as accept:        # the next two accepts fail, later ones succeed
+    with faults("send", Short(3), of=to(port)):             # one send to that port sends only three bytes
     with faults("connect", ENOBUFS, times=None):            # every connect fails, until the block ends
-    with refused("register", ENOMEM, of=to_port(port)):     # the next epoll_ctl(2) for it fails
+    with refused("register", ENOMEM, of=to_port(port)):     # the next epoll_ctl(2) for such a socket fails
 
-Patched are the methods of ``socket.socket``, through which the event loop makes its calls, and those of the
-running loop's selector.
+The methods of ``socket.socket``, through which the event loop makes its calls, and those of the running
+loop's selector are patched.
 """
 
 import asyncio
@@ -22,10 +22,10 @@
 
 
 def descriptors() -> int:
-    """Return how many descriptors this process has open, without those that only garbage holds.
+    """Return the number of open descriptors of this process, after garbage has been collected.
 
-    Seen in one run of the suite: a socket that an earlier test had left in a reference cycle was collected
-    between two counts, and a listener's own descriptor seemed not to be there.
+    In one run of the suite, a socket that an earlier test had left in a reference cycle was collected between
+    two counts, so that the descriptor of a listener seemed to be missing.
     """
     gc.collect()
     return len(os.listdir("/proc/self/fd"))
@@ -33,19 +33,19 @@
 
 @dataclass(frozen=True)
 class Short:
-    """Instead of an error: at most so many bytes are read or written."""
+    """A fault that is no error: at most ``count`` bytes are read or written."""
 
     count: int
 
 
 @dataclass
 class Faults:
-    """What is still to fail, and how many calls did."""
+    """Faults still to be injected, and the number of calls that failed."""
 
     left: list[int | Short]
-    forever: bool
+    forever: bool  # the first fault is injected again and again
     failed: int = 0
-    sockets: list[socket.socket] = field(default_factory=list)  # on which calls failed
+    sockets: list[socket.socket] = field(default_factory=list)  # sockets on which calls failed
 
     def next(self, sock: socket.socket) -> int | Short | None:
         if not self.left:
@@ -60,12 +60,12 @@
 
 
 def on_port(port: int) -> Callable[[socket.socket], bool]:
-    """Sockets bound to this port: the listening one, and those that it accepted."""
+    """Match the sockets bound to this port: the listening one, and those accepted from it."""
     return lambda sock: sock.getsockname()[1:2] == (port,)
 
 
 def accepted_on(port: int) -> Callable[[socket.socket], bool]:
-    """Sockets accepted at this port, without the listening one."""
+    """Match the sockets accepted at this port, without the listening one."""
 
     def chosen(sock: socket.socket) -> bool:
         return on_port(port)(sock) and not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
@@ -74,7 +74,7 @@
 
 
 def to_port(port: int) -> Callable[[socket.socket], bool]:
-    """Sockets connected to this port."""
+    """Match the sockets connected to this port."""
 
     def chosen(sock: socket.socket) -> bool:
         try:
@@ -92,12 +92,12 @@
     times: int | None = 1,
     of: Callable[[socket.socket], bool] = lambda _: True,
 ) -> Iterator[Faults]:
-    """Let ``call`` of the sockets ``of`` fail, by each of ``kinds``, ``times`` over.
+    """Let ``call`` fail on the sockets that ``of`` matches, with each of ``kinds`` in turn, ``times`` over.
 
-    ``times`` None: by the first of them, until the block ends.
+    If ``times`` is None, it fails with the first of them until the block ends.
 
-    As in the kernel, a connection whose accept fails by ECONNABORTED is gone from the queue, and one whose
-    connect fails by EINPROGRESS is made (on loopback it is made before the call returns).
+    As in the kernel, a connection whose accept fails with ECONNABORTED is removed from the backlog, and one
+    whose connect fails with EINPROGRESS is made (on loopback before the call returns).
     """
     told = Faults(list(kinds) * (times or 1), times is None)
     own = socket.socket.__dict__.get(call)
@@ -137,10 +137,10 @@
     of: Callable[[socket.socket], bool] = lambda _: True,
     events: int = selectors.EVENT_READ | selectors.EVENT_WRITE,
 ) -> Iterator[Faults]:
-    """Let the loop's selector fail to ``register`` or ``modify`` sockets ``of`` for any of ``events``.
+    """Let the loop's selector fail to ``register`` or ``modify`` matching sockets for any of ``events``.
 
-    ``numbers`` and ``times`` as for ``faults``. As in ``selectors``, what cannot be modified is in its map no
-    more, while the kernel goes on watching it.
+    ``numbers``, ``times`` and ``of`` are as for ``faults``. As in ``selectors``, a socket that cannot be
+    modified is removed from the selector's map, while the kernel still watches it.
     """
     told = Faults(list(numbers) * (times or 1), times is None)
     selector: Any = asyncio.get_running_loop()._selector  # type: ignore[attr-defined]
@@ -171,7 +171,10 @@
 
 
 def loop_errors() -> list[BaseException]:
-    """Errors that end up at the running loop's handler from now on, where nothing of the node sees them."""
+    """Return a list that collects errors passed to the running loop's exception handler from now on.
+
+    Such errors do not reach any code of the node.
+    """
     seen: list[BaseException] = []
     asyncio.get_running_loop().set_exception_handler(lambda _, context: seen.append(context["exception"]))
     return seen
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -1,4 +1,4 @@
-"""Callers that leave, and tries beyond a connection's limit, over loopback."""
+"""Callers that disconnect, and requests beyond the limit of a connection, over loopback."""
 
 from play import Stand, run, until
 
@@ -32,7 +32,7 @@
     async def work(stand: Stand) -> None:
         await stand.open()
         await stand.play(UP + "a = connect frames\nb = connect frames\n")
-        for n in (1, 2, 3):  # all that the cores take at once
+        for n in (1, 2, 3):  # as many runs as the cores allow at once
             await stand.play(ask("b", n, n, n) + launched(n))
         await stand.play(ask("a", 1, 4, 4) + "counter intake.requests 4\na reset\ncounter intake.gone 1\n")
         assert stand.program.counters["sent.launches"] == 3
@@ -54,7 +54,7 @@
     async def work(stand: Stand) -> None:
         await stand.open()
         await stand.play(UP + "a = connect frames\n" + ask("a", 1, 1, 1) + launched(1))
-        for stream in range(2, MAX_OPEN + 1):  # repeats wait for the first
+        for stream in range(2, MAX_OPEN + 1):  # repeats wait for the first request
             await stand.play(ask("a", stream, stream, 1))
         await until(lambda: len(stand.program.module.table.by_id) == MAX_OPEN, lambda: "not all were read")
         answers = "".join(answered("a", stream) for stream in range(1, MAX_OPEN + 1))
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -1,4 +1,4 @@
-"""The network code against recorded byte exchanges."""
+"""Network code compared with recorded byte exchanges."""
 
 import gc
 import weakref
@@ -20,7 +20,7 @@
 
 
 async def open_both(stand: Stand) -> None:
-    """A node with both fronts, and an SCGI server behind one of its services."""
+    """Start a node with both servers, and a stand-in SCGI server for one of its services."""
     contract = {"share": 0.3, "rate": 50, "aim_ms": 1800, "due_ms": 3600}
     keyed = {**contract, "effect": "keyed", "window_ms": 10_000}
     host, port = await stand.listen("server")
@@ -95,7 +95,7 @@
             stand.program.module.status.stored = False
             await stand.play(ask % stream + '\ng ... "\\r\\n"')
             [tag] = agent.checks.reports
-            # Without a word from the agent, time ends the check, and so does a break of the link.
+            # Without a result from the agent, a time limit ends the check, and so does a break of the link.
             word = f'g > "exercised {tag} {end}\\r\\n"' if end.isupper() else end
             await stand.play(word + "\n" + thorough % (stream, code))
 
--- a/tests/test_faults_inside.py
+++ b/tests/test_faults_inside.py
@@ -1,4 +1,4 @@
-"""Faults of our own, put in: each costs what it is about, and nothing beside it."""
+"""Injected internal errors: each affects only the timer or request that it concerns."""
 
 import pytest
 from callers import request
@@ -11,7 +11,7 @@
 
 
 def test_a_timer_that_raises_does_not_stop_other_timers() -> None:
-    """Those of its tick, and those of later ticks that are due as well, fire in the next one."""
+    """Other timers of the same tick, and of later ticks that are due as well, fire in the next tick."""
     wheel, fired = TimerWheel(0.004, 50.0), list[int]()
 
     def fails() -> None:
@@ -36,7 +36,7 @@
 def test_a_request_that_fails_on_receipt_is_answered_and_does_not_affect_others(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """All three are read in one batch."""
+    """All three requests are read in one batch."""
 
     async def work(stand: Stand) -> None:
         _, [first] = await node(stand)
@@ -53,7 +53,7 @@
         first.send(request(2) + request(3) + request(4))
         await until(lambda: bool(first.answers()[ANSWER, 3]), lambda: f"{first.frames()}")
         assert module.table.last_id == 2 and len(batches) == 1
-        stand.now += 10.0  # nobody runs the others: they are refused once they are due
+        stand.now += 10.0  # no agent runs the others, so they are refused at their deadline
         await first.answered()
         codes = {stream: payload[0] for kind, stream, payload in first.frames() if kind == ANSWER}
         assert codes == {2: REFUSED, 3: FAILED, 4: REFUSED}
--- a/tests/test_front_histories.py
+++ b/tests/test_front_histories.py
@@ -1,4 +1,4 @@
-"""Random histories of callers at a small table, to the end of the node: each whole request has one answer."""
+"""Random histories of callers at a small table until the node shuts down: one answer per complete request."""
 
 import asyncio
 import random
@@ -12,22 +12,22 @@
 from beechrock.net.frame_codec import ANSWER, CANCEL, CHECK, CHECKED, frame
 from beechrock.net.frame_server import FrameServer
 
-MOST = 4  # places; callers are up to thrice as many
+MOST = 4  # size of the table; there are up to three times as many callers
 STEPS = 60
 KINDS = ["connect", "whole", "whole", "begin", "go on", "back", "sweep", "turns", "clock", "end"]
 
 
 class Drawn:
-    """A caller that writes whole messages and pieces; ``half`` is what it still has to write of one."""
+    """A caller that writes complete messages or parts; ``half`` is the unwritten rest of the current one."""
 
     def __init__(self, front: FrameServer) -> None:
         self.caller, self.half, self.stream, self.over = connect(front), b"", 0, False
         self.kind = ANSWER
-        # Without it the caller's own kernel holds a piece back until the one before is acknowledged.
+        # Without TCP_NODELAY, the caller's kernel delays a part until the previous one is acknowledged.
         self.caller.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     def begin(self, draw: random.Random, trace: int) -> None:
-        """The next message, of which nothing is written yet."""
+        """Begin the next message, without writing any of it."""
         self.stream += 1
         self.kind = draw.choice([ANSWER, ANSWER, CHECKED])
         self.half = frame(CHECK, self.stream, b"\0")
@@ -35,7 +35,7 @@
             self.half = request(self.stream, trace=trace)
 
     def write(self, size: int) -> None:
-        """Write so many bytes; with the last one an answer is owed, unless the node's end came before."""
+        """Write ``size`` bytes; the last byte makes an answer due, unless the node has ended the stream."""
         self.caller.read()
         part, self.half = self.half[:size], self.half[size:]
         if self.caller.ended:
@@ -46,7 +46,7 @@
             self.caller.owed[self.kind, self.stream] += 1
 
     def take_back(self, draw: random.Random) -> None:
-        """One that may have its answer already; where it had none it gets one of a kind."""
+        """Cancel a request; if it is not answered yet, the cancellation gets a failure as answer."""
         if not self.half and not self.over and self.stream:
             self.caller.read()
             if not self.caller.ended:
@@ -54,7 +54,7 @@
 
 
 async def act(stand: Stand, draw: random.Random, kind: str) -> None:
-    """One step that concerns the node alone."""
+    """Make one step of the node alone."""
     if kind == "sweep":
         assert stand.program.frames is not None
         stand.program.frames._sweep()
@@ -66,7 +66,7 @@
 
 
 def act_as_caller(caller: Drawn, draw: random.Random, kind: str, trace: int) -> bool:
-    """One step of a caller whose connection stands; whether it began a request with this trace."""
+    """Make one step of a connected caller. Returns whether it began a request with this trace."""
     begins = kind in ("whole", "begin") and not caller.half
     if begins:
         caller.begin(draw, trace)
@@ -78,7 +78,7 @@
         caller.take_back(draw)
     elif kind == "end" and not caller.half and draw.random() < 0.3:
         caller.over = True
-        caller.caller.socket.shutdown(1)  # half a close: what is open is answered
+        caller.caller.socket.shutdown(1)  # half-close: open requests are still answered
     return begins
 
 
@@ -96,7 +96,7 @@
             traces += act_as_caller(caller, draw, kind, traces + 1)
     leave(stand, draw.choice([0.0, 0.05]))
     ending = asyncio.ensure_future(stand.program._end_connections())
-    for one in drawn:  # the rest of what was begun comes amid the closes
+    for one in drawn:  # the rests of partly written messages arrive during the closes
         if one.half:
             one.write(1000)
         await turns(draw.randint(0, 3))
