--- a/tests/play.py
+++ b/tests/play.py
@@ -1,24 +1,24 @@
-"""Plays byte exchanges from text files against a whole node on loopback, under a driven clock.
+"""Plays byte exchanges from text files against a complete node on loopback, with a simulated clock.
 
-A line is one step; ``#`` starts a comment. Bytes are written as hex and "text", and ``{...}`` puts the length
-of what it holds, in four bytes, before it.
+Each line is one step; ``#`` starts a comment. Bytes are written as hex and "text"; ``{...}`` is its content
+preceded by the content's length in four bytes.
 
     NAME = connect frames|scgi|admin    a caller's connection
     NAME = accept agent|ledger|server   the node's next connection to a stand-in
-    NAME > BYTES    send        NAME < BYTES    wait for exactly these
-    NAME ... BYTES  wait for anything that ends in these
-    NAME end        send no more (half a close)     NAME break      close at once
-    NAME closed     wait until the node has closed          NAME reset      the same with a reset
-    clock SECONDS   move the clock      counter NAME VALUE      wait until a counter has this value
-    beat TEXT       wait for this report     leave      the notice to leave     down STAND-IN   refuse links
-    move STAND-IN   from now on at a new address, which ``reload`` tells; ``reload KEY``: that key is bad
-    move STAND-IN deaf      there the kernel takes connections, and nobody reads them
-    move STAND-IN full      there connections are neither taken nor refused
-    NAME ask SERVICE TEAM BODY [KEY]    send a whole SCGI request
-    NAME answered STATUS BODY           wait for the end, and for this answer
-    inventory NAME  go by this generation from now on
-    up STAND-IN     wait until the node's link to it stands: greeted, and with all that was missed
-    NAME mute       from now on its questions for gauges stay without an answer
+    NAME > BYTES    send bytes      NAME < BYTES    wait for exactly these bytes
+    NAME ... BYTES  wait for any input that ends in these bytes
+    NAME end        end the stream (half-close)     NAME break      abort the connection
+    NAME closed     wait until the node has closed it       NAME reset      abort the connection by a reset
+    clock SECONDS   advance the clock       counter NAME VALUE      wait until a counter has this value
+    beat TEXT       wait for this report     leave      shutdown notice     down STAND-IN   refuse links
+    move STAND-IN   move to a new address, which ``reload`` announces; ``reload KEY``: with KEY invalid
+    move STAND-IN deaf      move to an address where the kernel accepts connections, but nobody reads them
+    move STAND-IN full      move to an address where connections are neither accepted nor refused
+    NAME ask SERVICE TEAM BODY [KEY]    send a complete SCGI request
+    NAME answered STATUS BODY           wait for the end of the stream, and check the answer
+    inventory NAME  apply this inventory generation
+    up STAND-IN     wait until the node's link to it is up: greeted, and with all missed notices read
+    NAME mute       stop answering the node's sample requests on this connection
 """
 
 import ast
@@ -46,7 +46,7 @@
 from beechrock.settings import settings_from
 
 START = 1_700_000_000.0
-HANG_S = 20.0  # only a node that does nothing at all takes this long
+HANG_S = 20.0  # time limit of each wait, which only a node that hangs exceeds
 GAUGES = ("cpu_busy", "runnable", "mem_used", "sockets")
 SETTINGS: dict[str, Any] = {
     "extra": {
@@ -78,7 +78,7 @@
 
 
 def inventory_of(node: dict[str, Any], groups: dict[str, dict[str, Any]], number: int = 1) -> Generation:
-    """The generation that files with these groups give."""
+    """Build the generation of an inventory with these groups."""
     problems = Problems()
     raw, place = Raw(problems), Place("here", 1)
     raw.group("all", place).vars.update({key: Told(value, place) for key, value in node.items()})
@@ -93,7 +93,7 @@
 
 
 def bytes_of(text: str) -> bytes:
-    """The notation of the exchange files."""
+    """Parse the notation for bytes in the exchange files."""
     stack = [b""]
     for part in re.findall(r'"(?:[^"\\]|\\.)*"|[{}]|[0-9a-f]+|\S', text):
         if part == "{":
@@ -108,7 +108,7 @@
 
 
 class Wire:
-    """One connection of a stand-in; keeps what came in."""
+    """One connection of a caller or a stand-in, with the input received so far."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, samples: bool) -> None:
         self.writer, self.samples, self.mute = writer, samples, False
@@ -119,7 +119,7 @@
         try:
             while data := await reader.read(65_536):
                 self.got += data
-                if self.samples:  # questions for gauges follow the clock; they are answered here, unseen
+                if self.samples:  # sample requests depend on the clock, so they are answered here and removed
                     self.got = re.sub(rb"sample (\w+)\r\n", self._sampled, self.got)
         except OSError:
             pass
@@ -141,10 +141,10 @@
 
 
 class Stand:
-    """A node and all that it talks to."""
+    """A node and stand-ins for all its peers."""
 
     def __init__(self) -> None:
-        # Steady time, what the wall clock is ahead of it, and it of the monotonic clock that processes share.
+        # The node's clock, the wall clock's lead over it, and its lead over the shared monotonic clock.
         self.now, self.step_s, self.origin_s = START, 0.0, START
         self.wires: dict[str, Wire] = {}
         self.links: dict[str, asyncio.Queue[Wire]] = {}
@@ -153,7 +153,7 @@
         self.bad_key = ""
         self.generations: dict[str, Generation] = {}
         self.running: Generation | None = None
-        self.holes: dict[str, socket.socket] = {}  # stand-ins that listen and do no more
+        self.holes: dict[str, socket.socket] = {}  # listening sockets that accept nothing
         self.fillers: list[socket.socket] = []
 
     async def open(
@@ -163,7 +163,7 @@
         admin: bool = False,
         **shared: Any,
     ) -> None:
-        """``shared``: what the configuration says of a listening socket that is inherited."""
+        """Start the node; ``shared`` holds configuration fields, as for an inherited listening socket."""
         for name in ("agent", "ledger"):
             await self.listen(name)
         await self.listen_for_beats()
@@ -198,14 +198,14 @@
         await self.program.start()
 
     def take_up(self, name: str) -> None:
-        """What the inventory's keeper does with a reading that is taken."""
+        """Apply a generation, as the inventory's keeper does with one that it accepts."""
         assert self.running is not None
         new = self.generations[name]
         assert not plan(self.running, new).refused and self.program.adopt_generation(new)
         self.running = new
 
     def again(self, before: Config) -> Config:
-        """The file as a reload reads it."""
+        """Return the configuration that a reload reads."""
         if self.bad_key:
             raise ConfigError(f"config.json: {self.bad_key}: bad")
         return replace(
@@ -231,7 +231,7 @@
         return self.address(name)
 
     def hole(self, name: str, full: bool) -> None:
-        """Listen without ever taking a connection; ``full``: without room for one either."""
+        """Listen without ever accepting a connection; with ``full``, the backlog is full as well."""
         self.servers[name].close()
         hole = self.holes[name] = socket.create_server(("127.0.0.1", 0), backlog=0 if full else 16)
         self.fillers.append(hole)
@@ -270,21 +270,21 @@
                 raise AssertionError(f"line {number}: {line.strip()}\n{error}") from None
         left = {name: wire.got for name, wire in self.wires.items() if wire.got}
         assert not left, f"bytes that no line waits for: {left}"
-        # A task that failed is in the counters under this name.
+        # The failure of a task is counted under this prefix.
         assert not [c for c in self.program.counters.lines() if c.startswith("trouble.")]
 
     async def step(self, words: list[str], line: str) -> None:
         match words:
             case ["clock", seconds]:
                 self.now += float(seconds)
-                # Seen beside full load: the next step came before the actor had worked this one off, and it
-                # took both for one pause of its own. An actor that has ended works off nothing.
+                # Under full load, the next step came before the actor had handled this one, and it took both
+                # for one pause of its own. The wait is bounded, as an actor that has ended handles nothing.
                 wheel = self.program.module.timers
                 for _ in range(500):
                     if wheel.worked_off(self.now):
                         break
                     await asyncio.sleep(0.004)
-                # Two rounds of the actor: what the first said is carried out in the second.
+                # Wait for two rounds of the actor: the second carries out the decisions of the first.
                 await asyncio.sleep(0.02)
             case ["counter", name, value]:
                 counters = self.program.counters
@@ -305,10 +305,10 @@
             case ["leave"]:
                 self.program.leave()
                 module = self.program.module
-                await until(lambda: module.leaving_until is not None, lambda: "the notice was not read")
+                await until(lambda: module.leaving_until is not None, lambda: "the notice was not handled")
             case ["up", name]:
-                # Seen beside full load: a check that came between the greeting and the first sample was told
-                # that no run can be started, which is true then.
+                # Under full load, a health check between the greeting and the first sample got a negative
+                # result, which is correct, as no run can start at that time.
                 link = getattr(self.program, name).link_actor.life
                 await until(lambda: link.state in (LinkState.UP, LinkState.PROBING), lambda: f"{link.state}")
             case ["down", name]:
