--- a/beechrock/connections/table.py
+++ b/beechrock/connections/table.py
@@ -114,7 +114,7 @@
     best, choice = (State.NEEDED, 0.0), None
     for c in connections:
         if best[0] <= State.ONCE and c.uses and c.last_message_at >= best[1] and not c.closing:
-            continue  # its cost is at least ``ONCE`` and it is younger, as most connections in a full table
+            continue  # costs at least ``ONCE`` and is younger, like most connections in a full table
         state = idle_state(c, now)
         if state is State.RETURNING and crowded:
             state = State.ONCE
--- a/beechrock/net/agent_runs.py
+++ b/beechrock/net/agent_runs.py
@@ -20,7 +20,7 @@
 
     def end(self, trace: str, outcome: Outcome, elapsed_s: float = 0.0, result: bytes = b"") -> None:
         """Report the end of a run, and settle its commands."""
-        # Settled at once: if it waited until the module handles the event, a new link could launch it again.
+        # Settle them now: a new link could launch the run again before the module handles the event.
         self.unconfirmed.settle_read(trace, run_ended=True)
         self.open.pop(trace, None)
         self.module.post(RunEnded(trace, outcome, elapsed_s, result))
--- a/beechrock/net/connection_server.py
+++ b/beechrock/net/connection_server.py
@@ -208,7 +208,7 @@
         return not unfinished
 
     def _dismiss_all(self, cut: bool) -> None:
-        """End all connections without open requests.
+        """End all connections without open or partly received requests.
 
         With ``cut``, requests that are open or still arrive are answered at once, so that the rest can end.
         """
--- a/beechrock/net/frame_connection.py
+++ b/beechrock/net/frame_connection.py
@@ -55,7 +55,7 @@
 MAX_BAD_REQUESTS = 16  # number of invalid requests after which a connection is closed gracefully
 MAX_BAD_REQUESTS_UNREAD = 256  # number of invalid requests after which it is closed with input unread
 MAX_GAPS = 512  # used stream numbers remembered individually, above the range in which all are used
-# Sweeps during which a partly received message protects its connection from eviction.
+# Weighted sweeps during which a partly received message protects its connection from eviction.
 PARTIAL_MESSAGE_SWEEPS = 1.0
 MAILBOX_SIZE = 4096  # maximum number of queued messages
 
@@ -164,7 +164,7 @@
         self._reject_bad_request(stream, f"a request of {length} bytes, over {MAX_REQUEST_BYTES}")
 
     def _receive_request(self, stream: int, payload: bytes) -> None:
-        if not self.streams.mark_used(stream):  # answer on stream 0, as this stream has its own answer
+        if not self.streams.mark_used(stream):  # the error goes to stream 0: this stream has its own answer
             self._reject_bad_request(0, f"stream {stream} was used before")
             return
         if stream in self.open:  # when the check ends, it would remove the request from ``open``
--- a/beechrock/net/ledger.py
+++ b/beechrock/net/ledger.py
@@ -15,7 +15,7 @@
 MAX_SHARED_CALLS = 64  # maximum number of calls on one connection once no more connections are allowed
 MAX_PAST_TRACES = 1000  # number of requests remembered per connection, after which it is replaced
 MAX_REPLY_BYTES = 200_000  # the same limit as for the agent's commands, which carry the replies
-IDLE_S = 7.0  # close idle connections before the ledger does, at 10 s: a call must not cross that close
+IDLE_S = 7.0  # idle timeout of a connection; the ledger closes it after 10 s, and no call must cross that
 # Time limits for a dead address, which may neither accept nor refuse a connection, and for a hanging peer,
 # which may not read the last bytes of a connection that is being closed.
 LIMITS = life.Limits(connect_s=0.4, close_s=2.0)
--- a/beechrock/net/line_connection.py
+++ b/beechrock/net/line_connection.py
@@ -14,7 +14,8 @@
 
     def __init__(self, counters: Counters, max_out_bytes: int, mailbox: int) -> None:
         super().__init__(counters, self.max_line_bytes + self.max_body_bytes + 4, max_out_bytes, mailbox)
-        self._waiting: tuple[list[str], int] | None = None  # fields of a line, and its body's length
+        # Fields of a line, and the length of its body, while the body has not arrived completely.
+        self._waiting: tuple[list[str], int] | None = None
 
     def has_body(self, fields: list[str]) -> bool:
         """Return whether a body follows the line; its length in bytes is the last field."""
--- a/beechrock/net/scgi.py
+++ b/beechrock/net/scgi.py
@@ -44,7 +44,7 @@
 
 
 def rejection_reply(found: "ContractRejection") -> Reply:
-    """Return the reply to a rejection, with headers for retries: other nodes have the same contract."""
+    """Return the reply to a rejection, with headers for a retry: not elsewhere, as all share the contract."""
     return Reply(
         503,
         f"beyond its contract ({found.reason}); this try never ran\n".encode(),
@@ -194,7 +194,7 @@
             raise ScgiError(400, "the netstring does not end in a comma")
         self.headers = headers_of(block)
         length = self.headers[LENGTH_HEADER]
-        if len(length) > 10 or int(length) > MAX_BODY_BYTES:  # the first check bounds leading zeros
+        if len(length) > 10 or int(length) > MAX_BODY_BYTES:  # leading zeros must not hide a long number
             raise ScgiError(413, f"a body of over {MAX_BODY_BYTES} bytes")
         return self.front.limits is None or self._admitted(self.front.limits, self.headers, int(length))
 
--- a/beechrock/net/scgi_work.py
+++ b/beechrock/net/scgi_work.py
@@ -222,7 +222,7 @@
             if request in self.runs:
                 self.module.table.reject_unroutable(request, rejection.after_s, rejection.reason)
         except Exception as error:
-            # If the exception ended the task, the request would stay open forever, and its key in use.
+            # If the exception ended the task, the request would stay open forever, and its key reserved.
             self.counters.record_error("scgi_work.run", error)
             outcome, media, body = Outcome.ERROR, "", b"the run failed here"
         finally:
@@ -290,7 +290,7 @@
             if streams is None:
                 continue
             if address not in candidates(self.servers, request, way):
-                # The server was excluded while we connected. It was not tried, as it may soon return.
+                # The server was excluded while we connected. It may return, so it was not tried.
                 tried.discard(address)
                 streams[1].close()
                 continue
--- a/tests/callers.py
+++ b/tests/callers.py
@@ -93,11 +93,11 @@
     async def closed(self) -> None:
         """Wait for the end of the stream; each complete request has one answer by then, and no reset came."""
 
-        def over() -> bool:
+        def stream_ended() -> bool:
             self.read()
             return self.ended
 
-        await until(over, lambda: f"still open: {self.frames()}")
+        await until(stream_ended, lambda: f"still open: {self.frames()}")
         assert not self.reset
         assert self.answers() == self.owed, f"answers {self.answers()}, owed {self.owed}"
 
--- a/tests/connections/test_table.py
+++ b/tests/connections/test_table.py
@@ -13,7 +13,7 @@
 from beechrock.connections.table import CloseReason, Placement, State
 from beechrock.net.frame_connection import FrameConnection
 
-MOST = 5
+MAX_CONNECTIONS = 5
 IDLE_S, CALLERS_IDLE_S = 1.0, 30.0
 # A health check before the link to the agent is up, which gets a negative result.
 CHECKED = (
@@ -23,7 +23,7 @@
 
 
 @dataclass(eq=False)
-class One:
+class FakeConnection:
     opened_at: float
     last_message_at: float
     uses: int = 0
@@ -46,8 +46,8 @@
         return self.part
 
 
-def one(uses: int, last_message_at: float = 0.0, **more: float) -> One:
-    return One(0.0, last_message_at, uses, **more)  # type: ignore[arg-type]
+def connection_with(uses: int, last_message_at: float = 0.0, **more: float) -> FakeConnection:
+    return FakeConnection(0.0, last_message_at, uses, **more)  # type: ignore[arg-type]
 
 
 @dataclass
@@ -55,50 +55,50 @@
     """Model of a server that follows the table's decisions, and checks the invariants after each step."""
 
     now: float = 100.0
-    connections: list[One] = field(default_factory=list)
+    connections: list[FakeConnection] = field(default_factory=list)
 
     def connect(self) -> None:
-        most, spare = table.accept_budget(self.connections, MOST, 0, 1, self.now)
-        if spare is not None:
-            assert spare.rejected and not (spare.open or spare.unread or spare.part)
-            self.connections.remove(spare)
-        if not most:
+        budget, closable = table.accept_budget(self.connections, MAX_CONNECTIONS, 0, 1, self.now)
+        if closable is not None:
+            assert closable.rejected and not (closable.open or closable.unread or closable.part)
+            self.connections.remove(closable)
+        if not budget:
             return  # the connection waits in the backlog
-        room, least = table.place_connection(self.connections, MOST, self.now)
-        if least is not None:
-            self.check_replaced(least)
-            self.connections.remove(least)
-        new = One(self.now, self.now, rejected=room is Placement.REJECT)
+        placement, evicted = table.place_connection(self.connections, MAX_CONNECTIONS, self.now)
+        if evicted is not None:
+            self.check_evicted(evicted)
+            self.connections.remove(evicted)
+        new = FakeConnection(self.now, self.now, rejected=placement is Placement.REJECT)
         if new.rejected:
             assert all(c.open or c.unread for c in self.connections if not c.rejected), "one could be evicted"
         self.connections.append(new)
 
-    def check_replaced(self, least: One) -> None:
+    def check_evicted(self, evicted: FakeConnection) -> None:
         """Check the invariants of a connection that is evicted for a new one."""
-        assert not (least.open or least.unread)
+        assert not (evicted.open or evicted.unread)
         better = [
             c
             for c in self.connections
-            if c is not least and not c.rejected and table.state_of(c, self.now) is State.ONCE
+            if c is not evicted and not c.rejected and table.state_of(c, self.now) is State.ONCE
         ]
         kept = sum(c.uses > 1 for c in self.connections)
         assert not (
             better
-            and least.uses > 1
-            and not least.closing
-            and not least.rejected
-            and kept <= table.PROTECTED_SHARE * MOST
+            and evicted.uses > 1
+            and not evicted.closing
+            and not evicted.rejected
+            and kept <= table.PROTECTED_SHARE * MAX_CONNECTIONS
         ), "a returning connection was evicted before one used once"
-        if least.back_at and self.now <= least.back_at and not least.rejected:
+        if evicted.back_at and self.now <= evicted.back_at and not evicted.rejected:
             assert all(
                 table.state_of(c, self.now) >= State.EXPECTED for c in self.connections if not c.rejected
             )
-        if least.part and not least.closing:
+        if evicted.part and not evicted.closing:
             assert all(
                 table.state_of(c, self.now) >= State.BEGUN for c in self.connections if not c.rejected
             ), "a connection was ended in the middle of a message"
 
-    def ask(self, c: One) -> None:
+    def ask(self, c: FakeConnection) -> None:
         if not c.closing:
             c.uses, c.open, c.last_message_at, c.back_at, c.unread, c.silent = (
                 c.uses + 1,
@@ -110,7 +110,7 @@
             )
             c.part = False
 
-    def refuse(self, c: One, after: float) -> None:
+    def refuse(self, c: FakeConnection, after: float) -> None:
         if c.open:
             c.open, c.back_from, c.back_at = 0, self.now, self.now + after
 
@@ -128,7 +128,7 @@
                 )
                 c.closing = True
 
-    def act(self, kind: str, connection: One, seconds: float) -> None:
+    def act(self, kind: str, connection: FakeConnection, seconds: float) -> None:
         """Make one step of an open connection."""
         match kind:
             case "ask":
@@ -146,7 +146,7 @@
 
     def check(self) -> None:
         rejected = sum(c.rejected for c in self.connections)
-        assert len(self.connections) - rejected <= MOST and rejected <= table.MAX_REJECTED
+        assert len(self.connections) - rejected <= MAX_CONNECTIONS and rejected <= table.MAX_REJECTED
 
 
 STEPS = st.lists(
@@ -179,31 +179,33 @@
 def test_a_rush_of_one_time_callers_evicts_no_returning_connection() -> None:
     """If only age counted, clients that send one request and stay connected would fill the table."""
     now = count(100)
-    front_ends = [one(9, 50.0 + n) for n in range(3)]
+    front_ends = [connection_with(9, 50.0 + n) for n in range(3)]
     connections = [*front_ends]
     for _ in range(200):
-        room, least = table.place_connection(connections, MOST, at := float(next(now)))
-        assert room is not Placement.REJECT
-        connections = [c for c in connections if c is not least] + [One(at, at, 1)]
+        placement, evicted = table.place_connection(connections, MAX_CONNECTIONS, at := float(next(now)))
+        assert placement is not Placement.REJECT
+        connections = [c for c in connections if c is not evicted] + [FakeConnection(at, at, 1)]
     assert all(c in connections for c in front_ends)
 
 
 def test_rejected_connections_are_ended_for_others_once_nothing_is_pending_on_them() -> None:
-    busy = [one(1, open=1) for _ in range(MOST)]
+    busy = [connection_with(1, open=1) for _ in range(MAX_CONNECTIONS)]
     answered, silent, new = (
-        One(at, at, uses, rejected=True) for at, uses in ((99.99, 1), (99.9, 0), (99.99, 0))
+        FakeConnection(at, at, uses, rejected=True) for at, uses in ((99.99, 1), (99.9, 0), (99.99, 0))
     )
-    owed, unread = (One(90.0, 90.0, 1, rejected=True, **more) for more in ({"open": 1}, {"unread": True}))
-    half = One(90.0, 90.0, 1, rejected=True, part=True)
-    others = [One(90.0, 90.0, 1, rejected=True, open=1) for _ in range(table.MAX_REJECTED - 3)]
+    owed, unread = (
+        FakeConnection(90.0, 90.0, 1, rejected=True, **more) for more in ({"open": 1}, {"unread": True})
+    )
+    partial = FakeConnection(90.0, 90.0, 1, rejected=True, part=True)
+    others = [FakeConnection(90.0, 90.0, 1, rejected=True, open=1) for _ in range(table.MAX_REJECTED - 3)]
 
-    def accept_budget(*rejected: One, arriving: int = 0) -> tuple[int, One | None]:
-        return table.accept_budget([*busy, *others, *rejected], MOST, arriving, 16, 100.0)
+    def accept_budget(*rejected: FakeConnection, arriving: int = 0) -> tuple[int, FakeConnection | None]:
+        return table.accept_budget([*busy, *others, *rejected], MAX_CONNECTIONS, arriving, 16, 100.0)
 
-    assert table.accept_budget(busy[1:], MOST, 0, 16, 100.0) == (16, None)
+    assert table.accept_budget(busy[1:], MAX_CONNECTIONS, 0, 16, 100.0) == (16, None)
     assert accept_budget() == (3, None) and accept_budget(owed, arriving=1) == (1, None)
     assert accept_budget(owed, unread, new) == accept_budget(owed, unread, arriving=1) == (0, None)
-    assert accept_budget(owed, half, new) == (0, None)
+    assert accept_budget(owed, partial, new) == (0, None)
     assert accept_budget(owed, unread, silent) == (1, silent)
     assert accept_budget(owed, unread, answered) == (1, answered)
     rests = [table.ends_at_sweep(c, 0, 101.1, IDLE_S, CALLERS_IDLE_S) for c in (answered, owed, unread)]
@@ -211,37 +213,37 @@
 
 
 def test_only_age_counts_if_returning_connections_take_most_of_the_table() -> None:
-    returning = [one(9, 50.0 + n) for n in range(MOST - 1)]
-    newest = one(1, 99.0)
-    assert table.victim([*returning, newest], MOST, 100.0) is newest
-    returning.append(one(2, 98.0))
-    assert table.victim(returning, MOST, 100.0) is returning[0]
-    assert table.victim([*returning, newest], MOST, 100.0) is returning[0]
+    returning = [connection_with(9, 50.0 + n) for n in range(MAX_CONNECTIONS - 1)]
+    newest = connection_with(1, 99.0)
+    assert table.victim([*returning, newest], MAX_CONNECTIONS, 100.0) is newest
+    returning.append(connection_with(2, 98.0))
+    assert table.victim(returning, MAX_CONNECTIONS, 100.0) is returning[0]
+    assert table.victim([*returning, newest], MAX_CONNECTIONS, 100.0) is returning[0]
 
 
 @pytest.mark.parametrize(
     ("c", "state"),
     [
-        (one(1, closing=True), State.CLOSING),
-        (One(90.0, 90.0), State.SILENT),
-        (One(99.96, 99.96), State.FRESH),
-        (one(1), State.ONCE),
-        (one(2), State.RETURNING),
-        (one(2, back_from=98.0, back_at=100.0), State.EXPECTED),
-        (one(2, back_from=98.0, back_at=99.4), State.RETURNING),
-        (one(2, back_from=98.0, back_at=99.6), State.EXPECTED),
-        (one(2, part=True), State.BEGUN),
-        (One(90.0, 90.0, part=True), State.BEGUN),
-        (one(2, open=1, closing=True), State.NEEDED),
+        (connection_with(1, closing=True), State.CLOSING),
+        (FakeConnection(90.0, 90.0), State.SILENT),
+        (FakeConnection(99.96, 99.96), State.FRESH),
+        (connection_with(1), State.ONCE),
+        (connection_with(2), State.RETURNING),
+        (connection_with(2, back_from=98.0, back_at=100.0), State.EXPECTED),
+        (connection_with(2, back_from=98.0, back_at=99.4), State.RETURNING),
+        (connection_with(2, back_from=98.0, back_at=99.6), State.EXPECTED),
+        (connection_with(2, part=True), State.BEGUN),
+        (FakeConnection(90.0, 90.0, part=True), State.BEGUN),
+        (connection_with(2, open=1, closing=True), State.NEEDED),
     ],
 )
-def test_the_state_of_each_kind_of_connection(c: One, state: State) -> None:
+def test_the_state_of_each_kind_of_connection(c: FakeConnection, state: State) -> None:
     assert table.state_of(c, 100.0) is state
 
 
 def test_a_connection_with_a_retry_time_is_kept_until_then_unless_callers_close_it_earlier() -> None:
-    refused = one(1, 100.0, back_from=100.2, back_at=103.2)
-    assert table.idle_until(one(1, 100.0), 1.0, 30.0) == 101.0
+    refused = connection_with(1, 100.0, back_from=100.2, back_at=103.2)
+    assert table.idle_until(connection_with(1, 100.0), 1.0, 30.0) == 101.0
     assert table.idle_until(refused, 1.0, 30.0) == pytest.approx(103.2 + 0.75 + 0.05)
     assert table.idle_until(refused, 1.0, 2.0) == 102.0
     assert table.idle_until(refused, 1.0, 0.0) == 101.0
--- a/tests/net/test_agent.py
+++ b/tests/net/test_agent.py
@@ -18,8 +18,8 @@
 
 
 def request() -> Request:
-    def answer(said: Answer) -> None:
-        raise AssertionError(said)
+    def answer(reported: Answer) -> None:
+        raise AssertionError(reported)
 
     return Request(trace=TRACE, klass=0, route="resolve", born=0.0, body=b"x", answer=answer, running=True)
 
@@ -72,8 +72,8 @@
         agent = await agent_of(stand)
         monkeypatch.setattr(agent_commands, "MAX_COMMANDS", 0)
         agent.launch(request())
-        [said] = [m for m in stand.program.module.mailbox.drain() if isinstance(m, RunEnded)]
-        assert said == RunEnded(TRACE, Outcome.REJECTED, 0.0)
+        [reported] = [m for m in stand.program.module.mailbox.drain() if isinstance(m, RunEnded)]
+        assert reported == RunEnded(TRACE, Outcome.REJECTED, 0.0)
         assert (agent.runs.open, agent.dispatches) == ({}, 0)
 
     run(work)
--- a/tests/net/test_agent_histories.py
+++ b/tests/net/test_agent_histories.py
@@ -32,7 +32,7 @@
     """Model of the agent by its protocol page; it records each start of a run and each wrong delivery."""
 
     born: float
-    over: Any  # function: whether a request has its answer, or nobody waits for it
+    is_done: Any  # function: whether a request has its answer, or nobody waits for it
     number: int = 0
     after: int = 0  # the link subscribed to the notices after this number
     runs: dict[str, Run] = field(default_factory=dict)
@@ -40,7 +40,7 @@
     notices: deque[tuple[int, list[str], bytes]] = field(default_factory=lambda: deque(maxlen=KEPT))
     to_node: deque[tuple[list[str], bytes]] = field(default_factory=deque)
     starts: dict[str, list[float]] = field(default_factory=lambda: defaultdict(list))
-    wrong: list[str] = field(default_factory=list)
+    wrong_deliveries: list[str] = field(default_factory=list)
     linked: bool = False
 
     def notice(self, kind: str, *words: str, body: bytes = b"") -> None:
@@ -74,14 +74,14 @@
             case "sample":
                 self.to_node.append((["sampled", name, "0.5"], b""))
             case "launch" if run is None:
-                if self.over(name) or name in self.ended:
+                if self.is_done(name) or name in self.ended:
                     return self.notice("outcome", name, "NOOP", "0", "0")
                 self.runs[name] = Run()
                 self.starts[name].append(now)
             case "deliver" if run is not None and run.waits:
                 run.waits = False
                 if body != b"reply to call %d" % run.calls:
-                    self.wrong.append(f"{name}: {body!r} at call {run.calls}")
+                    self.wrong_deliveries.append(f"{name}: {body!r} at call {run.calls}")
             case "freeze" | "thaw" if run is not None:
                 run.frozen = verb == "freeze"
         return None
@@ -135,10 +135,10 @@
         self.agent = Agent(actor, ("cpu_busy",), ("127.0.0.1", 1))
         self.calls = Calls()
         actor.ports.work, actor.ports.calls = self.agent, self.calls  # type: ignore[assignment]
-        self.cores = Cores(self.desk.now - 50.0, self.over)
+        self.cores = Cores(self.desk.now - 50.0, self.is_done)
         self.agent.start()
 
-    def over(self, trace: str) -> bool:
+    def is_done(self, trace: str) -> bool:
         return bool(SAID[trace]) or any(r.cancelled for r in self.made if r.trace == trace)
 
     def break_link(self) -> None:
@@ -181,7 +181,7 @@
     def work(self) -> None:
         """Let a run end, or stop at a call; the agent ends runs that nobody waits for at their calls."""
         for trace, run in list(self.cores.runs.items()):
-            if run.waits and self.over(trace):
+            if run.waits and self.is_done(trace):
                 self.cores.end(trace, "KILLED")
         going = [trace for trace, run in self.cores.runs.items() if not run.waits and not run.frozen]
         if not going:
@@ -254,15 +254,15 @@
     for _ in range(1500):
         history.step(faults=False)
     cores, actor = history.cores, history.desk.actor
-    assert cores.wrong == [] or not history.prompt
+    assert cores.wrong_deliveries == [] or not history.prompt
     started = defaultdict(list)
     for made in history.made:
-        said = [answer.verdict for answer in SAID[made.trace]]
-        assert len(said) <= 1
-        assert said or made.cancelled, made.trace
+        verdicts = [answer.verdict for answer in SAID[made.trace]]
+        assert len(verdicts) <= 1
+        assert verdicts or made.cancelled, made.trace
         if made.klass:
             started[made.nonce or made.trace] += cores.starts[made.trace]
-            assert not (cores.starts[made.trace] and said == [Verdict.REFUSED])
+            assert not (cores.starts[made.trace] and verdicts == [Verdict.REFUSED])
     for starts in started.values():
         assert all(b - a > KEYED.idempotency_window_s for a, b in itertools.pairwise(sorted(starts)))
     assert (actor.table.by_id, actor.table.by_trace, actor.node.table.requests, actor.table.open) == (
--- a/tests/net/test_ledger.py
+++ b/tests/net/test_ledger.py
@@ -17,7 +17,7 @@
     return Request(trace=trace, klass=0, route="resolve", born=0.0, body=b"", answer=answer)
 
 
-def ends(stand: Stand) -> list[Outcome]:
+def drain_outcomes(stand: Stand) -> list[Outcome]:
     """Return the outcomes of ended calls, taken from the module's mailbox before the module reads them."""
     return [m.outcome for m in stand.program.module.mailbox.drain() if isinstance(m, CallDone)]
 
@@ -44,7 +44,7 @@
         ledger.call(request(), b"x", 0.2)  # no connection is made, as nothing is awaited until the call ends
         stand.now += 0.25
         module.timers.advance(stand.now)
-        assert ends(stand) == [Outcome.UNREACHABLE]
+        assert drain_outcomes(stand) == [Outcome.UNREACHABLE]
         await stand.play("l = accept ledger\nl closed\ncounter sent.abandons 0\n")
 
     run(work)
@@ -106,13 +106,13 @@
             stand.now += seconds
             module.timers.advance(stand.now)
             assert trace in link.open
-            assert ends(stand) == []
+            assert drain_outcomes(stand) == []
             if reads:
                 link.receive_line([trace, "posted", "2"], b"ok")
-                assert ends(stand) == [Outcome.OK]
+                assert drain_outcomes(stand) == [Outcome.OK]
         stand.now += 0.03
         module.timers.advance(stand.now)
-        assert ends(stand) == [Outcome.TIMED_OUT]
+        assert drain_outcomes(stand) == [Outcome.TIMED_OUT]
 
     run(work)
 
@@ -162,7 +162,8 @@
         await until(lambda: shared not in ledger.links, lambda: f"still there: {noise[:40]!r}")
         assert [len(link.open) for link in ledger.links] == [1]
         assert stand.program.counters["intake.ledger_malformed"] == 1
-        assert ends(stand) in ([], [Outcome.CONNECTION_LOST] * 2)  # the module may have read them already
+        # The module may have read the outcomes already.
+        assert drain_outcomes(stand) in ([], [Outcome.CONNECTION_LOST] * 2)
         await until(lambda: bad.ended, lambda: "not closed")
 
     run(work)
@@ -174,7 +175,7 @@
         assert stand.program.ledger is not None
         stand.program.ledger.max_links = 0
         stand.program.ledger.call(request(), b"x", 1.0)
-        assert ends(stand) == [Outcome.REJECTED]
+        assert drain_outcomes(stand) == [Outcome.REJECTED]
 
     run(work)
 
@@ -187,10 +188,10 @@
         ledger.call(request("bb"), b"y", 1.0)
         link.receive_line(["bb", "posted", "2"], b"ok")
         ledger.abandon(request("bb"))
-        assert ends(stand) == [Outcome.OK]
+        assert drain_outcomes(stand) == [Outcome.OK]
         link.drop()
         await until(lambda: link not in ledger.links, lambda: "still there")
-        assert ends(stand) == []
+        assert drain_outcomes(stand) == []
         assert stand.program.counters["sent.abandons"] == 0
 
     run(work)
--- a/tests/net/test_listener.py
+++ b/tests/net/test_listener.py
@@ -20,8 +20,8 @@
 from beechrock.net.listener import Listener, listen
 
 # Errors that concern the process or the system, and errors that concern one connection.
-OWN = [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EINVAL, errno.EIO]
-PASSED_ON = sorted(listener.CONNECTION_ERRORS)
+PROCESS_ERRORS = [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EINVAL, errno.EIO]
+SINGLE_CONNECTION_ERRORS = sorted(listener.CONNECTION_ERRORS)
 
 
 class Echo:
@@ -78,7 +78,7 @@
         writer.close()
 
 
-@pytest.mark.parametrize("number", OWN, ids=errno.errorcode.get)
+@pytest.mark.parametrize("number", PROCESS_ERRORS, ids=errno.errorcode.get)
 def test_a_shortage_delays_a_connection_in_the_backlog_by_tens_of_milliseconds_only(number: int) -> None:
     """asyncio's server accepted nothing for a second, and requests with short deadlines were lost."""
 
@@ -95,7 +95,7 @@
     run(work)
 
 
-@pytest.mark.parametrize("number", PASSED_ON, ids=errno.errorcode.get)
+@pytest.mark.parametrize("number", SINGLE_CONNECTION_ERRORS, ids=errno.errorcode.get)
 def test_an_accept_error_of_one_connection_does_not_affect_the_next(number: int) -> None:
     """asyncio's server ended its turn on an error that it does not list, with a traceback for each."""
 
--- a/tests/net/test_registrations_fleet.py
+++ b/tests/net/test_registrations_fleet.py
@@ -17,7 +17,7 @@
 from beechrock.talk.settings import FleetSettings
 
 KEY = key_from(b"a secret of sixteen bytes and more")
-HEARD_S = 5.0  # time limit for a message; a connection known to be broken is replaced within 2 s
+RECEIVE_LIMIT_S = 5.0  # time limit for a message; a connection known to be broken is replaced within 2 s
 READ = selectors.EVENT_READ
 
 
@@ -35,9 +35,9 @@
         return int(self.transport.address.rpartition(":")[2])
 
 
-async def heard(receiver: Talker, sender: Talker) -> None:
+async def wait_for_message(receiver: Talker, sender: Talker) -> None:
     """Send a message every 100 ms until the receiver has received one."""
-    async with asyncio.timeout(HEARD_S):
+    async with asyncio.timeout(RECEIVE_LIMIT_S):
         while not receiver.received:
             sender.transport.send("b", "c", b"x")
             await asyncio.sleep(0.1)
@@ -56,7 +56,7 @@
         with refused("register", errno.ENOMEM, of=accepted_on(port), events=READ) as register:
             running = asyncio.ensure_future(sender.transport.run())
             try:
-                await heard(receiver, sender)
+                await wait_for_message(receiver, sender)
                 assert register.failed == 1
             finally:
                 running.cancel()
@@ -82,7 +82,7 @@
         ):
             running = asyncio.ensure_future(sender.transport.run())
             try:
-                await heard(receiver, sender)
+                await wait_for_message(receiver, sender)
                 assert accept.failed == 1
             finally:
                 running.cancel()
@@ -108,24 +108,24 @@
             settings = MembersSettings(("127.0.0.1", 0), "fleet", key, seeds, period_s)
             return MembersActor(settings, name, 1, Counters(), 1)
 
-        deaf = member("b")
+        refused_member = member("b")
         # All its tries fail: it opens another socket if the port is in use for the exchanges.
         with refused("register", errno.ENOMEM, times=None, of=of_datagrams, events=READ) as register:
-            await deaf.listen()
+            await refused_member.listen()
             assert register.failed
-        assert deaf.transport is not None
-        port = deaf.transport.get_extra_info("sockname")[1]
+        assert refused_member.transport is not None
+        port = refused_member.transport.get_extra_info("sockname")[1]
         other = member("a", f"127.0.0.1:{port}")
         await other.listen()
-        running = [asyncio.ensure_future(one.run()) for one in (deaf, other)]
+        running = [asyncio.ensure_future(one.run()) for one in (refused_member, other)]
         try:
-            async with asyncio.timeout(HEARD_S):
-                while "a" not in deaf.received_at_s:
+            async with asyncio.timeout(RECEIVE_LIMIT_S):
+                while "a" not in refused_member.received_at_s:
                     await asyncio.sleep(0.01)
         finally:
             for task in running:
                 task.cancel()
-            for one in (deaf, other):
+            for one in (refused_member, other):
                 assert one.transport is not None and one.server is not None
                 one.transport.close()
                 one.server.close()
--- a/tests/net/test_registry.py
+++ b/tests/net/test_registry.py
@@ -62,7 +62,7 @@
         self.actor = Registry("n1", address, self.counters, lambda: True)
         self.task = self.counters.spawn(self.actor.run(), "registry")
 
-    async def heard(self, text: str, count: int = 1) -> None:
+    async def wait_for_report(self, text: str, count: int = 1) -> None:
         self.beats.clear()
         await until(lambda: self.beats.count(text) >= count, lambda: f"{self.beats}, {self.counters.lines()}")
 
@@ -87,11 +87,11 @@
 def test_reports_continue_after_one_that_cannot_be_sent(number: int, monkeypatch: pytest.MonkeyPatch) -> None:
     async def work(play: Play) -> None:
         play.begin(await play.listen())
-        await play.heard("BEAT n1 ready")
+        await play.wait_for_report("BEAT n1 ready")
         with faults("send", number, times=4, of=datagrams) as send:
             await until(lambda: send.failed == 4, lambda: f"{send.failed} of 4")
             assert play.counters["sent.beats_failed"] >= 2
-        await play.heard("BEAT n1 ready", 2)
+        await play.wait_for_report("BEAT n1 ready", 2)
 
     run(work, monkeypatch)
 
@@ -110,7 +110,7 @@
             play.begin(address)
             # A state posted while there is no socket neither gets lost nor wakes the actor repeatedly.
             play.actor.mailbox.put("draining")
-            await play.heard("BEAT n1 draining")
+            await play.wait_for_report("BEAT n1 draining")
         assert play.counters["sent.beats_impossible"] == 3 and loop.time() - began > 2 * registry.BEAT_S
 
     run(work, monkeypatch)
@@ -121,7 +121,7 @@
 
     async def work(play: Play) -> None:
         play.begin(await play.listen())
-        await play.heard("BEAT n1 ready")
+        await play.wait_for_report("BEAT n1 ready")
         with faults("send", errno.EAGAIN, times=None, of=datagrams) as send:
             await until(lambda: send.failed > 2, lambda: f"{send.failed}")
             play.beats.clear()
@@ -143,7 +143,7 @@
         play.begin(address)
         await until(lambda: play.counters["sent.beats_failed"] > 5, lambda: "; ".join(play.counters.lines()))
         await play.listen(address[1])
-        await play.heard("BEAT n1 ready", 2)
+        await play.wait_for_report("BEAT n1 ready", 2)
 
     run(work, monkeypatch)
 
@@ -153,12 +153,12 @@
 ) -> None:
     async def work(play: Play) -> None:
         play.begin(await play.listen())
-        await play.heard("BEAT n1 ready")
+        await play.wait_for_report("BEAT n1 ready")
         monkeypatch.setattr(registry, "BEAT_S", 60.0)  # only reports that are sent at once arrive
-        await play.heard("BEAT n1 ready")
+        await play.wait_for_report("BEAT n1 ready")
         with faults("send", errno.ECONNREFUSED, of=datagrams):
             play.actor.mailbox.put("draining")
-            await play.heard("BEAT n1 draining")
+            await play.wait_for_report("BEAT n1 draining")
 
     run(work, monkeypatch)
 
@@ -173,10 +173,10 @@
             Endpoint, "connection_made", lambda self, transport: (made.append(self), real(self, transport))
         )
         play.begin(await play.listen())
-        await play.heard("BEAT n1 ready")
+        await play.wait_for_report("BEAT n1 ready")
         made[0].transport.abort()
         await until(lambda: len(made) > 1, lambda: "not made anew")
-        await play.heard("BEAT n1 ready", 2)
+        await play.wait_for_report("BEAT n1 ready", 2)
 
     run(work, monkeypatch)
 
@@ -201,7 +201,7 @@
         await making.wait()
         play.actor.move(new)
         go.set()
-        await play.heard("BEAT n1 ready")
+        await play.wait_for_report("BEAT n1 ready")
         assert not old_beats
 
     run(work, monkeypatch)
--- a/tests/net/test_syscalls_connect.py
+++ b/tests/net/test_syscalls_connect.py
@@ -67,7 +67,7 @@
         yield
 
 
-async def pass_over(stand: Stand, name: str, call: str, count: int) -> None:
+async def discard_connections(stand: Stand, name: str, call: str, count: int) -> None:
     """Close connections that were established at the stand-in, but that the node had to give up."""
     for _ in range(count if call in ("getsockopt", "setsockopt") else 0):
         (await stand.links[name].get()).writer.close()
@@ -83,7 +83,7 @@
                 "g break\ncounter agent.ended_links 1\nclock 0.03\ncounter agent.refused_links 1\n"
                 "clock 0.05\ncounter agent.refused_links 2\n"
             )
-        await pass_over(stand, "agent", call, 2)
+        await discard_connections(stand, "agent", call, 2)
         await stand.play("clock 0.1\n")
         await stand.play("g = accept agent\n" + GREET)
 
@@ -98,7 +98,7 @@
         before = descriptors()
         with failing(call, number, stand.address("ledger")[1]):
             await stand.play('g > "request 1 0000000000000001 1\\r\\nc\\r\\n"\ncounter calls.unreachable 1\n')
-        await pass_over(stand, "ledger", call, 1)
+        await discard_connections(stand, "ledger", call, 1)
         if call == "setsockopt":  # asyncio's incomplete transport is a reference cycle that holds the socket
             gc.collect()
         await until(lambda: descriptors() == before, lambda: f"{descriptors()} of {before}")
@@ -155,10 +155,10 @@
         made.set_result(None)
         for _ in range(turns):
             await asyncio.sleep(0)
-        over = task.done()
+        was_done = task.done()
         task.cancel()
         await asyncio.wait([task])
-        assert task.cancelled() or over
+        assert task.cancelled() or was_done
 
     asyncio.run(whole())
 
--- a/tests/net/test_syscalls_streams.py
+++ b/tests/net/test_syscalls_streams.py
@@ -12,7 +12,7 @@
 from beechrock.net.frame_connection import FrameConnection
 from beechrock.net.scgi import ScgiConnection
 
-PASSING = [errno.EAGAIN, errno.EINTR, errno.ENOBUFS, errno.ENOMEM]
+TRANSIENT = [errno.EAGAIN, errno.EINTR, errno.ENOBUFS, errno.ENOMEM]
 FATAL = [
     errno.ECONNRESET,
     errno.ETIMEDOUT,
@@ -60,7 +60,7 @@
 
 
 @pytest.mark.parametrize("call", ["recv", "send"])
-@pytest.mark.parametrize("kind", [*PASSING, Short(1)], ids=str)
+@pytest.mark.parametrize("kind", [*TRANSIENT, Short(1)], ids=str)
 def test_transient_errors_and_short_calls_end_no_connection(call: str, kind: int | Short) -> None:
     """With injected faults, ENOBUFS and ENOMEM ended a connection with all requests open on it."""
 
--- a/tests/play.py
+++ b/tests/play.py
@@ -153,7 +153,7 @@
         self.bad_key = ""
         self.generations: dict[str, Generation] = {}
         self.running: Generation | None = None
-        self.holes: dict[str, socket.socket] = {}  # listening sockets that accept nothing
+        self.silent_listeners: dict[str, socket.socket] = {}  # listening sockets that accept nothing
         self.fillers: list[socket.socket] = []
 
     async def open(
@@ -230,20 +230,22 @@
         self.servers[name] = await asyncio.start_server(accepted, "127.0.0.1", 0)
         return self.address(name)
 
-    def hole(self, name: str, full: bool) -> None:
+    def listen_silently(self, name: str, full: bool) -> None:
         """Listen without ever accepting a connection; with ``full``, the backlog is full as well."""
         self.servers[name].close()
-        hole = self.holes[name] = socket.create_server(("127.0.0.1", 0), backlog=0 if full else 16)
-        self.fillers.append(hole)
+        silent = self.silent_listeners[name] = socket.create_server(
+            ("127.0.0.1", 0), backlog=0 if full else 16
+        )
+        self.fillers.append(silent)
         for _ in range(4 if full else 0):
             filler = socket.socket()
             filler.setblocking(False)
-            filler.connect_ex(hole.getsockname())
+            filler.connect_ex(silent.getsockname())
             self.fillers.append(filler)
 
     def address(self, name: str) -> tuple[str, int]:
-        if name in self.holes:
-            return "127.0.0.1", self.holes[name].getsockname()[1]
+        if name in self.silent_listeners:
+            return "127.0.0.1", self.silent_listeners[name].getsockname()[1]
         host, port = self.servers[name].sockets[0].getsockname()[:2]
         return host, port
 
@@ -317,10 +319,10 @@
                 self.registry.close()
                 await self.listen_for_beats()
             case ["move", name, "deaf" | "full" as how]:
-                self.hole(name, how == "full")
+                self.listen_silently(name, how == "full")
             case ["move", name]:
                 self.servers[name].close()
-                self.holes.pop(name, None)
+                self.silent_listeners.pop(name, None)
                 await self.listen(name)
             case ["reload", *key]:
                 self.bad_key = " ".join(key)
--- a/tests/syscall_faults.py
+++ b/tests/syscall_faults.py
@@ -99,12 +99,12 @@
     As in the kernel, a connection whose accept fails with ECONNABORTED is removed from the backlog, and one
     whose connect fails with EINPROGRESS is made (on loopback before the call returns).
     """
-    told = Faults(list(kinds) * (times or 1), times is None)
+    injected = Faults(list(kinds) * (times or 1), times is None)
     own = socket.socket.__dict__.get(call)
     real = getattr(socket.socket, call)
 
     def patched(sock: socket.socket, *arguments: Any, **options: Any) -> Any:
-        kind = told.next(sock) if of(sock) else None
+        kind = injected.next(sock) if of(sock) else None
         match kind:
             case None:
                 return real(sock, *arguments, **options)
@@ -121,7 +121,7 @@
 
     setattr(socket.socket, call, patched)
     try:
-        yield told
+        yield injected
     finally:
         if own is None:
             delattr(socket.socket, call)
@@ -142,7 +142,7 @@
     ``numbers``, ``times`` and ``of`` are as for ``faults``. As in ``selectors``, a socket that cannot be
     modified is removed from the selector's map, while the kernel still watches it.
     """
-    told = Faults(list(numbers) * (times or 1), times is None)
+    injected = Faults(list(numbers) * (times or 1), times is None)
     selector: Any = asyncio.get_running_loop()._selector  # type: ignore[attr-defined]
     own = selector.__dict__.get(call)
     real = getattr(selector, call)
@@ -150,7 +150,7 @@
     def patched(descriptor: int, asked: int, data: Any = None) -> selectors.SelectorKey:
         sock = socket.socket(fileno=descriptor)
         try:
-            number = told.next(sock) if asked & events and of(sock) else None
+            number = injected.next(sock) if asked & events and of(sock) else None
         finally:
             sock.detach()
         if number is None:
@@ -162,7 +162,7 @@
 
     setattr(selector, call, patched)
     try:
-        yield told
+        yield injected
     finally:
         if own is None:
             delattr(selector, call)
--- a/tests/test_faults_inside.py
+++ b/tests/test_faults_inside.py
@@ -69,11 +69,11 @@
     async def work(stand: Stand) -> None:
         _, [caller] = await node(stand)
         module = stand.program.module
-        decide, heard = module.node.decide, list[object]()
+        decide, received = module.node.decide, list[object]()
 
         def fails(now: float, events: list[object]) -> list[object]:
-            heard.extend(events)
-            if len(heard) == len(events) > 0:
+            received.extend(events)
+            if len(received) == len(events) > 0:
                 raise RuntimeError("put in")
             return decide(now, events)  # type: ignore[arg-type,return-value]
 
--- a/tests/test_front_histories.py
+++ b/tests/test_front_histories.py
@@ -12,16 +12,16 @@
 from beechrock.net.frame_codec import ANSWER, CANCEL, CHECK, CHECKED, frame
 from beechrock.net.frame_server import FrameServer
 
-MOST = 4  # size of the table; there are up to three times as many callers
+MAX_CONNECTIONS = 4  # size of the table; there are up to three times as many callers
 STEPS = 60
 KINDS = ["connect", "whole", "whole", "begin", "go on", "back", "sweep", "turns", "clock", "end"]
 
 
-class Drawn:
-    """A caller that writes complete messages or parts; ``half`` is the unwritten rest of the current one."""
+class RandomCaller:
+    """A caller that writes complete messages or parts; ``unwritten`` is the rest of the current one."""
 
     def __init__(self, front: FrameServer) -> None:
-        self.caller, self.half, self.stream, self.over = connect(front), b"", 0, False
+        self.caller, self.unwritten, self.stream, self.done = connect(front), b"", 0, False
         self.kind = ANSWER
         # Without TCP_NODELAY, the caller's kernel delays a part until the previous one is acknowledged.
         self.caller.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -30,30 +30,30 @@
         """Begin the next message, without writing any of it."""
         self.stream += 1
         self.kind = draw.choice([ANSWER, ANSWER, CHECKED])
-        self.half = frame(CHECK, self.stream, b"\0")
+        self.unwritten = frame(CHECK, self.stream, b"\0")
         if self.kind == ANSWER:
-            self.half = request(self.stream, trace=trace)
+            self.unwritten = request(self.stream, trace=trace)
 
     def write(self, size: int) -> None:
         """Write ``size`` bytes; the last byte makes an answer due, unless the node has ended the stream."""
         self.caller.read()
-        part, self.half = self.half[:size], self.half[size:]
+        part, self.unwritten = self.unwritten[:size], self.unwritten[size:]
         if self.caller.ended:
-            self.over, self.half = True, b""
+            self.done, self.unwritten = True, b""
             return
         self.caller.socket.sendall(part)
-        if not self.half:
+        if not self.unwritten:
             self.caller.owed[self.kind, self.stream] += 1
 
-    def take_back(self, draw: random.Random) -> None:
+    def cancel_request(self, draw: random.Random) -> None:
         """Cancel a request; if it is not answered yet, the cancellation gets a failure as answer."""
-        if not self.half and not self.over and self.stream:
+        if not self.unwritten and not self.done and self.stream:
             self.caller.read()
             if not self.caller.ended:
                 self.caller.socket.sendall(frame(CANCEL, draw.randint(1, self.stream)))
 
 
-async def act(stand: Stand, draw: random.Random, kind: str) -> None:
+async def step_node(stand: Stand, draw: random.Random, kind: str) -> None:
     """Make one step of the node alone."""
     if kind == "sweep":
         assert stand.program.frames is not None
@@ -65,43 +65,43 @@
         stand.program.module.status.idle_s = draw.choice([0.0, 1.0])
 
 
-def act_as_caller(caller: Drawn, draw: random.Random, kind: str, trace: int) -> bool:
+def step_caller(caller: RandomCaller, draw: random.Random, kind: str, trace: int) -> bool:
     """Make one step of a connected caller. Returns whether it began a request with this trace."""
-    begins = kind in ("whole", "begin") and not caller.half
+    begins = kind in ("whole", "begin") and not caller.unwritten
     if begins:
         caller.begin(draw, trace)
-    if kind == "whole" or (kind == "go on" and caller.half):
+    if kind == "whole" or (kind == "go on" and caller.unwritten):
         caller.write(draw.choice([1, 20, 1000]) if kind == "go on" else 1000)
     elif kind == "begin":
         caller.write(draw.randint(1, 12))
     elif kind == "back":
-        caller.take_back(draw)
-    elif kind == "end" and not caller.half and draw.random() < 0.3:
-        caller.over = True
+        caller.cancel_request(draw)
+    elif kind == "end" and not caller.unwritten and draw.random() < 0.3:
+        caller.done = True
         caller.caller.socket.shutdown(1)  # half-close: open requests are still answered
     return begins
 
 
 async def history(stand: Stand, draw: random.Random) -> None:
     front, _ = await node(stand, 0)
-    front.max_connections, drawn, traces = MOST, list[Drawn](), 0
+    front.max_connections, callers, traces = MAX_CONNECTIONS, list[RandomCaller](), 0
     for _ in range(STEPS):
         kind = draw.choice(KINDS)
-        caller = draw.choice(drawn) if drawn else None
-        if kind == "connect" and len(drawn) < 3 * MOST:
-            drawn.append(Drawn(front))
+        caller = draw.choice(callers) if callers else None
+        if kind == "connect" and len(callers) < 3 * MAX_CONNECTIONS:
+            callers.append(RandomCaller(front))
         elif kind in ("sweep", "turns", "clock"):
-            await act(stand, draw, kind)
-        elif caller is not None and not caller.over:
-            traces += act_as_caller(caller, draw, kind, traces + 1)
+            await step_node(stand, draw, kind)
+        elif caller is not None and not caller.done:
+            traces += step_caller(caller, draw, kind, traces + 1)
     leave(stand, draw.choice([0.0, 0.05]))
     ending = asyncio.ensure_future(stand.program._end_connections())
-    for one in drawn:  # the rests of partly written messages arrive during the closes
-        if one.half:
+    for one in callers:  # the rests of partly written messages arrive during the closes
+        if one.unwritten:
             one.write(1000)
         await turns(draw.randint(0, 3))
     stand.now += 10.0
-    for one in drawn:
+    for one in callers:
         await one.caller.closed()
         one.caller.socket.close()
     await ending
