--- a/beechrock/net/agent.py
+++ b/beechrock/net/agent.py
@@ -129,7 +129,9 @@
         """Return whether all missed notices have arrived, so that commands may be sent."""
         return self.link_actor.life.state in (life.LinkState.UP, life.LinkState.PROBING)
 
-    async def converse(self, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve_link(
+        self, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         """Serve one link until it ends."""
         link = self.link = AgentLink(self)
         self.counters.add("agent.links")
--- a/beechrock/net/agent_codec.py
+++ b/beechrock/net/agent_codec.py
@@ -101,7 +101,7 @@
     match fields[0]:
         case "outcome":
             number, trace, outcome = int(fields[1]), fields[2], OUTCOMES[fields[3]]
-            elapsed_s = seconds_of(fields[4])
+            elapsed_s = seconds_from_ms(fields[4])
             if outcome is Outcome.OK and len(fields) != 6:
                 raise BadInputError("a result without its length")
             return RunNotice(number, trace, outcome, elapsed_s, body)
@@ -115,7 +115,7 @@
         case "sampled":
             return SampleNotice(fields[1], [finite(text) for text in fields[2:]])
         case "greeting":
-            return GreetingNotice(fields[1] != WARM, seconds_of(fields[2]))
+            return GreetingNotice(fields[1] != WARM, seconds_from_ms(fields[2]))
         case "exercised":
             return ExerciseNotice(fields[1], fields[2] == PASSED)
         case "refusal":
@@ -131,7 +131,7 @@
     return value
 
 
-def seconds_of(milliseconds: str) -> float:
+def seconds_from_ms(milliseconds: str) -> float:
     """Parse a duration in milliseconds and return it in seconds. Raises BadInputError or ValueError."""
     value = finite(milliseconds)
     if not 0 <= value <= MAX_AGE_MS:
--- a/beechrock/net/connection_server.py
+++ b/beechrock/net/connection_server.py
@@ -62,7 +62,7 @@
         """Cancel the open requests of a connection that has ended."""
         raise NotImplementedError
 
-    def dismiss(self, peer: P) -> bool:
+    def end_if_idle(self, peer: P) -> bool:
         """End a connection unless a request is open or input is unread. Returns whether it was ended."""
         return peer.shut()
 
@@ -124,7 +124,7 @@
         while loop.time() < exit_at and (self.server is not None or self.peers or self._has_pending()):
             if self.server is not None and self.server.close_empty():
                 self.server = None
-            self._dismiss_all(loop.time() >= cut_at)
+            self._end_idle_connections(loop.time() >= cut_at)
             # Turns without a wait only once the listener is closed: while a shortage keeps the backlog from
             # being emptied, they would take the whole core.
             await asyncio.sleep(0 if self.server is None and self._has_pending() else DEPART_STEP_S)
@@ -207,14 +207,14 @@
             unfinished += not peer.conclude(max_bytes, force=True)
         return not unfinished
 
-    def _dismiss_all(self, cut: bool) -> None:
+    def _end_idle_connections(self, cut: bool) -> None:
         """End all connections without open or partly received requests.
 
         With ``cut``, requests that are open or still arrive are answered at once, so that the rest can end.
         """
         for peer in [peer for peer in self.peers if not peer.closing and (cut or not peer.begun())]:
             self._slice.renew_if_used()
-            if not self.dismiss(peer) and cut:
+            if not self.end_if_idle(peer) and cut:
                 peer.rejected = True
                 peer.answer_all()
                 peer.end()
@@ -284,7 +284,7 @@
         aborted.
         """
         self.peers.discard(peer)
-        if peer.closing or not self.dismiss(peer):
+        if peer.closing or not self.end_if_idle(peer):
             peer.drop()
             return
         self._lingering[peer] = None
--- a/beechrock/net/frame_codec.py
+++ b/beechrock/net/frame_codec.py
@@ -105,14 +105,14 @@
     return () if value is None else ((ADVICE_FIELD, f"{value:.4f}"),)
 
 
-def patience_s_of(values: dict[str, str]) -> float | None:
+def parse_patience_s(values: dict[str, str]) -> float | None:
     """Return how long the caller waits, in seconds from the request's birth; None if the field is absent."""
     if not values.get(PATIENCE_MS_FIELD):
         return None
-    return number_of(values, PATIENCE_MS_FIELD, 0, 2**53) / 1000.0
+    return parse_number(values, PATIENCE_MS_FIELD, 0, 2**53) / 1000.0
 
 
-def number_of(values: dict[str, str], name: str, minimum: float, below: float) -> float:
+def parse_number(values: dict[str, str], name: str, minimum: float, below: float) -> float:
     """Parse a numeric field from ``minimum`` to below ``below``. Raises BadRequestError."""
     try:
         value = float(values.get(name, ""))
--- a/beechrock/net/frame_connection.py
+++ b/beechrock/net/frame_connection.py
@@ -39,8 +39,8 @@
     Reply,
     advice_fields,
     fields_of,
-    number_of,
-    patience_s_of,
+    parse_number,
+    parse_patience_s,
 )
 
 if TYPE_CHECKING:
@@ -204,12 +204,12 @@
         trace = values.get(TRACE_FIELD, "")
         if len(trace) != 16 or set(trace) - set("0123456789abcdef"):
             raise BadRequestError("trace: not 16 hex digits")
-        caller = number_of(values, CALLER_FIELD, 0, 2**32)
-        size = number_of(values, MEMORY_KB_FIELD, 0, 2000)
+        caller = parse_number(values, CALLER_FIELD, 0, 2**32)
+        size = parse_number(values, MEMORY_KB_FIELD, 0, 2000)
         if not size:
             raise BadRequestError("size: not above 0")
-        patience_s = patience_s_of(values)
-        birth = self.module.birth(klass, number_of(values, BIRTH_MS_FIELD, 0, 2**53) / 1000.0, patience_s)
+        patience_s = parse_patience_s(values)
+        birth = self.module.birth(klass, parse_number(values, BIRTH_MS_FIELD, 0, 2**53) / 1000.0, patience_s)
         return Request(
             trace=trace,
             klass=klass,
@@ -218,7 +218,7 @@
             body=body,
             answer=functools.partial(self._send_answer, stream),
             kb=size,
-            rank=number_of(values, RANK_FIELD, 0, 1),
+            rank=parse_number(values, RANK_FIELD, 0, 1),
             caller=int(caller),
             retry=values.get(RETRY_FIELD) == TRUE,
             tenant=self.front.tenant(values.get(TENANT_FIELD)),
--- a/beechrock/net/ledger.py
+++ b/beechrock/net/ledger.py
@@ -123,7 +123,9 @@
         self.link_actor = LinkActor(self, "ledger", ledger.module, LIMITS, ledger.address)
         self.outcome = Outcome.UNREACHABLE  # outcome of open calls: none were sent yet, so they never ran
 
-    async def converse(self, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve_link(
+        self, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         """Send the open calls, and read replies until the connection ends."""
         self.ledger.counters.add("ledger.links")
         self.outcome = Outcome.CONNECTION_LOST
--- a/beechrock/net/link_actor.py
+++ b/beechrock/net/link_actor.py
@@ -15,7 +15,9 @@
 class LinkOwner(Protocol):
     """Owner of a link: implements its protocol, and handles its end."""
 
-    async def converse(self, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve_link(
+        self, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         """Pass ``Opened`` to the actor, then serve the connection until it ends."""
 
     def send_control(self, action: life.Action) -> None:
@@ -109,7 +111,7 @@
             self.handle_event(life.Refused(number))
             return
         try:
-            await self.owner.converse(number, reader, writer)
+            await self.owner.serve_link(number, reader, writer)
         finally:
             self.counters.add(f"{self.where}.ended_links")
             self.handle_event(life.Ended(number))
--- a/beechrock/net/listener.py
+++ b/beechrock/net/listener.py
@@ -201,7 +201,7 @@
                 return True
             except OSError as error:
                 if error.errno not in CONNECTION_ERRORS:
-                    self._rest(error)
+                    self._handle_shortage(error)
                     return False
                 errors += 1
                 self.counters.add(f"intake.{self.where}_accept_errors")
@@ -216,7 +216,7 @@
             self._pause()
         return False
 
-    def _rest(self, error: OSError) -> None:
+    def _handle_shortage(self, error: OSError) -> None:
         """Handle an error of the process or the system: retry soon, while connections wait in the backlog."""
         self._failures += 1
         self.counters.add(f"intake.{self.where}_accept_shortages")
--- a/beechrock/net/registration.py
+++ b/beechrock/net/registration.py
@@ -29,7 +29,7 @@
     return min(MAX_RETRY_S, RETRY_S * 2.0 ** min(failures - 1, MAX_DOUBLINGS))
 
 
-def resume(transport: asyncio.ReadTransport) -> bool:
+def try_resume(transport: asyncio.ReadTransport) -> bool:
     """Resume reading. Returns False if the connection cannot be registered now; it then stays paused."""
     try:
         transport.resume_reading()
@@ -66,7 +66,7 @@
     def resume_reading(self) -> None:
         """Resume reading, now or as soon as the connection can be registered."""
         self._retry = None
-        if resume(self._transport):
+        if try_resume(self._transport):
             self._failures = 0
             return
         self._failures += 1
--- a/beechrock/net/retrying_writer.py
+++ b/beechrock/net/retrying_writer.py
@@ -9,7 +9,7 @@
 import os
 from dataclasses import dataclass
 
-from beechrock.net.registration import RETRY_S, RegistrationFailed, ignore_failure, pause_s, resume
+from beechrock.net.registration import RETRY_S, RegistrationFailed, ignore_failure, pause_s, try_resume
 
 MAX_FAILURES_AT_CLOSE = 128  # failed tries (some 20 s) after which a connection to be closed is aborted
 
@@ -89,7 +89,7 @@
         if transport.is_reading():
             super().write(data)
             return True
-        if not resume(transport):
+        if not try_resume(transport):
             return False
         super().write(data)
         transport.pause_reading()
--- a/beechrock/net/scgi.py
+++ b/beechrock/net/scgi.py
@@ -23,8 +23,8 @@
     ROUTE_HEADER,
     TEAM_HEADER,
     ScgiError,
-    generation_of,
     headers_of,
+    parse_generation,
 )
 from beechrock.net.scgi_reply import Reply as Reply
 from beechrock.net.scgi_reply import reply_to as reply_to
@@ -148,7 +148,7 @@
         """Count the connection among those of its team. Returns whether it was admitted."""
         if self.team is not None or self.front.limits is None:
             return True
-        own = self.front.held.setdefault(team, {})
+        own = self.front.connections_by_team.setdefault(team, {})
         found = self.front.limits.connect(team, own)
         if isinstance(found, ContractRejection):
             self.counters.add("answered.scgi_beyond_contract")
@@ -281,7 +281,7 @@
             retry=headers.get(RETRY_HEADER) == "1",
             nonce=nonce,
             entity=headers.get(ENTITY_HEADER) or None,
-            generation=generation_of(headers.get(GENERATION_HEADER, "")),
+            generation=parse_generation(headers.get(GENERATION_HEADER, "")),
         )
 
     def _answer(self, answer: Answer) -> None:
@@ -368,7 +368,7 @@
         self.edges: Edges | None = None
         self.limits: Limits | None = None
         # Connections by team, in the order in which they joined; empty without limits.
-        self.held: dict[str, dict[ScgiConnection, None]] = {}
+        self.connections_by_team: dict[str, dict[ScgiConnection, None]] = {}
 
     def peer(self) -> ScgiConnection:
         """Create the actor for a new connection."""
@@ -378,7 +378,7 @@
         """Reject with status 503."""
         peer.reject(ScgiError(503, "too many connections"))
 
-    def dismiss(self, peer: ScgiConnection) -> bool:
+    def end_if_idle(self, peer: ScgiConnection) -> bool:
         """End a connection; one without a request gets an answer first, as its request may be in transit."""
         if peer.request is None and not peer.answered and not peer.input_waits():
             peer.answer_all()
@@ -389,10 +389,10 @@
         """Cancel the request of a connection that has ended, if it is not answered."""
         peer.stall.cancel()
         if peer.team is not None:
-            own = self.held[peer.team]
+            own = self.connections_by_team[peer.team]
             del own[peer]
             if not own:
-                del self.held[peer.team]
+                del self.connections_by_team[peer.team]
         if peer.request is None:
             peer._report_end(None)  # the request was never complete, so it never ran
         if peer.request is not None and not peer.request.answered:
--- a/beechrock/net/scgi_codec.py
+++ b/beechrock/net/scgi_codec.py
@@ -41,7 +41,7 @@
     return found
 
 
-def generation_of(text: str) -> int:
+def parse_generation(text: str) -> int:
     """Parse the generation of the routing policy by which another node forwarded the request.
 
     Returns -1 if that node had no plan, and 0 if no node forwarded the request.
--- a/beechrock/net/scgi_work.py
+++ b/beechrock/net/scgi_work.py
@@ -44,7 +44,7 @@
 REJECT_RETRY_S = 1.0  # retry time given when the policy currently allows no server to run a request
 
 
-def team_of(request: Request, module: ModuleActor) -> str | None:
+def team_name(request: Request, module: ModuleActor) -> str | None:
     """Return the name of the team to which a request belongs, or None."""
     return module.settings.tenants[request.tenant].name if request.tenant is not None else None
 
@@ -264,7 +264,7 @@
         from beechrock.lowering.policy import Request as PolicyRequest
 
         settings = self.module.settings
-        team = team_of(request, self.module) or ""
+        team = team_name(request, self.module) or ""
         policy_request = PolicyRequest(
             team, request.route, request.entity or "", len(request.body), 2 if request.retry else 1
         )
@@ -294,7 +294,7 @@
                 tried.discard(address)
                 streams[1].close()
                 continue
-            data = request_bytes(run_headers(request, way, team_of(request, self.module)), request.body)
+            data = request_bytes(run_headers(request, way, team_name(request, self.module)), request.body)
             await self._exchange(
                 run, address, data, *streams, self.module.settings.classes[request.klass].deadline_s
             )
@@ -354,7 +354,7 @@
         from beechrock.lowering.errors import BrokenInvariantError
         from beechrock.lowering.sending import Reply, sent
 
-        headers = run_headers(request, way, team_of(request, self.module))
+        headers = run_headers(request, way, team_name(request, self.module))
         send = functools.partial(self._send_attempt, request, headers, request.body)
         try:
             found = await sent(self.router.acts, way.asked, send, self.module.clock, self.counters.spawn)
--- a/tests/net/test_connection_server.py
+++ b/tests/net/test_connection_server.py
@@ -28,12 +28,12 @@
     loaded: list[bool] = []
     server = ConnectionServer[Peer](Desk().actor, 10)
 
-    def dismiss(peer: Peer) -> bool:
+    def end_if_idle(peer: Peer) -> bool:
         loaded.append("fcntl" in sys.modules and "termios" in sys.modules)
         peer.closing = True
         return True
 
-    monkeypatch.setattr(server, "dismiss", dismiss)
+    monkeypatch.setattr(server, "end_if_idle", end_if_idle)
     server.peers.add(Peer())
     for name in ("fcntl", "termios"):
         monkeypatch.delitem(sys.modules, name, raising=False)
