--- a/beechrock/net/agent.py
+++ b/beechrock/net/agent.py
@@ -281,7 +281,7 @@
         ):
             self.counters.add("agent.restarts")
             log.warning(
-                "agent %s:%d: started anew: %d runs are lost",
+                "agent %s:%d: restarted: %d runs are lost",
                 *self.link_actor.life.address,
                 len(self.runs.open),
             )
@@ -325,7 +325,7 @@
         elif tag[:1] == "g":  # the agent has read all commands that were sent before this sample request
             sample = int(tag[1:])
             if sample > self.last_sample:
-                raise BadInputError("an answer to a question that was not asked")
+                raise BadInputError("an answer to a sample request that was never sent")
             self.runs.unconfirmed.settle_before(sample)
 
     def link_ended(self) -> None:
--- a/beechrock/net/agent_codec.py
+++ b/beechrock/net/agent_codec.py
@@ -135,7 +135,7 @@
     """Parse a duration in milliseconds and return it in seconds. Raises BadInputError or ValueError."""
     value = finite(milliseconds)
     if not 0 <= value <= MAX_AGE_MS:
-        raise BadInputError(f"{milliseconds}: no time that has passed")
+        raise BadInputError(f"{milliseconds}: not a valid duration")
     return value / 1000
 
 
--- a/beechrock/net/connection.py
+++ b/beechrock/net/connection.py
@@ -12,7 +12,7 @@
 T = TypeVar("T")
 CHUNK = 16_384  # bytes read or written at once
 MAX_QUEUED_MESSAGES = 64  # queued outgoing messages above which the connection is no longer read
-UNREAD_S = 20.0  # how long the peer may leave the last answers unread after it has sent its end of stream
+UNREAD_S = 20.0  # how long the peer may leave the last answers unread before the connection is ended
 LINGER_S = 1.0  # a closing connection reads on for this long at a time, until its last answers are delivered
 SLOW_S = 0.02  # pause after each chunk that is read and discarded, so that a fast sender takes no whole core
 
--- a/beechrock/net/line_connection.py
+++ b/beechrock/net/line_connection.py
@@ -47,6 +47,6 @@
                 return
             body = self.inbox.read(size)
             if self.inbox.read(2) != b"\r\n":
-                raise BadInputError("a body of another length than its line says")
+                raise BadInputError("a body that is longer or shorter than its line says")
             self._waiting = None
             self.receive_line(fields, body)
--- a/beechrock/net/listener.py
+++ b/beechrock/net/listener.py
@@ -221,7 +221,7 @@
         self._failures += 1
         self.counters.add(f"intake.{self.where}_accept_shortages")
         if self._failures == 1:
-            log.warning("%s: accept: %s; tried again every %g s", self.where, error.strerror, RETRY_S)
+            log.warning("%s: accept: %s; retrying every %g s", self.where, error.strerror, RETRY_S)
             if error.errno not in SHORTAGES:
                 self.counters.add(f"trouble.{self.where}_accept")
         if error.errno in SHORTAGES and self._failures > RELIEVE_AFTER:
--- a/tests/net/test_registrations.py
+++ b/tests/net/test_registrations.py
@@ -131,7 +131,7 @@
 def test_a_connection_that_epoll_refused_is_not_evicted_while_a_request_waits_on_it(
     ends: str, times: int | None
 ) -> None:
-    """Otherwise its caller lost a request that was written and never read."""
+    """Otherwise its caller would lose a request that was written and never read."""
 
     async def work(stand: Stand) -> None:
         front, _ = await node(stand, 0)
@@ -200,7 +200,7 @@
     run(work)
 
 
-def test_a_request_at_scgi_is_answered_though_epoll_refuses_its_connection_at_first() -> None:
+def test_an_scgi_request_is_answered_although_epoll_refuses_its_connection_at_first() -> None:
     """Callers got status 408 after the time limit: a complete request was treated as one that never came."""
 
     async def work(stand: Stand) -> None:
@@ -220,7 +220,7 @@
     run(work)
 
 
-def test_a_call_at_the_second_address_is_answered_though_epoll_refuses_its_connection_at_first() -> None:
+def test_a_call_at_the_admin_address_is_answered_although_epoll_refuses_it_at_first() -> None:
     """A health probe at the admin address got no answer, which a platform interprets as a dead node."""
 
     async def work(stand: Stand) -> None:
--- a/tests/net/test_registrations_fleet.py
+++ b/tests/net/test_registrations_fleet.py
@@ -67,7 +67,7 @@
 
 
 def test_a_node_receives_messages_although_epoll_refuses_its_listener_after_a_shortage() -> None:
-    """It never accepted again: asyncio's server is registered again by a timer whose error is not handled."""
+    """A node never accepted again: asyncio's server is registered by a timer whose error is not handled."""
 
     async def work() -> None:
         loop_errors()
@@ -97,7 +97,7 @@
 
 
 def test_a_member_receives_datagrams_although_epoll_refuses_its_socket_at_first() -> None:
-    """It received none until its process ended, and the others considered it dead."""
+    """The member received none until its process ended, and the others considered it dead."""
 
     async def work() -> None:
         loop_errors()
