--- a/beechrock/net/scgi_codec.py
+++ b/beechrock/net/scgi_codec.py
@@ -24,7 +24,7 @@
 
 
 def headers_of(block: bytes) -> dict[str, str]:
-    """Decode the headers of a request. Raises ScgiError, such as if CONTENT_LENGTH is not the first."""
+    """Decode the headers of a request: CONTENT_LENGTH must be first, and SCGI be 1. Raises ScgiError."""
     if not block.endswith(b"\0"):
         raise ScgiError(400, "headers do not end in a null byte")
     parts = block[:-1].decode("latin-1").split("\0")
