--- a/tests/net/test_ledger.py
+++ b/tests/net/test_ledger.py
@@ -1,4 +1,4 @@
-"""Where the end of a call crosses another event of its link, in an order that the test forces."""
+"""The end of a call crosses another event of its link, in an order that the test forces."""
 
 import pytest
 from play import Stand, run, until
@@ -17,13 +17,13 @@
     return Request(trace=trace, klass=0, route="resolve", born=0.0, body=b"", answer=answer)
 
 
-def ends(stand: Stand) -> list[Outcome]:
-    """How calls ended, taken from the module before it reads them."""
+def drain_outcomes(stand: Stand) -> list[Outcome]:
+    """Return the outcomes of ended calls, taken from the module's mailbox before the module reads them."""
     return [m.outcome for m in stand.program.module.mailbox.drain() if isinstance(m, CallDone)]
 
 
 async def free_link(stand: Stand) -> LedgerLink:
-    """A node whose ledger has one connection, on which a call has been replied to."""
+    """Start a node whose ledger has one connection, on which one call has got its reply."""
     await stand.open()
     assert stand.program.ledger is not None
     stand.program.ledger.call(request(), b"x", 1.0)
@@ -36,21 +36,21 @@
     return link
 
 
-def test_a_call_that_runs_out_while_its_link_is_made_is_never_sent_and_never_ran() -> None:
+def test_a_call_that_times_out_while_its_link_connects_is_never_sent_and_never_ran() -> None:
     async def work(stand: Stand) -> None:
         await stand.open()
         ledger, module = stand.program.ledger, stand.program.module
         assert ledger is not None
-        ledger.call(request(), b"x", 0.2)  # nothing is awaited from here on: no connection comes about
+        ledger.call(request(), b"x", 0.2)  # no connection is made, as nothing is awaited until the call ends
         stand.now += 0.25
         module.timers.advance(stand.now)
-        assert ends(stand) == [Outcome.UNREACHABLE]
+        assert drain_outcomes(stand) == [Outcome.UNREACHABLE]
         await stand.play("l = accept ledger\nl closed\ncounter sent.abandons 0\n")
 
     run(work)
 
 
-def test_a_call_given_up_while_its_link_is_made_leaves_the_link_for_others() -> None:
+def test_a_call_abandoned_while_its_link_connects_leaves_the_link_to_other_calls() -> None:
     async def work(stand: Stand) -> None:
         await stand.open()
         ledger = stand.program.ledger
@@ -64,7 +64,7 @@
     run(work)
 
 
-def test_the_time_that_a_connect_took_is_taken_off_what_the_ledger_is_told() -> None:
+def test_the_time_that_a_connect_took_is_subtracted_from_the_limit_sent_to_the_ledger() -> None:
     async def work(stand: Stand) -> None:
         await stand.open()
         assert stand.program.ledger is not None
@@ -75,13 +75,13 @@
     run(work)
 
 
-def test_a_link_whose_end_has_come_but_was_not_read_gets_no_call() -> None:
+def test_a_link_with_an_unread_end_of_stream_gets_no_call() -> None:
     async def work(stand: Stand) -> None:
         link = await free_link(stand)
-        assert link.takes("another")
+        assert link.accepts_call("another")
         assert link._reader is not None
         link._reader.feed_eof()
-        assert not link.takes("another")
+        assert not link.accepts_call("another")
 
     run(work)
 
@@ -90,13 +90,13 @@
     async def work(stand: Stand) -> None:
         link = await free_link(stand)
         stand.now += IDLE_S + 4.0
-        stand.program.module.timers.advance(stand.now)  # as the first thing in a batch
-        assert not link.takes("another")
+        stand.program.module.timers.advance(stand.now)  # timers run first in a batch
+        assert not link.accepts_call("another")
 
     run(work)
 
 
-def test_a_reply_that_came_while_the_process_stood_still_counts_and_one_that_did_not_ends_the_call() -> None:
+def test_after_a_pause_of_the_process_a_reply_that_arrived_counts_and_a_missing_one_times_out() -> None:
     async def work(stand: Stand) -> None:
         link = await free_link(stand)
         ledger, module = stand.program.ledger, stand.program.module
@@ -106,13 +106,13 @@
             stand.now += seconds
             module.timers.advance(stand.now)
             assert trace in link.open
-            assert ends(stand) == []
+            assert drain_outcomes(stand) == []
             if reads:
                 link.receive_line([trace, "posted", "2"], b"ok")
-                assert ends(stand) == [Outcome.OK]
+                assert drain_outcomes(stand) == [Outcome.OK]
         stand.now += 0.03
         module.timers.advance(stand.now)
-        assert ends(stand) == [Outcome.TIMED_OUT]
+        assert drain_outcomes(stand) == [Outcome.TIMED_OUT]
 
     run(work)
 
@@ -120,7 +120,7 @@
 def test_a_link_that_does_not_close_is_cut() -> None:
     async def work(stand: Stand) -> None:
         link = await free_link(stand)
-        link.settled = lambda: False  # type: ignore[method-assign]   # its last words never get out
+        link.settled = lambda: False  # type: ignore[method-assign]   # it never counts as settled
         link.finish()
         await stand.play("clock 1.1\nclock 2.1\ncounter ledger.cut_not_closed 1\nl closed\n")
         assert stand.program.ledger is not None
@@ -145,13 +145,13 @@
         "n" * 5000,
     ],
 )
-def test_noise_ends_its_connection_and_all_calls_on_it_once_and_no_other(noise: str) -> None:
+def test_a_corrupt_reply_ends_its_connection_and_all_calls_on_it_once_and_no_other(noise: str) -> None:
     async def work(stand: Stand) -> None:
         await stand.open()
         ledger = stand.program.ledger
         assert ledger is not None
         ledger.max_links = 2
-        for trace in (TRACE, "bb", "cc"):  # the third finds no connection of its own
+        for trace in (TRACE, "bb", "cc"):  # the third call has to share a connection
             ledger.call(request(trace), b"x", 1.0)
         [shared] = [k for k in ledger.links if len(k.open) == 2]
         await stand.play("l = accept ledger\nm = accept ledger\ncounter ledger.links 2\n")
@@ -162,24 +162,25 @@
         await until(lambda: shared not in ledger.links, lambda: f"still there: {noise[:40]!r}")
         assert [len(link.open) for link in ledger.links] == [1]
         assert stand.program.counters["intake.ledger_malformed"] == 1
-        assert ends(stand) in ([], [Outcome.CONNECTION_LOST] * 2)  # the module may have read them already
+        # The module may have read the outcomes already.
+        assert drain_outcomes(stand) in ([], [Outcome.CONNECTION_LOST] * 2)
         await until(lambda: bad.ended, lambda: "not closed")
 
     run(work)
 
 
-def test_without_a_connection_left_a_call_is_turned_away_unsent() -> None:
+def test_a_call_beyond_the_connection_limit_is_rejected_unsent() -> None:
     async def work(stand: Stand) -> None:
         await stand.open()
         assert stand.program.ledger is not None
         stand.program.ledger.max_links = 0
         stand.program.ledger.call(request(), b"x", 1.0)
-        assert ends(stand) == [Outcome.REJECTED]
+        assert drain_outcomes(stand) == [Outcome.REJECTED]
 
     run(work)
 
 
-def test_of_a_reply_and_the_calls_end_only_the_first_counts() -> None:
+def test_of_a_reply_and_an_abandonment_only_the_first_counts() -> None:
     async def work(stand: Stand) -> None:
         link = await free_link(stand)
         ledger = stand.program.ledger
@@ -187,10 +188,10 @@
         ledger.call(request("bb"), b"y", 1.0)
         link.receive_line(["bb", "posted", "2"], b"ok")
         ledger.abandon(request("bb"))
-        assert ends(stand) == [Outcome.OK]
+        assert drain_outcomes(stand) == [Outcome.OK]
         link.drop()
         await until(lambda: link not in ledger.links, lambda: "still there")
-        assert ends(stand) == []
+        assert drain_outcomes(stand) == []
         assert stand.program.counters["sent.abandons"] == 0
 
     run(work)
--- a/tests/net/test_registry.py
+++ b/tests/net/test_registry.py
@@ -1,4 +1,4 @@
-"""Reports to the registry, whatever its datagrams meet: the actor goes on as long as the process lives."""
+"""Reports to the registry despite errors of its datagrams: the actor continues after each."""
 
 import asyncio
 import errno
@@ -62,7 +62,7 @@
         self.actor = Registry("n1", address, self.counters, lambda: True)
         self.task = self.counters.spawn(self.actor.run(), "registry")
 
-    async def heard(self, text: str, count: int = 1) -> None:
+    async def wait_for_report(self, text: str, count: int = 1) -> None:
         self.beats.clear()
         await until(lambda: self.beats.count(text) >= count, lambda: f"{self.beats}, {self.counters.lines()}")
 
@@ -84,14 +84,14 @@
 
 
 @pytest.mark.parametrize("number", SEND, ids=errno.errorcode.get)
-def test_a_report_that_cannot_be_sent_costs_a_beat(number: int, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_reports_continue_after_one_that_cannot_be_sent(number: int, monkeypatch: pytest.MonkeyPatch) -> None:
     async def work(play: Play) -> None:
         play.begin(await play.listen())
-        await play.heard("BEAT n1 ready")
+        await play.wait_for_report("BEAT n1 ready")
         with faults("send", number, times=4, of=datagrams) as send:
             await until(lambda: send.failed == 4, lambda: f"{send.failed} of 4")
             assert play.counters["sent.beats_failed"] >= 2
-        await play.heard("BEAT n1 ready", 2)
+        await play.wait_for_report("BEAT n1 ready", 2)
 
     run(work, monkeypatch)
 
@@ -99,7 +99,7 @@
 @pytest.mark.parametrize(
     ("call", "number"), OPEN, ids=[f"{call}-{errno.errorcode[number]}" for call, number in OPEN]
 )
-def test_a_socket_that_cannot_be_had_is_tried_for_anew_at_each_beat(
+def test_a_socket_that_cannot_be_opened_is_retried_at_each_beat(
     call: str, number: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def work(play: Play) -> None:
@@ -108,20 +108,20 @@
         began = loop.time()
         with faults(call, number, times=3, of=datagrams):
             play.begin(address)
-            # Reported while no socket is there, it neither gets lost nor wakes the actor without end.
+            # A state posted while there is no socket neither gets lost nor wakes the actor repeatedly.
             play.actor.mailbox.put("draining")
-            await play.heard("BEAT n1 draining")
+            await play.wait_for_report("BEAT n1 draining")
         assert play.counters["sent.beats_impossible"] == 3 and loop.time() - began > 2 * registry.BEAT_S
 
     run(work, monkeypatch)
 
 
 def test_an_old_state_is_not_kept_back_to_be_sent_after_a_newer_one(monkeypatch: pytest.MonkeyPatch) -> None:
-    """asyncio keeps what the system does not take, without a bound, and sends it when the system does."""
+    """asyncio buffers datagrams that the kernel does not accept, without a bound, and sends them later."""
 
     async def work(play: Play) -> None:
         play.begin(await play.listen())
-        await play.heard("BEAT n1 ready")
+        await play.wait_for_report("BEAT n1 ready")
         with faults("send", errno.EAGAIN, times=None, of=datagrams) as send:
             await until(lambda: send.failed > 2, lambda: f"{send.failed}")
             play.beats.clear()
@@ -133,8 +133,8 @@
     run(work, monkeypatch)
 
 
-def test_a_registry_that_is_down_for_long_is_told_when_it_is_back(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Its machine refuses by ICMP, which the next send reports in place of being sent."""
+def test_reports_resume_when_a_registry_is_back_after_a_long_outage(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The registry's machine answers with ICMP errors, which the next send raises instead of sending."""
 
     async def work(play: Play) -> None:
         with closing(socket.socket(socket.AF_INET, socket.SOCK_DGRAM)) as free:
@@ -143,28 +143,28 @@
         play.begin(address)
         await until(lambda: play.counters["sent.beats_failed"] > 5, lambda: "; ".join(play.counters.lines()))
         await play.listen(address[1])
-        await play.heard("BEAT n1 ready", 2)
+        await play.wait_for_report("BEAT n1 ready", 2)
 
     run(work, monkeypatch)
 
 
-def test_an_error_of_an_earlier_report_does_not_cost_the_word_that_this_node_drains(
+def test_an_error_of_an_earlier_report_does_not_lose_the_report_of_draining(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def work(play: Play) -> None:
         play.begin(await play.listen())
-        await play.heard("BEAT n1 ready")
-        monkeypatch.setattr(registry, "BEAT_S", 60.0)  # so that only what is told at once is heard
-        await play.heard("BEAT n1 ready")
+        await play.wait_for_report("BEAT n1 ready")
+        monkeypatch.setattr(registry, "BEAT_S", 60.0)  # only reports that are sent at once arrive
+        await play.wait_for_report("BEAT n1 ready")
         with faults("send", errno.ECONNREFUSED, of=datagrams):
             play.actor.mailbox.put("draining")
-            await play.heard("BEAT n1 draining")
+            await play.wait_for_report("BEAT n1 draining")
 
     run(work, monkeypatch)
 
 
 def test_a_socket_that_ends_by_itself_is_replaced(monkeypatch: pytest.MonkeyPatch) -> None:
-    """asyncio closes it on what is no OSError, and takes every later report without a word."""
+    """asyncio closes the socket after an exception other than OSError, and silently drops later reports."""
 
     async def work(play: Play) -> None:
         made: list[Endpoint] = []
@@ -173,10 +173,10 @@
             Endpoint, "connection_made", lambda self, transport: (made.append(self), real(self, transport))
         )
         play.begin(await play.listen())
-        await play.heard("BEAT n1 ready")
+        await play.wait_for_report("BEAT n1 ready")
         made[0].transport.abort()
         await until(lambda: len(made) > 1, lambda: "not made anew")
-        await play.heard("BEAT n1 ready", 2)
+        await play.wait_for_report("BEAT n1 ready", 2)
 
     run(work, monkeypatch)
 
@@ -201,7 +201,7 @@
         await making.wait()
         play.actor.move(new)
         go.set()
-        await play.heard("BEAT n1 ready")
+        await play.wait_for_report("BEAT n1 ready")
         assert not old_beats
 
     run(work, monkeypatch)
--- a/tests/net/test_syscalls_connect.py
+++ b/tests/net/test_syscalls_connect.py
@@ -1,4 +1,4 @@
-"""Connect(2) and socket(2) in every way they may fail: an attempt ends in a word, and leaves nothing open."""
+"""Failures of connect(2) and socket(2) of every kind: an attempt ends at once, and leaves nothing open."""
 
 import asyncio
 import errno
@@ -53,7 +53,7 @@
 
 @contextmanager
 def failing(call: str, number: int, port: int, times: int = 1) -> Iterator[None]:
-    """Let connections to this port fail, ``times`` over."""
+    """Let the next ``times`` connections to this port fail."""
 
     def chosen(sock: socket.socket) -> bool:
         if call == "setsockopt":
@@ -61,20 +61,20 @@
         return sock.fileno() < 0 or sock.type == socket.SOCK_STREAM
 
     with ExitStack() as stack:
-        if call == "getsockopt":  # asked only where the connection is still under way
+        if call == "getsockopt":  # called only while the connection is in progress
             stack.enter_context(faults("connect", errno.EINPROGRESS, times=times, of=chosen))
         stack.enter_context(faults(call, number, times=times, of=chosen))
         yield
 
 
-async def pass_over(stand: Stand, name: str, call: str, count: int) -> None:
-    """Where the connection stood at the other end already, and the node had to give it up."""
+async def discard_connections(stand: Stand, name: str, call: str, count: int) -> None:
+    """Close connections that were established at the stand-in, but that the node had to give up."""
     for _ in range(count if call in ("getsockopt", "setsockopt") else 0):
         (await stand.links[name].get()).writer.close()
 
 
 @pytest.mark.parametrize(("call", "number"), CALLS, ids=IDS)
-def test_the_agent_is_met_at_the_next_attempt(call: str, number: int) -> None:
+def test_the_agent_is_reached_at_the_next_attempt(call: str, number: int) -> None:
     async def work(stand: Stand) -> None:
         await stand.open()
         await stand.play("g = accept agent\n" + GREET)
@@ -83,7 +83,7 @@
                 "g break\ncounter agent.ended_links 1\nclock 0.03\ncounter agent.refused_links 1\n"
                 "clock 0.05\ncounter agent.refused_links 2\n"
             )
-        await pass_over(stand, "agent", call, 2)
+        await discard_connections(stand, "agent", call, 2)
         await stand.play("clock 0.1\n")
         await stand.play("g = accept agent\n" + GREET)
 
@@ -91,15 +91,15 @@
 
 
 @pytest.mark.parametrize(("call", "number"), CALLS, ids=IDS)
-def test_a_call_whose_connection_never_stood_never_ran_and_is_made_again(call: str, number: int) -> None:
+def test_a_call_whose_connection_failed_never_ran_and_is_made_again(call: str, number: int) -> None:
     async def work(stand: Stand) -> None:
         await stand.open()
         await stand.play("g = accept agent\n" + GREET + ASK)
         before = descriptors()
         with failing(call, number, stand.address("ledger")[1]):
             await stand.play('g > "request 1 0000000000000001 1\\r\\nc\\r\\n"\ncounter calls.unreachable 1\n')
-        await pass_over(stand, "ledger", call, 1)
-        if call == "setsockopt":  # asyncio's half-made transport is a cycle, and holds the socket
+        await discard_connections(stand, "ledger", call, 1)
+        if call == "setsockopt":  # asyncio's incomplete transport is a reference cycle that holds the socket
             gc.collect()
         await until(lambda: descriptors() == before, lambda: f"{descriptors()} of {before}")
         await stand.play(
@@ -112,8 +112,8 @@
     run(work)
 
 
-def test_what_is_no_failed_call_ends_an_attempt_as_well(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A name that no resolver takes raises UnicodeError: the life waited for its time limit."""
+def test_an_exception_other_than_oserror_ends_the_attempt_as_well(monkeypatch: pytest.MonkeyPatch) -> None:
+    """An invalid host name raises UnicodeError: the link's state machine waited for its time limit."""
 
     async def work(stand: Stand) -> None:
         real, left = connecting.open_connection, [UnicodeError("label too long")]
@@ -139,7 +139,7 @@
 def test_a_run_that_is_stopped_as_its_connection_is_made_is_not_sent(
     turns: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """``asyncio.wait_for`` of Python 3.11 swallowed the cancel, and the stopped run went out."""
+    """``asyncio.wait_for`` of Python 3.11 lost the cancellation, and the stopped run was sent."""
 
     async def whole() -> None:
         made: asyncio.Future[None] = asyncio.get_running_loop().create_future()
@@ -155,10 +155,10 @@
         made.set_result(None)
         for _ in range(turns):
             await asyncio.sleep(0)
-        over = task.done()
+        was_done = task.done()
         task.cancel()
         await asyncio.wait([task])
-        assert task.cancelled() or over
+        assert task.cancelled() or was_done
 
     asyncio.run(whole())
 
@@ -181,7 +181,7 @@
 
 
 @pytest.mark.parametrize(("call", "number"), CALLS, ids=IDS)
-def test_an_scgi_server_that_cannot_be_reached_costs_one_answer(call: str, number: int) -> None:
+def test_an_unreachable_scgi_server_fails_one_request_only(call: str, number: int) -> None:
     async def work(stand: Stand) -> None:
         await open_scgi(stand)
         await stand.play(
@@ -194,7 +194,7 @@
     run(work)
 
 
-def test_a_run_that_fails_inside_still_has_its_answer(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_run_with_an_internal_error_is_still_answered(monkeypatch: pytest.MonkeyPatch) -> None:
     async def work(stand: Stand) -> None:
         await open_scgi(stand)
         assert stand.program.servers is not None
