--- a/beechrock/handover/__init__.py
+++ b/beechrock/handover/__init__.py
@@ -1,5 +1,5 @@
-"""Two processes of one node, while one takes the other's place: who takes connections, who runs which key.
+"""Replacement of one process of a node by another: which one accepts connections, and which runs which key.
 
-Owns the claims of the other process and the stage of a replacement. May import ``core`` and ``net``; nobody
-imports it but the wiring, and that only where a listening socket is inherited.
+Owns the claims of the other process and the stage of the replacement. May import ``core`` and ``net``. Only
+the wiring imports this package, and only where a listening socket is inherited.
 """
--- a/beechrock/handover/channel.py
+++ b/beechrock/handover/channel.py
@@ -1,8 +1,9 @@
-"""Where two processes of one node find each other: Unix sockets in a folder that both see.
+"""Discovery between the processes of one node, by Unix sockets in a folder that all of them can access.
 
-Each process listens at a name of its own, which holds the moment of its start by the monotonic clock, one for
-all processes of a machine: the newest older one is its predecessor. Nothing but these sockets is put there;
-one whose process is gone refuses, and is removed.
+Each process listens on a socket whose name holds its start time by the monotonic clock, which all processes
+of a machine share. Its predecessor is the newest process that is older than itself. The package creates no
+other files in the folder. The socket of a killed process refuses connections, and whoever finds it removes
+it.
 """
 
 import asyncio
@@ -23,33 +24,36 @@
 from beechrock.net.listener import Accepted, Listener
 
 log = logging.getLogger("beechrock")
-MAX_NAMES = 64  # of sockets that are looked at
-RENEW_RETRY_S = 0.05
-MAX_LISTINGS = 16  # in one attempt, each after a name that vanished since the one before
-MAX_PATH_BYTES = 100  # bytes that a Unix socket's name may have; longer folders are named by descriptor
-CREDENTIALS = struct.Struct("3i")
-# Versions before named their sockets by the Unix time, 1.7e18 ns; no machine has been up for these 31 years.
+MAX_NAMES = 64  # Maximum number of older sockets that a listing examines, the newest first
+RENEW_RETRY_S = 0.05  # Seconds between two attempts to rename the own socket
+MAX_LISTINGS = 16  # Maximum listings per connection attempt; each repeats one whose socket had vanished
+# Maximum length of a Unix socket's path; a longer one is opened through the folder's file descriptor.
+MAX_PATH_BYTES = 100
+CREDENTIALS = struct.Struct("3i")  # Kernel's ``struct ucred``: process, user and group id of the peer
+# Earlier versions named their sockets by Unix time, about 1.7e18 ns. A monotonic time stays below this bound
+# until a machine has been up for 31 years.
 UNIX_TIME_NS = 10**18
 
 
 class Channel:
-    """The sockets in the folder: our own, and those of older processes of this node."""
+    """Unix sockets of one node in the shared folder: the own one, and those of older processes."""
 
     def __init__(self, folder: Path, node: str) -> None:
         self.folder = folder
         self.prefix = f"beechrock-{node}-"
-        # Not by the wall clock: stepped back, it would call the older process the newer one, and both would
-        # run keys as if alone.
+        # The name does not use the wall clock: after a step back the older process would look like the newer
+        # one, and both would run keys as if they were alone.
         self.name = f"{self.prefix}{time.monotonic_ns():020d}-{os.getpid()}.sock"
         self.server: Listener | None = None
-        self.reached_name = ""  # the name of the predecessor that was reached last
-        self.fully_known: set[str] = set()  # of those whose claims have all come over
-        self.killed_unknown = False  # one that is not among them has left its socket behind
-        self.renewals = 0  # how many names this process has had before
+        self.reached_name = ""  # Socket name of the predecessor that this process last connected to
+        self.fully_known: set[str] = set()  # Socket names of predecessors whose claims were all received
+        # Whether a killed process left a socket whose name is not in ``fully_known``.
+        self.killed_before_sync = False
+        self.renewals = 0  # Number of times that this process has renamed its socket
         self._fd: int | None = None
 
     def _path(self, name: str) -> str:
-        """Return a path that fits: the kernel takes few bytes for that of a socket."""
+        """Return a path to the socket that is short enough for the kernel's limit on socket paths."""
         path = str(self.folder / name)
         if len(path.encode()) <= MAX_PATH_BYTES:
             return path
@@ -58,9 +62,9 @@
         return f"/proc/self/fd/{self._fd}/{name}"
 
     def listen(self, accepted: Accepted, counters: Counters) -> None:
-        """Listen for successors; the socket has its name only once it listens.
+        """Listen for successors; the socket gets its public name only once it listens.
 
-        OSError where the folder takes no socket now.
+        Raises OSError if the socket cannot be created in the folder now.
         """
         sock = socket.socket(socket.AF_UNIX)
         made = f".{self.name}"
@@ -72,7 +76,7 @@
             server = Listener(sock, accepted, counters, "handover", at_once=4)
             os.rename(self.folder / made, self.folder / self.name)
         except OSError:
-            if server is not None:  # else the loop would go on watching a descriptor that is another's soon
+            if server is not None:  # the event loop must not watch a descriptor number that will be reused
                 server.close()
             sock.close()
             self._remove(made)
@@ -80,20 +84,23 @@
         self.server = server
 
     def older_names(self) -> list[str]:
-        """Return the names of older processes' sockets, the newest first; other users' sockets are left out.
+        """Return the names of older processes' sockets, the newest first, without those of other users.
 
-        OSError where that cannot be told now: taken for an empty folder, it would let two processes run keys.
+        Raises OSError if the folder cannot be read now: if it counted as empty, two processes would run keys.
         """
         try:
             names = os.listdir(self.folder)
-        except (FileNotFoundError, NotADirectoryError, PermissionError):  # none of this node finds another
+        except (FileNotFoundError, NotADirectoryError, PermissionError):  # no process can use the folder
             return []
         mine = self._started(self.name)
         found = sorted((at, name) for name in names if (at := self._started(name)) and mine and at < mine)
-        return [name for _, name in found[: -MAX_NAMES - 1 : -1] if self._mine(name)]
+        return [name for _, name in found[: -MAX_NAMES - 1 : -1] if self._is_own_socket(name)]
 
     def _started(self, name: str) -> tuple[bool, int, str] | None:
-        """Return the order of starts, where it is the name of such a socket; any Unix time is older."""
+        """Return a sort key by start time, or None if no process of this node has such a name.
+
+        A name with a Unix time, as earlier versions chose it, sorts before all others.
+        """
         start_ns = name.removeprefix(self.prefix).partition("-")[0]
         if not (name.startswith(self.prefix) and name.endswith(".sock")):
             return None
@@ -101,7 +108,8 @@
             return None
         return int(start_ns) < UNIX_TIME_NS, int(start_ns), name
 
-    def _mine(self, name: str) -> bool:
+    def _is_own_socket(self, name: str) -> bool:
+        """Return whether the name belongs to a socket of this process's user."""
         try:
             found = os.lstat(self.folder / name)
         except (FileNotFoundError, PermissionError):
@@ -109,38 +117,43 @@
         return stat.S_ISSOCK(found.st_mode) and found.st_uid == os.getuid()
 
     async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter] | None:
-        """Connect to the newest older process that is there. OSError where that cannot be told."""
+        """Connect to the newest older process that listens, and return None if there is none.
+
+        Raises OSError if the search failed, so that a predecessor may exist.
+        """
         for _ in range(MAX_LISTINGS):
             vanished = False
             for name in self.older_names():
                 try:
                     ends = await open_unix_connection(self._path(name), limit=CHUNK)
-                except FileNotFoundError:  # it has gone in peace, or has another name now
+                except FileNotFoundError:  # the process has exited cleanly or has renamed its socket
                     vanished = True
-                except ConnectionRefusedError:  # it was killed
-                    self.killed_unknown = self.killed_unknown or name not in self.fully_known
+                except ConnectionRefusedError:  # the process was killed
+                    self.killed_before_sync = self.killed_before_sync or name not in self.fully_known
                     self._remove(name)
                 else:
                     self.reached_name = name
                     return ends
             if not vanished:
                 return None
-        raise OSError(errno.EAGAIN, "sockets come and go")
+        raise OSError(errno.EAGAIN, "sockets in the handover folder keep changing")
 
     def mark_fully_known(self) -> None:
-        """Note that all claims have come over: the process that was reached vouches for those before it."""
+        """Note that all claims of the predecessor are known, including those it has from older processes."""
         self.fully_known.add(self.reached_name)
-        self.killed_unknown = False
+        self.killed_before_sync = False
 
     def mark_not_fully_known(self) -> None:
-        """Note that something was not received: killed before it is reached again, it leaves doubt."""
+        """Note that messages of the predecessor were lost, so that its claims are not all known."""
         self.fully_known.discard(self.reached_name)
 
     def renew(self) -> None:
-        """Listen under another name: what a successor knew of the one before holds no longer. OSError.
+        """Rename the own socket, so that no successor goes on counting this process as fully known.
+
+        After a channel was dropped while both processes live, the old one goes on alone and runs further
+        keys. If it is killed then, a successor must not assume that it knows all of its claims.
 
-        After a channel was dropped while both processes live, the old one goes on alone. Killed then, it must
-        not be taken for one whose claims are all known.
+        Raises OSError if the socket cannot be renamed now.
         """
         if self.server is not None:
             stem = self.name.removesuffix(".sock").split("~")[0]
@@ -149,18 +162,18 @@
             self.name, self.renewals = name, self.renewals + 1
 
     def try_renew(self) -> bool:
-        """Renew the name and return whether the folder allowed that now."""
+        """Rename the own socket and return whether that succeeded."""
         try:
             self.renew()
         except OSError as error:
-            log.warning("handover: %s: the socket keeps its name", error)
+            log.warning("handover: renaming the socket failed: %s", error)
             return False
         return True
 
-    async def retry_renew(self, over: Callable[[], bool]) -> None:
-        """Renew the name, with pauses, until it is renewed or this process goes."""
+    async def retry_renew(self, ended: Callable[[], bool]) -> None:
+        """Retry to rename the own socket until that succeeds or this process ends."""
         await asyncio.sleep(RENEW_RETRY_S)
-        while not over() and not self.try_renew():
+        while not ended() and not self.try_renew():
             await asyncio.sleep(RENEW_RETRY_S)
 
     def _remove(self, name: str) -> None:
@@ -168,9 +181,11 @@
             os.unlink(self.folder / name)
 
     def close(self) -> None:
-        """Stop listening and take the name out of the folder."""
+        """Stop listening and remove the own socket from the folder."""
         if self.server is not None:
-            self._remove(self.name)  # first: a name whose socket refuses is that of a killed process
+            self._remove(
+                self.name
+            )  # before closing: a name that refuses connections would count as a killed process
             self.server.close()
         if self._fd is not None:
             os.close(self._fd)
@@ -178,11 +193,11 @@
 
 
 def same_user(writer: asyncio.StreamWriter) -> bool:
-    """Return whether the process at the other end is of this process's user."""
+    """Return whether the process at the other end runs as the same user as this one."""
     sock = writer.get_extra_info("socket")
     try:
         credentials = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, CREDENTIALS.size)
-    except OSError:  # it has gone already
+    except OSError:  # the other process has already disconnected
         return False
     _, uid, _ = CREDENTIALS.unpack(credentials)
     return bool(uid == os.getuid())
--- a/beechrock/handover/claim_copy.py
+++ b/beechrock/handover/claim_copy.py
@@ -1,4 +1,4 @@
-"""The copy of all claims, and then of their results, to a successor that joins."""
+"""Copying all claims, and then their results, to a successor that joins."""
 
 import asyncio
 from collections.abc import Callable, Iterator
@@ -11,25 +11,27 @@
 from beechrock.handover.messages import ClaimsSynced, DrainCommand, KeyClaimed, Leaving, RunEnded
 from beechrock.handover.peer import ChannelPeer
 
-COPY_CHUNK_CLAIMS = 200  # of a copy, in one turn of the loop
-MAX_REPLACED_CLAIMS = 1000  # of a copy; some 100 bytes each, and the kernel holds 200 KB for a late reader
-# Results follow the claims at this pace: what the kernel holds for a reader whose loop is late stays far
-# under its 200 KB, so that claims always find room.
+COPY_CHUNK_CLAIMS = 200  # Maximum number of claims that are sent in one iteration of the event loop
+# Maximum number of replaced claims in a copy. Each takes some 100 bytes, and the kernel buffers 200 KB for a
+# slow reader.
+MAX_REPLACED_CLAIMS = 1000
+# Results follow the claims at this rate, so that the unread bytes of a slow reader stay far below the 200 KB
+# that the kernel buffers, and claims can always be written.
 RESULT_CHUNK_BYTES = 32_768
 RESULT_PAUSE_S = 0.02
-RESULT_OVERHEAD_BYTES = 64  # of a result's message
+RESULT_OVERHEAD_BYTES = 64  # Estimated size of a result's message without the result itself
 
 
 @dataclass(frozen=True, slots=True)
 class HeldKey:
-    """A request that the key table holds, and the end of its window."""
+    """A request in the idempotency table, and the end of its idempotency window in steady seconds."""
 
     request: Request
     until_s: float
 
 
 class ClaimCopy:
-    """One copy at a time; ``peer`` is who is being sent it."""
+    """The copy to a successor; ``peer`` is the successor that is being sent one, or None."""
 
     def __init__(self, keys: KeyPartner, lifecycle: Lifecycle, drained: Callable[[], bool]) -> None:
         self.peer: ChannelPeer | None = None
@@ -38,7 +40,7 @@
         self._drained = drained
 
     async def run(self, peer: ChannelPeer) -> None:
-        """Send all claims, then say that all are sent, then send the results of those that ended."""
+        """Send all claims, then ``ClaimsSynced``, then the results of the runs that have ended."""
         self.peer = peer
         try:
             await self._send_all(peer)
@@ -63,10 +65,11 @@
         await self._send_results(peer, own, others)
 
     def _send_replaced(self, peer: ChannelPeer) -> None:
-        """Send the claims of runs whose key ran again; an attempt of their windows that is read late fails.
+        """Send the claims of earlier runs whose key ran again, each as ended without a result.
 
-        All of them before the first await, as a later claim of their key must not come before them. Where one
-        has been sent since this successor joined, its key's earlier runs are left out.
+        A late attempt in the window of such a run thus fails at the successor. All of these claims are sent
+        before the first await, because they must precede every later claim of their key. A key that was
+        claimed since this successor joined is skipped.
         """
         table = self._keys.module.idempotency
         replaced = [
@@ -81,15 +84,18 @@
                 peer.send(RunEnded(claim.key, False))
 
     async def _send_own_claims(self, peer: ChannelPeer, own: list[HeldKey]) -> None:
-        """Send the claims of this process, some in each turn of the loop."""
+        """Send the claims of this process in chunks, one chunk per iteration of the event loop."""
         for start in range(0, len(own), COPY_CHUNK_CLAIMS):
             for held in own[start : start + COPY_CHUNK_CLAIMS]:
-                if self._keys.module.idempotency.holds(held.request):  # not forgotten meanwhile
+                if self._keys.module.idempotency.holds(
+                    held.request
+                ):  # the table may have dropped it meanwhile
                     key = claim_key(held.request)
                     peer.send(KeyClaimed(key, held.request.digest, held.until_s))
             await asyncio.sleep(0)
 
     async def _send_results(self, peer: ChannelPeer, own: list[HeldKey], others: list[Claim]) -> None:
+        """Send the known results at a limited rate."""
         sent_bytes = 0
         for message in self._results(own, others):
             if peer.lost:
@@ -101,7 +107,7 @@
                 await asyncio.sleep(RESULT_PAUSE_S)
 
     def _results(self, own: list[HeldKey], others: list[Claim]) -> Iterator[RunEnded]:
-        """Yield the results that are known; of a run that is under way the end is sent when it comes."""
+        """Yield the results of ended runs; the end of an open run is sent when it happens."""
         for held in own:
             request = held.request
             if request.over and self._keys.module.idempotency.holds(request):
--- a/beechrock/handover/claim_table.py
+++ b/beechrock/handover/claim_table.py
@@ -1,10 +1,11 @@
-"""The claims of the other process, and of those before it. Pure.
+"""The claims of the other process and of its predecessors. Pure.
 
-States of a claim: OPEN (its run may be under way), ENDED (with a result, or without). Events: ``add``,
+States of a claim: OPEN (its run may be in progress), ENDED (with or without a result). Events: ``add``,
 ``grant``, ``release``, ``end``, ``sweep``. A claim whose key runs again after its window is REPLACED.
-Invariants: a claim stands, replaced or not, until it is released or no attempt of its window can be read any
-more; an attempt repeats the first claim of its key whose window it lies in; a claim for which there is no
-room counts as doubt; the results that are held stay within their bound, the oldest go first.
+Invariants: a claim, replaced or not, is kept until it is released or no attempt from its window can arrive
+any more; an attempt repeats the first claim of its key whose window contains the attempt's birth; a claim
+that exceeds the capacity is reported as doubt; the stored results stay within their bound, and the oldest are
+dropped first.
 """
 
 from collections.abc import Iterator
@@ -18,7 +19,7 @@
 
 @dataclass(slots=True, eq=False)
 class Claim:
-    """One key that the other process holds, or held; times on this process's steady clock."""
+    """A key that the other process has claimed; times are steady seconds of this process."""
 
     key: bytes
     digest: bytes
@@ -27,16 +28,18 @@
     succeeded: bool = False
     media: str = ""
     result: bytes = b""
-    earlier_until_s: float = 0.0  # the end of a run before this one, should this claim be released
-    granted: bool = False  # to the other process, for longer than its run's window may reach
+    # End of the window of the key's earlier run, which counts again if this claim is released; 0 for none.
+    earlier_until_s: float = 0.0
+    # Whether this process granted the key; ``until_s`` may then exceed the window of the run.
+    granted: bool = False
 
 
 class ClaimTable:
-    """The other's claims by key, and the bytes of their results."""
+    """The other process's claims by key, and the total size of their results."""
 
     def __init__(self, max_claims: int, max_result_bytes: int, linger_s: float, doubt: Doubt) -> None:
         self.claims: dict[bytes, Claim] = {}
-        self._replaced: dict[bytes, list[Claim]] = {}  # the newest last
+        self._replaced: dict[bytes, list[Claim]] = {}  # Replaced claims by key, the newest last
         self._replaced_count = 0
         self.result_bytes = 0
         self._max_claims = max_claims
@@ -48,27 +51,28 @@
         return len(self.claims) + self._replaced_count
 
     def __iter__(self) -> Iterator[Claim]:
-        """Go through all claims; of one key the oldest first."""
+        """Iterate over all claims, those of one key from oldest to newest."""
         return chain(self.replaced(), self.claims.values())
 
     def replaced(self) -> Iterator[Claim]:
-        """Go through the claims whose key runs again; of one key the oldest first."""
+        """Iterate over the replaced claims, those of one key from oldest to newest."""
         return chain.from_iterable(self._replaced.values())
 
     def find(self, key: bytes, born_s: float) -> Claim | None:
-        """Return the claim of which an attempt born then is a repeat."""
+        """Return the claim whose run is repeated by an attempt with this birth time, or None."""
         claim = self.claims.get(key)
         if claim is None:
             return None
-        # Windows of one key end in the order in which they began: by the newest claim an attempt of an
-        # earlier window would get another run's result.
+        # Windows of one key end in the order in which they began, so the first match is the right one. With
+        # the newest claim alone, an attempt from an earlier window would get another run's result.
         known = (*self._replaced.get(key, ()), claim)
         return next((found for found in known if born_s <= found.until_s + SLACK_S), None)
 
     def add(self, claim: Claim) -> None:
-        """Add a claim that the other sent; one of the same run is only extended.
+        """Add a claim that the other process sent, or update the end of a known claim of the same run.
 
-        Of a run under a grant the other sends the end of its window: the grant may reach further.
+        For a run under a grant the other process sends the end of the run's window, which may lie before the
+        end of the grant.
         """
         old = self.claims.get(claim.key)
         if old is not None and not old.ended and old.granted:
@@ -86,7 +90,10 @@
         self.claims[claim.key] = claim
 
     def grant(self, request: GrantRequest) -> list[Claim]:
-        """Hold the key for the other process, for as long as it requested; return claims that end by it."""
+        """Record that the key is granted to the other process until the requested time.
+
+        Returns the earlier claim of the key if the grant ends it.
+        """
         claim = self.find(request.key, request.born_s)
         if claim is None:
             old = self.claims.get(request.key)
@@ -96,13 +103,16 @@
             self.add(Claim(request.key, request.digest, request.until_s, granted=True))
             return ended
         if request.until_s > claim.until_s:
-            # Its own claim, of a run whose window is over there: what is granted now is held for as long.
+            # The other process's own earlier run, whose window is over there: hold the key for the new grant.
             claim.earlier_until_s = claim.until_s
             claim.until_s = request.until_s
         return []
 
     def release(self, key: bytes) -> list[Claim]:
-        """Remove a claim whose run never began; return it as ended. A run before it is known again."""
+        """Remove a claim whose run never began, and restore the key's earlier claim.
+
+        Returns the removed claim, marked as ended.
+        """
         claim = self.claims.pop(key, None)
         if claim is None:
             return []
@@ -116,25 +126,26 @@
         return [self._end(claim, RunEnded(key, False))]
 
     def _keep_replaced(self, key: bytes, claims: list[Claim]) -> None:
-        """Have these as the key's replaced claims, and no others."""
+        """Store these as the only replaced claims of the key."""
         before = self._replaced.pop(key, [])
         if claims:
             self._replaced[key] = claims
         self._replaced_count += len(claims) - len(before)
 
     def end(self, message: RunEnded) -> list[Claim]:
-        """Note the result of an open claim and return it."""
+        """End an open claim with the result in the message, and return it in a list."""
         claim = self.claims.get(message.key)
         if claim is None or claim.ended:
             return []
         return [self._end(claim, message)]
 
     def end_all_open(self) -> list[Claim]:
-        """End all open claims without a result, as their process is gone, and return them."""
+        """End all open claims without a result because their process is gone, and return them."""
         open_claims = [claim for claim in self if not claim.ended]
         return [self._end(claim, RunEnded(claim.key, False)) for claim in open_claims]
 
     def _end(self, claim: Claim, message: RunEnded) -> Claim:
+        """Mark a claim as ended, store its result within the bound, and return the claim."""
         claim.ended = True
         claim.succeeded = message.succeeded
         claim.media = message.media
@@ -145,7 +156,7 @@
         return claim
 
     def _drop_oldest_results(self) -> None:
-        """Drop results until the rest fits; their repeats fail, as their runs are over."""
+        """Drop the oldest results until the rest fits the bound; repeats of the affected runs fail."""
         for old in self:
             if old.ended and old.result:
                 self.result_bytes -= len(old.result)
@@ -155,13 +166,14 @@
                     return
 
     def sweep(self, now_s: float) -> None:
-        """Drop the claims that no attempt can repeat any more."""
+        """Drop the claims that no later attempt can repeat."""
         for key, replaced in list(self._replaced.items()):
-            self._keep_replaced(key, [claim for claim in replaced if not self._is_over(claim, now_s)])
-        for key in [key for key, claim in self.claims.items() if self._is_over(claim, now_s)]:
-            self._keep_replaced(key, [])  # their windows ended before
+            self._keep_replaced(key, [claim for claim in replaced if not self._is_expired(claim, now_s)])
+        for key in [key for key, claim in self.claims.items() if self._is_expired(claim, now_s)]:
+            self._keep_replaced(key, [])  # the windows of replaced claims ended earlier
             del self.claims[key]
         self.result_bytes = sum(len(claim.result) for claim in self)
 
-    def _is_over(self, claim: Claim, now_s: float) -> bool:
+    def _is_expired(self, claim: Claim, now_s: float) -> bool:
+        """Return whether no attempt from the claim's window can arrive any more."""
         return claim.until_s + SLACK_S + self._linger_s < now_s
--- a/beechrock/handover/grant_requests.py
+++ b/beechrock/handover/grant_requests.py
@@ -1,7 +1,7 @@
-"""Requests to the predecessor for keys, and the attempts that wait for them. Pure.
+"""Grant requests that were sent to the predecessor, and the attempts that wait for the replies. Pure.
 
-States of a request: WAITED FOR, EXPIRED (all attempts were rejected; the reply may still come).
-Invariant: ``waiting`` is the number of attempts that have had no answer.
+States of a request: WAITED FOR, EXPIRED (all of its attempts were rejected; the reply may still arrive).
+Invariant: ``waiting`` is the number of attempts that still wait for a reply.
 """
 
 import math
@@ -11,16 +11,18 @@
 from beechrock.handover.messages import GrantRequest
 
 T = TypeVar("T")
-# A request unanswered for so long is a rejection: several times the pause of a loop under an upgrade.
+# Seconds after which an unanswered request counts as rejected; several times the longest pause of an event
+# loop during an upgrade.
 GRANT_TIMEOUT_S = 0.3
-# A grant reaches this much further than the attempt that requested it, so that those with it need no other.
+# Seconds by which a grant exceeds the window of the attempt that requested it, so that concurrent attempts of
+# the key can share the grant.
 GRANT_EXTRA_S = 1.0
-MAX_WAITING = 2000  # attempts that wait for a reply
+MAX_WAITING = 2000  # Maximum number of attempts that wait for a reply
 
 
 @dataclass(frozen=True, slots=True)
 class WaitingAttempt(Generic[T]):
-    """An attempt, and the time until which it may wait for the reply."""
+    """An attempt, and the deadline of its wait for a reply in steady seconds."""
 
     attempt: T
     due_s: float
@@ -28,7 +30,7 @@
 
 @dataclass(slots=True)
 class PendingRequest(Generic[T]):
-    """A request that is under way."""
+    """A request that has no reply yet, with the attempts that wait for it."""
 
     request: GrantRequest
     due_s: float
@@ -36,41 +38,41 @@
 
 
 class GrantRequests(Generic[T]):
-    """The requests by key; ``T`` names a waiting attempt."""
+    """The unanswered requests by key; ``T`` is the type of a waiting attempt."""
 
     def __init__(self) -> None:
         self.pending: dict[bytes, PendingRequest[T]] = {}
-        self.waiting = 0  # attempts, over all requests
+        self.waiting = 0  # Number of waiting attempts over all requests
 
     @property
     def is_full(self) -> bool:
-        """Return whether no further attempt may wait."""
+        """Return whether the maximum number of waiting attempts is reached."""
         return self.waiting >= MAX_WAITING
 
     def start(self, request: GrantRequest, now_s: float) -> PendingRequest[T]:
-        """Add a request that is sent now."""
+        """Record a request that is sent now, and return it."""
         pending = PendingRequest[T](request, now_s + GRANT_TIMEOUT_S)
         self.pending[request.key] = pending
         return pending
 
     def wait(self, pending: PendingRequest[T], attempt: T, due_s: float = math.inf) -> None:
-        """Let an attempt wait, no longer than until its own answer is due."""
+        """Add an attempt to a request; it waits at most until ``due_s``, when its own answer is due."""
         pending.attempts.append(WaitingAttempt(attempt, min(pending.due_s, due_s)))
         self.waiting += 1
 
-    def answered(self, key: bytes) -> list[T]:
-        """Remove a request that was answered and return the attempts that waited for it."""
+    def remove(self, key: bytes) -> list[T]:
+        """Remove an answered request and return the attempts that waited for it."""
         pending = self.pending.pop(key, None)
         attempts = [waiting.attempt for waiting in pending.attempts] if pending is not None else []
         self.waiting -= len(attempts)
         return attempts
 
-    def answer_all(self) -> list[T]:
-        """Remove all requests, as nobody will answer them, and return their attempts."""
-        return [attempt for key in list(self.pending) for attempt in self.answered(key)]
+    def remove_all(self) -> list[T]:
+        """Remove all requests because their replies will not arrive, and return their attempts."""
+        return [attempt for key in list(self.pending) for attempt in self.remove(key)]
 
     def expired(self, now_s: float) -> list[T]:
-        """Return the attempts that waited too long; the request stands, as its reply may still come."""
+        """Remove and return the attempts whose wait has timed out; their requests stay open."""
         expired: list[T] = []
         for pending in self.pending.values():
             late = [waiting.attempt for waiting in pending.attempts if now_s >= waiting.due_s]
@@ -81,9 +83,10 @@
         return expired
 
     def renew(self) -> list[GrantRequest]:
-        """Return what has to be sent again over a new channel, once for each key.
+        """Return the requests to resend over a new channel, one per key.
 
-        A request without attempts is dropped: it would stand for ever, and its key be rejected.
+        A request without waiting attempts is dropped. It would otherwise stay for ever, and all attempts of
+        its key would be rejected.
         """
         for key in [key for key, pending in self.pending.items() if not pending.attempts]:
             del self.pending[key]
--- a/beechrock/handover/grants.py
+++ b/beechrock/handover/grants.py
@@ -1,32 +1,34 @@
 """The keys that the predecessor granted to this process. Pure.
 
-States of a grant: IN USE (attempts here go by it), CLAIMED (a run began under it), else it is given back.
-Invariant: what was granted is released only when no attempt here uses it any more and none was claimed.
+States of a grant: IN USE (by attempts here), CLAIMED (a run began under it); in any other case it is returned
+to the predecessor.
+Invariant: a grant is released only when no attempt here uses it and no run was claimed under it.
 """
 
 from dataclasses import dataclass
 
 from beechrock.core.idempotency import SLACK_S
 
-MAX_GRANTS = 20_000  # granted keys without a use are released, so these are live ones
+MAX_GRANTS = 20_000  # Maximum number of grants; unused ones are released, so all of these are in use
 
 
 @dataclass(slots=True)
 class Grant:
-    """A key that was granted to this process; times on its steady clock."""
+    """A key that was granted to this process; times are its steady seconds."""
 
-    uses: int = 0  # attempts that go by it
-    claimed: bool = False
-    until_s: float = 0.0  # what the other process holds the key for
-    run_until_s: float = 0.0  # of the run's own window
-    digest: bytes = b""  # of the run
-    given_back: bool = False  # the other process goes by the key's run before again
+    uses: int = 0  # Number of attempts that use this grant
+    claimed: bool = False  # Whether a run began under this grant
+    until_s: float = 0.0  # Time until which the other process keeps the key reserved for this one
+    run_until_s: float = 0.0  # End of the window of the run under this grant
+    digest: bytes = b""  # Digest of the body of the run's request
+    given_back: bool = False  # Whether the grant was returned and the key's earlier run counts again
 
     def covers(self, born_s: float, until_s: float) -> bool:
-        """Return whether an attempt may go by this grant: as a repeat of its run, or as the run itself.
+        """Return whether this grant permits an attempt, as a repeat of its run or as the run itself.
 
-        A run past the grant would not be held at the other process for as long as its window, and a second
-        run within the first one's grant may begin there before its claim is read. Either needs a new grant.
+        The other process would not keep the key reserved for the whole window of a run that exceeds the
+        grant. It could also run the key itself before it reads the claim of a second run under the same
+        grant. Both need a new grant.
         """
         if self.claimed:
             return born_s <= self.run_until_s + SLACK_S
@@ -42,18 +44,18 @@
 
     @property
     def is_full(self) -> bool:
-        """Return whether there is no room for another grant."""
+        """Return whether the maximum number of grants is reached."""
         return len(self.grants) >= MAX_GRANTS
 
     def finish_use(self, key: bytes) -> bool:
-        """Note that an attempt has no further use of a grant; return whether it is given back."""
+        """Note that an attempt no longer uses the key's grant, and return whether the grant was removed."""
         if key not in self.grants:
             return False
         self.grants[key].uses -= 1
         return self.give_back(key)
 
     def give_back(self, key: bytes) -> bool:
-        """Remove a grant that is neither in use nor claimed, and return whether it was."""
+        """Remove a grant if it is neither in use nor claimed, and return whether it was removed."""
         grant = self.grants[key]
         if grant.uses > 0 or grant.claimed:
             return False
@@ -61,7 +63,7 @@
         return True
 
     def sweep(self, now_s: float) -> None:
-        """Drop grants whose run no attempt can repeat any more."""
+        """Drop unused grants whose run no later attempt can repeat."""
         linger_s = self._linger_s
         for key in [
             key
--- a/beechrock/handover/key_partner.py
+++ b/beechrock/handover/key_partner.py
@@ -1,4 +1,4 @@
-"""What the module's actor asks of the other process before it runs a key (``core.requests.Partner``)."""
+"""Implementation of ``core.requests.Partner``, which decides whether a keyed request may run here."""
 
 import hashlib
 
@@ -14,7 +14,7 @@
 
 
 class KeyPartner:
-    """The claims of both processes, between the module's actor and the channels to either side."""
+    """Connects the key ownership rules to the module's actor and to the channels to the other process."""
 
     def __init__(self, module: ModuleActor, links: PeerLinks) -> None:
         self.module = module
@@ -27,24 +27,29 @@
             2 * module.idempotency.capacity,
             module.memory.max_result_bytes,
         )
-        self.first_requests: dict[Claim, Request] = {}  # what attempts here repeat of the other's
-        self.own_claims: dict[bytes, float] = {}  # claims here and their ends, while a successor is there
+        # Local stand-ins for runs of the other process; attempts here that repeat such a run wait on them.
+        self.proxy_requests: dict[Claim, Request] = {}
+        # Window ends of the keys claimed here, in steady seconds; kept while a successor is connected.
+        self.own_claims: dict[bytes, float] = {}
 
     @property
     def in_doubt(self) -> bool:
-        """Return whether a process that is gone may have run keys that nobody here knows of."""
+        """Return whether an ended process may have run keys that this process does not know."""
         return self.module.clock() < self.ownership.doubt.until_s
 
     @property
     def misses_runs(self) -> bool:
-        """Return whether a try that may still be read can repeat a run that is unknown here.
+        """Return whether an attempt that is yet to be read may repeat a run that is unknown here.
 
-        That is so in doubt, and after a full table has dropped runs whose windows were over.
+        That is the case in doubt, and after a full table has dropped runs whose windows had ended.
         """
         return self.in_doubt or self.module.clock() < self.module.idempotency.doubt_ends()
 
     def request_run(self, request: Request) -> bool:
-        """Return whether a keyed attempt may be taken in now; if not, it comes again, or has its answer."""
+        """Return whether a keyed attempt may be admitted now.
+
+        If not, it was rejected, or it waits for the predecessor's reply and is then admitted or rejected.
+        """
         if self.ownership.is_idle:
             return True
         key = claim_key(request)
@@ -55,7 +60,7 @@
             self._window_end_s(request),
             request,
             self.module.clock(),
-            self._due_s(request),
+            self._answer_due_s(request),
         )
         self.flush()
         if decision is Decision.RUN and key in self.ownership.grants.grants:
@@ -65,31 +70,32 @@
         return decision is Decision.RUN
 
     def _window_end_s(self, request: Request) -> float:
-        """Return until when attempts repeat a run of this one."""
+        """Return the time until which attempts would repeat a run of this request."""
         cls = self.module.settings.classes[request.klass]
         return request.latest + (cls.idempotency_window_s or cls.deadline_s)
 
-    def _due_s(self, request: Request) -> float:
+    def _answer_due_s(self, request: Request) -> float:
+        """Return the time at which the answer to a request is due."""
         return request.born + self.module.intake.due_after_s(request)
 
     def find_first(self, request: Request) -> Request | None:
-        """Return the other's request that this one repeats."""
+        """Return the proxy of the other process's run that this request repeats, or None."""
         if self.ownership.is_idle:
             return None
         key = claim_key(request)
         claim = self.ownership.find_claim(key, request.earliest)
         if claim is None:
             return None
-        first = self.first_requests.get(claim)
-        if first is None:
-            first = self.first_requests[claim] = self._proxy_request(request, claim)
-        if claim.ended and not first.over:
-            self._finish_first(first, claim)
+        proxy = self.proxy_requests.get(claim)
+        if proxy is None:
+            proxy = self.proxy_requests[claim] = self._create_proxy(request, claim)
+        if claim.ended and not proxy.over:
+            self._finish_proxy(proxy, claim)
         self.counters.add("handover.repeats")
-        return first
+        return proxy
 
-    def _proxy_request(self, request: Request, claim: Claim) -> Request:
-        """Return a request that stands here for the other's."""
+    def _create_proxy(self, request: Request, claim: Claim) -> Request:
+        """Return a request that represents the other process's run here."""
         return Request(
             trace="",
             klass=request.klass,
@@ -102,18 +108,21 @@
         )
 
     def claim_run(self, request: Request, until: float) -> bool:
-        """Note that a request is about to run; False where the other cannot hear of it: then it must not."""
+        """Claim the key of a request that is about to run.
+
+        Returns whether it may run: the claim must reach the other process first.
+        """
         if self.ownership.role is PeerRole.ABSENT:
             return True
         key = claim_key(request)
-        earlier_goes_on = self._earlier_goes_on(request, key)
+        earlier_run_open = self._is_earlier_run_open(request, key)
         if self.links.successor is not None:
             self.own_claims[key] = until
-        allowed = self.ownership.claim_run(key, request.digest, until, earlier_goes_on)
+        allowed = self.ownership.claim_run(key, request.digest, until, earlier_run_open)
         return self.flush() and allowed
 
-    def _earlier_goes_on(self, request: Request, key: bytes) -> bool:
-        """Return whether the other still takes the key's run before this one for open."""
+    def _is_earlier_run_open(self, request: Request, key: bytes) -> bool:
+        """Return whether the other process still counts the key's previous run as open."""
         replaced = self.module.idempotency.replaced(request)
         return (
             bool(replaced)
@@ -122,7 +131,7 @@
         )
 
     def release(self, request: Request) -> None:
-        """Note that a claimed request did not run after all."""
+        """Release the key of a claimed request that did not run."""
         if self.ownership.role is PeerRole.ABSENT:
             return
         key = claim_key(request)
@@ -135,7 +144,7 @@
         self.flush()
 
     def finish(self, request: Request, held: bool) -> None:
-        """Note that a request is over; ``held``: the key table holds it."""
+        """Note that a request has ended; ``held`` says whether the idempotency table still contains it."""
         if self.ownership.role is PeerRole.ABSENT:
             return
         key = claim_key(request)
@@ -147,73 +156,74 @@
         self.flush()
 
     def flush(self) -> bool:
-        """Send what the other has to know; return whether all of it is in the kernel's hands."""
+        """Send the queued messages; return whether all will be read even if this process is killed."""
         messages = self.ownership.outbox
         self.ownership.outbox = []
         return all([self.links.send(message) for message in messages])
 
     def receive(self, message: Message) -> None:
-        """Take in a message about keys."""
+        """Process a message about keys from the other process."""
         held = False
         if isinstance(message, GrantRequest):
             self.counters.add("handover.asked")
             own_until_s = self.own_claims.get(message.key, 0.0)
-            # In doubt nothing is vouched for: what an earlier process ran is known to neither.
+            # In doubt no key is granted: neither process knows what an earlier one ran.
             held = self.in_doubt or message.born_s <= own_until_s + SLACK_S
         outcome = self.ownership.receive(message, held)
-        self.settle(outcome.ended)
+        self.share_results(outcome.ended)
         for request in outcome.attempts:
             self._resume(request)
         self.flush()
 
     def _resume(self, request: Request) -> None:
-        """Go on with an attempt whose key was granted or denied."""
+        """Admit or reject an attempt after its key was granted or denied."""
         key = claim_key(request)
         if key in self.ownership.grants.grants:
             request.granted = True
             self.admit(request)
         elif self.ownership.find_claim(key, request.earliest) is not None:
             self.admit(request)
-        else:  # the other knows of a claim that here is over, by a hair
+        else:  # the other process denied the key for a claim whose window has just ended here
             self.reject(request)
 
     def admit(self, request: Request) -> None:
-        """Give an attempt that waited to the module."""
+        """Post an attempt that has waited to the module's mailbox."""
         if not self.module.mailbox.put(RequestReceived(request)):
             self.reject(request)
 
     def reject(self, request: Request) -> None:
-        """Turn an attempt away with a time to come back, as nobody can tell whether its key may run."""
+        """Reject an attempt with a retry time because its key may or may not have run."""
         self.counters.add("handover.in_doubt")
         self.module.intake.reject_in_doubt(request, GRANT_TIMEOUT_S)
 
-    def settle(self, ended: tuple[Claim, ...]) -> None:
-        """Answer the attempts that repeat claims which are over now."""
+    def share_results(self, ended: tuple[Claim, ...]) -> None:
+        """Answer the attempts that repeat runs of these ended claims."""
         for claim in ended:
-            first = self.first_requests.get(claim)
-            if first is not None:
-                self._finish_first(first, claim)
-                self.module.table.share_result(first)
-
-    def _finish_first(self, first: Request, claim: Claim) -> None:
-        first.over = True
-        first.ended_at = self.module.clock()
-        first.media = claim.media
-        first.result = claim.result if claim.succeeded else None
+            proxy = self.proxy_requests.get(claim)
+            if proxy is not None:
+                self._finish_proxy(proxy, claim)
+                self.module.table.share_result(proxy)
+
+    def _finish_proxy(self, proxy: Request, claim: Claim) -> None:
+        """Copy the result of an ended claim to its proxy."""
+        proxy.over = True
+        proxy.ended_at = self.module.clock()
+        proxy.media = claim.media
+        proxy.result = claim.result if claim.succeeded else None
 
     def on_peer_lost(self) -> None:
-        """Decide alone from now on: by all that the other sent, and by what is here."""
+        """Note that the other process is gone; this one now decides alone, by the claims that it knows."""
         outcome = self.ownership.on_peer_lost(self.module.clock())
         self.ownership.outbox.clear()
-        self.settle(outcome.ended)
+        self.share_results(outcome.ended)
         for request in outcome.attempts:
             self.admit(request)
 
     def sweep(self, now_s: float) -> None:
-        """Drop what no attempt can repeat any more."""
+        """Drop claims, grants and proxies that no later attempt can use."""
         self.ownership.sweep(now_s)
         known = set(self.ownership.other_claims)
-        self.first_requests = {c: first for c, first in self.first_requests.items() if c in known}
+        self.proxy_requests = {c: proxy for c, proxy in self.proxy_requests.items() if c in known}
         linger_s = self.module.idempotency.linger_s
         self.own_claims = {
             key: until_s for key, until_s in self.own_claims.items() if until_s + SLACK_S + linger_s > now_s
@@ -221,6 +231,9 @@
 
 
 def claim_key(request: Request) -> bytes:
-    """Return what both processes know a key by: 16 bytes; by service, as ``KeyTable`` does."""
+    """Return the 16-byte hash by which both processes identify a key.
+
+    The key counts per service, that is per route, as in ``IdempotencyTable``.
+    """
     text = f"{request.route}\0{request.nonce}".encode("utf-8", "surrogatepass")
     return hashlib.blake2b(text, digest_size=16).digest()
--- a/beechrock/handover/load_exchange.py
+++ b/beechrock/handover/load_exchange.py
@@ -1,4 +1,4 @@
-"""What either process has in flight: each tells the other, so that both share the node's limits."""
+"""Load reports between the two processes, so that both together keep to the node's limits."""
 
 from collections.abc import Callable
 
@@ -7,11 +7,11 @@
 from beechrock.handover.peer import PeerLinks
 from beechrock.interface import OtherProcessLoad
 
-NO_LOAD = LoadReport(0, 0.0, 0, 0)
+NO_LOAD = LoadReport(0, 0.0, 0, 0)  # Report of a process without any work
 
 
 class LoadExchange:
-    """The newest load that was sent, and the other's connections."""
+    """Sends the own load and passes on the other process's; keeps the latest report that was sent."""
 
     def __init__(
         self,
@@ -28,25 +28,28 @@
         self._sent = NO_LOAD
 
     def receive(self, report: LoadReport, present: bool = True) -> None:
-        """Tell the module what the other process has in flight, and whether it is there."""
+        """Post the other process's load to the module; ``present`` says whether that process exists."""
         self.other_connections = report.connections
         self._module.post(OtherProcessLoad(report.runs, report.kb, report.calls, present))
         self._on_change()
 
     def other_appeared(self) -> None:
-        """Note that another process is there, which has reported nothing yet."""
+        """Note that another process exists that has not reported its load yet."""
         self.receive(NO_LOAD)
 
     def other_lost(self) -> None:
-        """Note that the other process has gone, and has nothing in flight any more."""
+        """Note that the other process has ended, so that it has no load."""
         self.receive(NO_LOAD, present=False)
 
     def send(self, unchanged: bool = False) -> None:
-        """Report the own load, if it has changed or ``unchanged``, and the one before is written."""
+        """Send the own load if it has changed, or in any case with ``unchanged``.
+
+        Nothing is sent while earlier messages are unwritten.
+        """
         own = self._module.load()
         report = LoadReport(own.running, own.held_kb, own.open_calls, self._connections())
         peer = self._links.current
         due = unchanged or report != self._sent
-        if peer is not None and due and peer.flushed:  # the next one tells more
+        if peer is not None and due and peer.flushed:  # else a later report will be more recent
             self._sent = report
             peer.send(report)
--- a/beechrock/handover/messages.py
+++ b/beechrock/handover/messages.py
@@ -1,25 +1,25 @@
-"""What two processes of one node tell each other. Times are seconds of this process's steady clock."""
+"""Messages between the two processes of one node. Their times are steady seconds of the local process."""
 
 from dataclasses import dataclass
 
-VERSION = 2
+VERSION = 2  # Version of the protocol that this process speaks
 
 
 @dataclass(frozen=True, slots=True)
 class Hello:
-    """The first message of both ends; no version may change it."""
+    """The first message from both ends; its format is the same in all versions."""
 
     version: int = VERSION
 
 
 @dataclass(frozen=True, slots=True)
 class Deferral:
-    """From a process with a predecessor of its own: it can vouch for no key yet."""
+    """The sender cannot vouch for keys yet, as it has a predecessor itself."""
 
 
 @dataclass(frozen=True, slots=True)
 class KeyClaimed:
-    """The sender has begun, or may begin, this key's run; attempts born until then are its repeats."""
+    """The sender runs this key, or is about to; attempts born up to ``until_s`` are repeats of that run."""
 
     key: bytes
     digest: bytes
@@ -28,17 +28,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimsSynced:
-    """All that the sender had claimed has been sent; from here on each claim is sent before its run."""
+    """All existing claims of the sender have been sent; later claims are sent before their runs begin."""
 
 
 @dataclass(frozen=True, slots=True)
 class SuccessorReady:
-    """The successor takes connections, and its health check answers yes."""
+    """The successor accepts connections, and its health check reports ready."""
 
 
 @dataclass(frozen=True, slots=True)
 class GrantRequest:
-    """A successor requests the right to run a key, for an attempt that was born then."""
+    """A successor requests the right to run a key until ``until_s``, for an attempt born at ``born_s``."""
 
     key: bytes
     digest: bytes
@@ -48,28 +48,28 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyGranted:
-    """The successor may run the key until the end that it requested."""
+    """The successor may run the key until the time that it requested."""
 
     key: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class KeyDenied:
-    """The key is claimed; its ``KeyClaimed`` came before."""
+    """The key is not granted: a preceding ``KeyClaimed`` claims it, or the sender is in doubt."""
 
     key: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class KeyReleased:
-    """The sender's claim is void: nothing was run."""
+    """The sender gives up its claim or grant of the key, as no run began."""
 
     key: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class RunEnded:
-    """The run under the sender's claim is over, with this result or with none."""
+    """The run under the sender's claim has ended, with this result or without one."""
 
     key: bytes
     succeeded: bool
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What the sender has in flight now."""
+    """The current load of the sender."""
 
     runs: int
     kb: float
@@ -89,14 +89,14 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainCommand:
-    """An operator's command: whether the node is drained."""
+    """An operator's command that sets whether the node is drained."""
 
     drained: bool
 
 
 @dataclass(frozen=True, slots=True)
 class Leaving:
-    """The sender has had the notice to leave."""
+    """The sender was asked to leave."""
 
 
 Message = (
--- a/beechrock/handover/node.py
+++ b/beechrock/handover/node.py
@@ -1,4 +1,4 @@
-"""The actor of a replacement: between the module's actor, the other process, and the shared socket."""
+"""The handover's actor, which connects the module's actor, the other process and the shared socket."""
 
 import asyncio
 import logging
@@ -32,12 +32,14 @@
 from beechrock.handover.successors import Successors
 
 log = logging.getLogger("beechrock")
-PULSE_S = 0.01  # the other hears of our load so often; its own batches come no closer than 4 ms
-SWEEP_S = 1.0
+# Seconds between two pulses, and so between two load reports. The other process makes its decisions in
+# batches at least 4 ms apart.
+PULSE_S = 0.01
+SWEEP_S = 1.0  # Seconds between two sweeps of expired claims
 
 
 class Handover:
-    """One process's part in a replacement: wires the parts, and takes the other's messages to them."""
+    """One process's side of a replacement; dispatches the messages of the other process to its parts."""
 
     def __init__(
         self,
@@ -50,9 +52,12 @@
         self.module = module
         self.counters = module.counters
         self.origin_s = origin_s
-        self.drained: Callable[[], bool] = lambda: False  # whether an operator drains this node
-        self.on_drain_command: Callable[[bool], None] = lambda _: None  # an operator's command at the other
-        self.on_change: Callable[[], None] = lambda: None  # whether connections are taken may have changed
+        # Returns whether an operator has drained this node.
+        self.drained: Callable[[], bool] = lambda: False
+        # Called with an operator's drain command that arrived at the other process.
+        self.on_drain_command: Callable[[bool], None] = lambda _: None
+        # Called when this process may have to start or stop accepting connections.
+        self.on_change: Callable[[], None] = lambda: None
         self.lifecycle = Lifecycle()
         self.links = PeerLinks()
         self.keys = KeyPartner(module, self.links)
@@ -73,9 +78,9 @@
         self.predecessor = PredecessorLink(parts, self)
         self.successors = Successors(parts, self, self.copy)
         self._connections = connections
-        self._silence = Silence()  # of the other process, from the notice to leave on
-        self._watched: ChannelPeer | None = None
-        self._pulsing: asyncio.Task[None] | None = None
+        self._silence = Silence()  # Detects, while this process is leaving, that the other one reads nothing
+        self._watched_peer: ChannelPeer | None = None  # Channel that ``_silence`` observes
+        self._pulse_task: asyncio.Task[None] | None = None
         self._swept_at_s = module.clock()
 
     def _changed(self) -> None:
@@ -83,12 +88,15 @@
 
     @property
     def serving(self) -> bool:
-        """Return whether to say yes: SIGTERM may then come to the predecessor at once, so it hears before."""
+        """Return whether the health check may report ready.
+
+        SIGTERM may follow at the predecessor at once, so ``SuccessorReady`` must have been sent to it before.
+        """
         synced = self.lifecycle.predecessor is PredecessorStage.SYNCED
         return self.lifecycle.serving and (self.predecessor.ready_sent or not synced)
 
     async def run(self) -> None:
-        """Listen for a successor, and find the predecessor."""
+        """Listen for successors, and serve the channel to the predecessor until that has ended."""
         if self.channel is None:
             log.warning("handover: TMPDIR is not set: this process can neither follow nor be followed")
             self._on_predecessor_absent()
@@ -98,7 +106,7 @@
             self._on_predecessor_absent()
 
     def _on_predecessor_absent(self) -> None:
-        """Become the authority: there is no predecessor, or none any more."""
+        """Become the authority on keys, as no predecessor exists any more."""
         ownership = self.keys.ownership
         if ownership.role is not PeerRole.ABSENT:
             known = len(ownership.other_claims.claims)
@@ -109,7 +117,7 @@
         self.successors.join_next()
 
     def receive(self, peer: ChannelPeer, message: Message) -> None:
-        """Take in a message of the other process, or of a successor that waits."""
+        """Dispatch a message of the other process, or of a successor that waits to join."""
         match message:
             case Hello(version):
                 self._on_hello(peer, version == VERSION)
@@ -130,7 +138,7 @@
                 self.lifecycle.other_leaving = True
                 self.on_change()
             case GrantRequest() if peer.lost:
-                pass  # the last messages of a channel that has ended: no answer would arrive
+                pass  # read from a channel that has ended: a reply could not arrive
             case _ if peer is self.links.current:
                 self.keys.receive(message)
 
@@ -144,29 +152,29 @@
             self.on_change()
 
     def _on_drain_command(self, peer: ChannelPeer, drained: bool) -> None:
-        """Follow an operator's command at the other process.
+        """Apply an operator's drain command that was given at the other process.
 
-        Two commands may cross, and each process would go by the other's for ever: what the older process
-        holds last is the last command for both.
+        If two commands cross, each process would keep the other's for ever. The older process therefore sends
+        back what it has applied, so that both end with its state.
         """
         self.on_drain_command(drained)
         if peer.is_successor:
             peer.send(DrainCommand(drained))
 
     def _start_pulse(self) -> None:
-        if self._pulsing is None or self._pulsing.done():
-            self._pulsing = self.counters.spawn(self._pulses(), "handover.pulse")
+        if self._pulse_task is None or self._pulse_task.done():
+            self._pulse_task = self.counters.spawn(self._run_pulses(), "handover.pulse")
 
-    async def _pulses(self) -> None:
+    async def _run_pulses(self) -> None:
         while self.links.current is not None or self.lifecycle.predecessor is not PredecessorStage.ABSENT:
             try:
                 self.pulse()
-            except Exception as error:  # without pulses no successor would ever be ready
+            except Exception as error:  # the loop must go on: without pulses no successor would become ready
                 self.counters.record_error("handover.pulse", error)
             await asyncio.sleep(PULSE_S)
 
     def pulse(self) -> None:
-        """Do what time brings: deadlines, the own load, and what is swept."""
+        """Do the periodic work: check deadlines, report the own load, and sweep expired claims."""
         now_s = self.module.clock()
         lifecycle = self.lifecycle
         served = lifecycle.serving
@@ -187,14 +195,14 @@
             self.keys.sweep(now_s)
 
     def _watch_other(self, now_s: float) -> None:
-        """While leaving: accept connections again if the other reads nothing, as it may be stopped."""
+        """While leaving, accept connections again if the other process reads nothing and may be stopped."""
         peer = self.links.current
         if peer is None or not self.lifecycle.leaving:
             return
-        if peer is not self._watched:
-            self._watched = peer
+        if peer is not self._watched_peer:
+            self._watched_peer = peer
             self._silence = Silence()
-        self._silence.look(now_s, peer.has_unread())
+        self._silence.observe(now_s, peer.has_unread())
         if self._silence.probe(now_s):
             self.load.send(unchanged=True)
         if self._silence.silent is not self.lifecycle.other_silent:
@@ -205,11 +213,11 @@
             self.on_change()
 
     def send_drain_command(self, drained: bool) -> None:
-        """Let an operator's command here hold at the other process too."""
+        """Forward an operator's drain command to the other process."""
         self.links.send(DrainCommand(drained))
 
     def leave(self) -> bool:
-        """Take the notice to leave; return whether another process goes on as this node."""
+        """Begin to leave; return whether another process continues as this node."""
         self.lifecycle.on_leave()
         self.links.send(Leaving())
         if self.successors.incompatible_there:
@@ -217,7 +225,7 @@
         return self.lifecycle.replaced
 
     def may_go(self) -> bool:
-        """Return whether nothing is owed here any more, and what comes is the successor's."""
+        """Return whether this process may exit: the other one serves the node, and no work is left here."""
         peer = self.links.current
         return (
             self.lifecycle.replaced
@@ -226,16 +234,16 @@
             and not self.module.mailbox
             and not self.keys.ownership.requests.waiting
             and self.copy.peer is None
-            and (peer is None or (peer.flushed and self._silence.heard))
+            and (peer is None or (peer.flushed and self._silence.has_read_all))
         )
 
     def end(self) -> None:
-        """Take no more connections; what is still done here is still sent to the other."""
+        """Accept no more connections; the channel still carries the results of the remaining runs."""
         self.lifecycle.on_end()
         self.on_change()
 
     def close(self) -> None:
-        """Take the last step: from here on the other decides alone."""
+        """Close the socket and all channels; from now on the other process decides alone."""
         self.lifecycle.on_end()
         if self.channel is not None:
             self.channel.close()
--- a/beechrock/handover/ownership.py
+++ b/beechrock/handover/ownership.py
@@ -1,16 +1,16 @@
-"""Which of two processes may run a keyed request. Pure.
+"""Rules on which of two processes may run a keyed request. Pure.
 
-One of them, the predecessor, is the authority. It runs what it likes, but says so before (``KeyClaimed``).
-The successor requests each key (``GrantRequest``) and runs it only when that is ``KeyGranted``. Once the
-predecessor is gone, and all that it sent has been read, the successor decides by itself.
+The predecessor is the authority: it may run any key, but announces each run in advance (``KeyClaimed``). The
+successor requests each key (``GrantRequest``) and runs it only after ``KeyGranted``. Once the predecessor has
+ended and all of its messages have been read, the successor decides alone.
 
-States (``PeerRole``): what the other process is to this one. Events: attempts here (``decide``,
+States (``PeerRole``): the role of the other process towards this one. Events: attempts here (``decide``,
 ``claim_run``, ``release``, ``end_run``, ``finish_use``), messages (``receive``), ``on_claims_synced``,
 ``on_peer_lost``, and time (``expired_waits``, ``sweep``).
 
-Invariants: a key is never granted while it is claimed by either; what was granted is released only when no
-attempt here uses it any more and none was claimed; what the other held when it went is never free in its
-window.
+Invariants: a key is never granted while either process claims it; a grant is released only when no attempt
+here uses it and no run was claimed under it; a key that the other process held when it ended never runs again
+within its window.
 """
 
 import math
@@ -36,25 +36,25 @@
 
 
 class PeerRole(Enum):
-    """What the other process is to this one."""
+    """Role of the other process towards this one."""
 
     ABSENT = "absent"
     PREDECESSOR = "predecessor"
     SUCCESSOR = "successor"
-    INCOMPATIBLE = "incompatible"  # a predecessor that cannot be understood
+    INCOMPATIBLE = "incompatible"  # A predecessor whose messages cannot be understood
 
 
 class Decision(Enum):
-    """What is to become of an attempt."""
+    """Decision on a keyed attempt."""
 
-    RUN = "run"  # by what is known here: fresh, or a repeat of what ``find_claim`` gives
-    WAIT = "wait"  # the other has been asked for it
-    REJECT = "reject"  # nobody can tell: it must not run
+    RUN = "run"  # The attempt may run, or repeats the run that ``find_claim`` returns
+    WAIT = "wait"  # The predecessor was asked to grant the key; the attempt waits for the reply
+    REJECT = "reject"  # The key may have run elsewhere, so the attempt must not run
 
 
 @dataclass(frozen=True, slots=True)
 class EarlierRun:
-    """A run of a key that still counts, as a later one never began."""
+    """An earlier run of a key that counts again because the later one never began."""
 
     digest: bytes
     until_s: float
@@ -62,14 +62,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome(Generic[T]):
-    """What an event settles: attempts that may go on now, and claims that are over."""
+    """Result of an event: attempts whose wait is over, and claims that have ended."""
 
     attempts: tuple[T, ...] = ()
     ended: tuple[Claim, ...] = ()
 
 
 class KeyOwnership(Generic[T]):
-    """The claims of one process; ``T`` names a waiting attempt, ``outbox`` is what to send to the other."""
+    """Key ownership as one process sees it; ``T`` is the type of an attempt.
+
+    ``outbox`` holds the messages that are to be sent to the other process.
+    """
 
     def __init__(self, window_s: float, linger_s: float, max_claims: int, max_result_bytes: int) -> None:
         self.role = PeerRole.ABSENT
@@ -78,15 +81,16 @@
         self.grants = GrantTable(linger_s)
         self.requests: GrantRequests[T] = GrantRequests()
         self.outbox: list[Message] = []
-        self.claims_missing = False  # a predecessor was there, and not all of its claims were received
+        # Whether a predecessor exists, or existed, whose claims were not all received.
+        self.claims_missing = False
 
     @property
     def is_idle(self) -> bool:
-        """Return whether no other process, and nothing that one left, has a say on any key."""
+        """Return whether no other process exists, and no claim or doubt of an earlier one remains."""
         return self.role is PeerRole.ABSENT and not self.other_claims.claims and not self.doubt.until_s
 
     def find_claim(self, key: bytes, born_s: float) -> Claim | None:
-        """Return the other's claim of which an attempt born then is a repeat."""
+        """Return the other process's claim whose run an attempt with this birth time repeats, or None."""
         return self.other_claims.find(key, born_s)
 
     def decide(
@@ -99,7 +103,10 @@
         now_s: float,
         due_s: float = math.inf,
     ) -> Decision:
-        """Decide on an attempt whose key nobody here holds; it is owed its answer when it is due."""
+        """Decide on an attempt whose key is not held by a run here.
+
+        ``until_s`` is the window end of a run of this attempt, and ``due_s`` the time when its answer is due.
+        """
         if self.other_claims.find(key, born_s) is not None:
             return Decision.RUN
         if self.role is PeerRole.INCOMPATIBLE or self.doubt.covers(born_s, until_s - born_s, now_s):
@@ -113,13 +120,13 @@
                 return Decision.RUN
             if grant.uses > 0:
                 return Decision.REJECT
-            # An earlier grant that is still there is no answer to a new request.
-            self._tell_window(key, grant)
+            # The earlier grant must not count as the reply to the new request.
+            self._send_window_end(key, grant)
             del self.grants.grants[key]
         return self._request_grant(GrantRequest(key, digest, born_s, until_s), attempt, now_s, due_s)
 
     def _request_grant(self, wanted: GrantRequest, attempt: T, now_s: float, due_s: float) -> Decision:
-        """Request a key of the predecessor, or join a request that reaches as far."""
+        """Request a key from the predecessor, or wait for an open request that covers the attempt too."""
         if self.requests.is_full or self.grants.is_full:
             return Decision.REJECT
         pending = self.requests.pending.get(wanted.key)
@@ -133,33 +140,34 @@
         self.requests.wait(pending, attempt, due_s)
         return Decision.WAIT
 
-    def claim_run(self, key: bytes, digest: bytes, until_s: float, earlier_goes_on: bool = False) -> bool:
-        """Note that an attempt here is about to run; return whether it may.
+    def claim_run(self, key: bytes, digest: bytes, until_s: float, earlier_run_open: bool = False) -> bool:
+        """Claim the key for an attempt that is about to run here, and return whether it may run.
 
-        It may not by a grant that went back as another attempt, which had it too, never began.
-        ``earlier_goes_on``: the key's run before, whose window is over, has not ended. No end of it will be
-        told, so what the other knows of it ends here; else it would take both for one run.
+        It may not if its grant was returned because another attempt under the same grant never began.
+        ``earlier_run_open`` says that the key's previous run is still open although its window is over. The
+        other process is told now that it has ended, as it will get no other end of it and would take both
+        runs for one.
         """
         grant = self.grants.grants.get(key)
         if grant is not None and grant.given_back:
             return False
         if grant is not None:
-            if until_s > grant.until_s:  # an entry that is held for longer than a window
+            if until_s > grant.until_s:  # the table holds the key for longer than the grant
                 self.outbox.append(KeyClaimed(key, digest, until_s))
             grant.claimed = True
             grant.until_s = max(until_s, grant.until_s)
             grant.run_until_s = until_s
             grant.digest = digest
         elif self.role is PeerRole.SUCCESSOR:
-            if earlier_goes_on:
+            if earlier_run_open:
                 self.outbox.append(RunEnded(key, False))
             self.outbox.append(KeyClaimed(key, digest, until_s))
         return True
 
     def release(self, key: bytes, earlier: EarlierRun | None = None) -> None:
-        """Note that a claimed attempt did not run after all; ``earlier`` is a run before it that counts."""
+        """Release the claim of an attempt that did not run; ``earlier`` is the run that counts again."""
         known = self.other_claims.claims.get(key)
-        # The run of a process before this one counts as well, and the successor knows of it from here alone.
+        # A run of an earlier process counts as well, and only this process can tell the successor of it.
         if (
             self.role is PeerRole.SUCCESSOR
             and known is not None
@@ -177,7 +185,10 @@
             self.outbox.append(KeyReleased(key))
 
     def _restore(self, key: bytes, earlier: EarlierRun) -> None:
-        """Go by the run before again, here and there. Its result is not sent again: a repeat there fails."""
+        """Make the key's earlier run count again at both processes.
+
+        Its result is not sent again, so a repeat at the other process fails.
+        """
         grant = self.grants.grants.get(key)
         if grant is not None:
             grant.claimed = True
@@ -192,30 +203,30 @@
             ]
 
     def end_run(self, key: bytes, succeeded: bool, media: str, result: bytes) -> None:
-        """Note that a run here is over."""
+        """Note that a run here has ended."""
         grant = self.grants.grants.get(key)
         if grant is not None:
-            self._tell_window(key, grant)
+            self._send_window_end(key, grant)
         if self.role in (PeerRole.SUCCESSOR, PeerRole.PREDECESSOR):
             self.outbox.append(RunEnded(key, succeeded, media, result))
 
-    def _tell_window(self, key: bytes, grant: Grant) -> None:
-        """Tell the other process that the key is held for its run's window alone, not for all of its grant.
+    def _send_window_end(self, key: bytes, grant: Grant) -> None:
+        """Shorten the other process's claim from the end of the grant to the end of its run's window.
 
-        Not before the run has ended, or another one is wanted: until then it may turn out never to have run,
-        and further attempts may go by the whole grant.
+        This must wait until the run has ended or another run of the key is requested. Until then the run may
+        turn out never to have begun, and further attempts may use the whole grant.
         """
         if grant.claimed and grant.run_until_s < grant.until_s:
             grant.until_s = grant.run_until_s
             self.outbox.append(KeyClaimed(key, grant.digest, grant.run_until_s))
 
     def finish_use(self, key: bytes) -> None:
-        """Note that an attempt that goes by a grant has no further use of it."""
+        """Note that an attempt no longer uses the key's grant, and release the grant if it is unused."""
         if self.grants.finish_use(key):
             self.outbox.append(KeyReleased(key))
 
     def receive(self, message: Message, held: bool) -> Outcome[T]:
-        """Take a message of the other process in. ``held``: an attempt here holds the requested key."""
+        """Process a message of the other process; ``held`` says whether a requested key must be denied."""
         match message:
             case KeyClaimed(key, digest, until_s):
                 self.other_claims.add(Claim(key, digest, until_s))
@@ -228,23 +239,23 @@
             case KeyGranted(key):
                 return Outcome(self._use_grant(key))
             case KeyDenied(key):
-                return Outcome(tuple(self.requests.answered(key)))
+                return Outcome(tuple(self.requests.remove(key)))
         return Outcome()
 
     def _use_grant(self, key: bytes) -> tuple[T, ...]:
-        """Use a grant for the attempts that wait for it, or give it back."""
+        """Use a grant for the attempts that wait for it, or release it if none does."""
         pending = self.requests.pending.get(key)
-        attempts = tuple(self.requests.answered(key))
+        attempts = tuple(self.requests.remove(key))
         if pending is not None and attempts:
             self.grants.grants[key] = Grant(len(attempts), until_s=pending.request.until_s)
-        elif key not in self.grants.grants:  # all were rejected meanwhile, or have gone
+        elif key not in self.grants.grants:  # no attempt waits any more
             self.outbox.append(KeyReleased(key))
         return attempts
 
     def _answer_request(self, request: GrantRequest, held: bool) -> list[Claim]:
-        """Grant a key or deny it; return the other's claims that end by it."""
+        """Grant or deny a requested key; return claims of the other process that the grant ends."""
         claim = self.other_claims.find(request.key, request.born_s)
-        if claim is not None and claim.ended:  # it ran, and the other no longer knows that it did
+        if claim is not None and claim.ended:  # the other process has forgotten its own run
             self.outbox += [
                 KeyClaimed(request.key, claim.digest, claim.until_s),
                 RunEnded(request.key, claim.succeeded, claim.media, claim.result),
@@ -258,26 +269,26 @@
         return []
 
     def on_claims_synced(self) -> None:
-        """Note that all claims of the predecessor are known, and send open requests again."""
+        """Note that all claims of the predecessor are known, and resend the open requests."""
         self.role = PeerRole.PREDECESSOR
         self.claims_missing = False
         self.outbox += self.requests.renew()
 
     def on_peer_lost(self, now_s: float) -> Outcome[T]:
-        """Note that the other process is gone, and all that it sent has been read."""
-        if self.role is PeerRole.INCOMPATIBLE or self.claims_missing:  # nobody knows what it ran
+        """Note that the other process has ended and all of its messages have been read."""
+        if self.role is PeerRole.INCOMPATIBLE or self.claims_missing:  # some of its runs may be unknown
             self.doubt.process_lost(now_s)
         self.role = PeerRole.ABSENT
         self.claims_missing = False
         self.grants.grants.clear()
         ended = tuple(self.other_claims.end_all_open())
-        return Outcome(tuple(self.requests.answer_all()), ended)
+        return Outcome(tuple(self.requests.remove_all()), ended)
 
     def expired_waits(self, now_s: float) -> list[T]:
-        """Return the attempts whose request was not answered in time."""
+        """Remove and return the attempts whose wait for a reply has timed out."""
         return self.requests.expired(now_s)
 
     def sweep(self, now_s: float) -> None:
-        """Drop what no attempt can repeat any more."""
+        """Drop grants and claims that no later attempt can use."""
         self.grants.sweep(now_s)
         self.other_claims.sweep(now_s)
--- a/beechrock/handover/peer.py
+++ b/beechrock/handover/peer.py
@@ -14,22 +14,26 @@
 
 log = logging.getLogger("beechrock")
 MAX_OUTPUT_BYTES = 1 << 18
-MAX_UNREAD_MESSAGES = 30_000  # a process that reads nothing for so long is cut off
-MAX_UNREAD_BYTES = 1 << 20  # of an ended channel: more than the kernel and the stream hold
+MAX_UNREAD_MESSAGES = (
+    30_000  # Number of queued messages at which the channel to a process that reads none is cut
+)
+# Maximum bytes read from a channel after its end; the kernel and the stream together buffer fewer.
+MAX_UNREAD_BYTES = 1 << 20
 
 
 class Owner(Protocol):
-    """Whoever receives what comes over a channel."""
+    """Receiver of the messages of a channel."""
 
     counters: Counters
-    origin_s: float  # what its steady time is ahead of the monotonic clock, which both processes share
+    # Seconds by which the local steady time is ahead of the monotonic clock, which both processes share.
+    origin_s: float
 
     def receive(self, peer: "ChannelPeer", message: Message) -> None:
-        """Take in one message, in the order in which they were sent."""
+        """Process one message; messages arrive in the order in which they were sent."""
 
 
 class ChannelPeer(ConnectionActor[Message]):
-    """One end; what can be written at once is in the kernel's hands before ``send`` returns."""
+    """One end of a channel; ``send`` writes directly to the kernel's buffer whenever that has room."""
 
     where = "handover"
 
@@ -37,11 +41,13 @@
         super().__init__(owner.counters, wire.MAX_MESSAGE_BYTES + 4, MAX_OUTPUT_BYTES, MAX_UNREAD_MESSAGES)
         self.owner = owner
         self.is_successor = is_successor
-        self.incompatible = False  # of another version: nothing of it is read, only its end is noticed
-        self.unreadable = False  # something came that is no message: what followed it was not received
+        # Whether the other process has another version, so that its messages are ignored.
+        self.incompatible = False
+        # Whether input was lost, as it could not be decoded or read: later messages were not received.
+        self.unreadable = False
 
     def parse(self) -> None:
-        """Hand the complete messages of the input to the owner. BadInputError."""
+        """Pass the complete messages of the input to the owner. Raises BadInputError."""
         try:
             while len(self.inbox) >= 4 and not self.incompatible:
                 size = wire.decode_length(self.inbox.peek(4))
@@ -57,19 +63,19 @@
             self.inbox.skip(len(self.inbox))
 
     def encode(self, message: Message) -> bytes:
-        """Return the message as bytes, its times by the monotonic clock."""
+        """Return the message as bytes, with its times converted to the monotonic clock."""
         return wire.encode(wire.shift_times(message, -self.owner.origin_s))
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve until the channel ends; what the other process had sent is received to its last byte.
+        """Serve until the channel ends, and receive all bytes that the other process had sent.
 
-        The first write after the other process was killed fails, and asyncio's transport reads no more after
-        that. Claims that lie in the kernel would be lost, and their keys run once more.
+        The first write after the other process was killed fails, after which asyncio's transport reads no
+        more. Claims that are still in the kernel's buffer would be lost, and their keys would run twice.
         """
-        try:  # a second descriptor keeps the kernel's queue when the transport closes its own
+        try:  # a second descriptor keeps the kernel's buffer when the transport closes its own
             unread: socket.socket = writer.get_extra_info("socket").dup()
         except OSError as error:
-            log.warning("handover: %s", error)
+            log.warning("handover: duplicating the channel's descriptor failed: %s", error)
             self.unreadable = True
             self.drop()
             writer.transport.abort()
@@ -80,8 +86,8 @@
                 self._receive_rest(bytes(getattr(reader, "_buffer", b"")), unread)
 
     def _receive_rest(self, data: bytes, unread: socket.socket) -> None:
-        """Read what the kernel still holds, and parse it behind ``data``."""
-        with contextlib.suppress(OSError):  # nothing more is there, or a reset
+        """Parse ``data``, followed by the bytes that are still in the kernel's buffer."""
+        with contextlib.suppress(OSError):  # the buffer is empty, or the connection was reset
             while len(data) < MAX_UNREAD_BYTES and (more := unread.recv(CHUNK)):
                 data += more
         try:
@@ -94,50 +100,51 @@
             self.bad_input(str(error))
 
     def _crowded(self) -> bool:
-        """Never stop reading: what the other sent counts, also if it is killed while it reads nothing."""
+        """Return False, as input is always read: claims count even if their sender does not read."""
         return False
 
     def send(self, message: Message) -> bool:
-        """Send; return whether the other process will read this even if this one is killed now."""
+        """Send a message; return whether the other process will read it even if this one is killed now."""
         writer = self._writer
         if self.lost or self.broken or writer is None or not self.flushed:
             if not self.lost and not self.post(message):
-                self._cut(writer)  # it reads nothing; it may come back and read all anew
+                self._cut(writer)  # the other process reads nothing; after a reconnect it gets a new copy
             return False
         if unsent_bytes(writer):
             self.post(message)
             return False
         writer.write(self.encode(message))
-        # A write that fails empties the buffer too, and closes: the other may live, and has not received it.
+        # A failed write also empties the buffer, and closes the transport. The other process may live, but
+        # has not received the message.
         return unsent_bytes(writer) == 0 and not writer.transport.is_closing()
 
     def has_unread(self) -> bool:
-        """Return whether the other process has yet to read something that was sent."""
+        """Return whether the other process has not yet read all that was sent."""
         if not self.flushed or self._writer is None:
             return not self.flushed
         return unsent_bytes(self._writer) > 0 or has_undelivered(self._writer)
 
     def _cut(self, writer: asyncio.StreamWriter | None) -> None:
-        """End both directions; what the other has sent until now is received, parsed yet or not."""
+        """Shut down both directions; what the other process has already sent is still received."""
         if writer is None:
             self.drop()
             return
-        with contextlib.suppress(OSError):  # it has ended by itself
+        with contextlib.suppress(OSError):  # the connection has already ended
             writer.get_extra_info("socket").shutdown(socket.SHUT_RDWR)
 
     def bad_input(self, problem: str) -> None:
-        """Drop a channel that brought what is no message."""
-        log.warning("handover: %s", problem)
+        """Drop the channel after input that is not a valid message."""
+        log.warning("handover: dropping the channel: %s", problem)
         self.unreadable = True
         self.drop()
 
     def input_ended(self) -> None:
-        """Count the channel as broken: half a channel is none."""
+        """Mark the channel as broken, as it is useless with one direction closed."""
         self.broken = True
 
 
 class PeerLinks:
-    """The channels to the other process: towards the predecessor, or else towards the successor."""
+    """The channels to the predecessor and to the joined successor."""
 
     def __init__(self) -> None:
         self.predecessor: ChannelPeer | None = None
@@ -145,10 +152,10 @@
 
     @property
     def current(self) -> ChannelPeer | None:
-        """Return the channel to the other process, as far as keys go."""
+        """Return the channel that keys are negotiated over: the predecessor's, else the successor's."""
         return self.predecessor if self.predecessor is not None else self.successor
 
     def send(self, message: Message) -> bool:
-        """Send to the other process, if there is one; return whether it will read this for certain."""
+        """Send to the current peer, if any; return whether it will certainly read the message."""
         peer = self.current
         return peer is not None and peer.send(message)
--- a/beechrock/handover/predecessor.py
+++ b/beechrock/handover/predecessor.py
@@ -1,4 +1,4 @@
-"""The way in: finds the predecessor, reads its claims, and says when this process takes connections."""
+"""The channel to the predecessor: connects, receives its claims, and announces that this process is ready."""
 
 import asyncio
 import logging
@@ -14,29 +14,29 @@
 
 
 class PredecessorLink:
-    """The channel to the predecessor, made anew for as long as that process is there."""
+    """The channel to the predecessor, which is reopened for as long as that process exists."""
 
     def __init__(self, parts: SharedParts, owner: Owner) -> None:
-        self.ready_sent = False  # over the present channel
+        self.ready_sent = False  # Whether ``SuccessorReady`` was sent over the current channel
         self._parts = parts
         self._owner = owner
 
     async def run(self, channel: Channel) -> bool:
         """Serve channels to the predecessor, one after the other.
 
-        Return True once there is none any more, False where this process ends before.
+        Returns True once no predecessor exists any more, and False if this process ends before.
         """
         while True:
             try:
                 connection = await channel.connect()
-            except OSError as error:  # it may be there, and cannot be reached, for as long as it is stopped
+            except OSError as error:  # a predecessor may exist that is stopped and cannot be reached
                 self._note_unreachable(error)
                 await asyncio.sleep(RETRY_S)
                 continue
             ownership = self._parts.keys.ownership
             if connection is None:
-                # Killed before it was reached, it left only its socket: what it ran is not known.
-                ownership.claims_missing = ownership.claims_missing or channel.killed_unknown
+                # A process that was killed before a sync has left its socket: its runs are not all known.
+                ownership.claims_missing = ownership.claims_missing or channel.killed_before_sync
                 return True
             await self._serve(channel, *connection)
             if self._parts.lifecycle.ended:
@@ -50,13 +50,13 @@
     def _note_unreachable(self, error: OSError) -> None:
         counters = self._parts.counters
         if not counters["handover.unreachable"]:
-            log.warning("handover: predecessor: %s", error)
+            log.warning("handover: cannot connect to the predecessor: %s", error)
         counters.add("handover.unreachable")
         self._note_found()
         self._parts.start_pulse()
 
     def _note_found(self) -> None:
-        """Note that a predecessor is there, and that its claims are not known yet."""
+        """Note that a predecessor exists whose claims are not known yet."""
         self._parts.lifecycle.on_connected(self._parts.module.clock())
         self._parts.keys.ownership.claims_missing = True
 
@@ -76,7 +76,7 @@
         self.ready_sent = False
 
     def on_hello(self, peer: ChannelPeer, understood: bool) -> None:
-        """Take in the predecessor's first message, of this version or not."""
+        """Process the predecessor's hello; ``understood`` says whether it has this version."""
         self._parts.lifecycle.on_hello(self._parts.module.clock(), understood)
         if not understood:
             peer.incompatible = True
@@ -94,15 +94,15 @@
         parts.on_change()
 
     def mark_incompatible(self) -> None:
-        """Run no key beside a predecessor that cannot be understood."""
+        """Reject all keyed requests, as the predecessor's messages cannot be understood."""
         ownership = self._parts.keys.ownership
         if ownership.role is not PeerRole.INCOMPATIBLE:
-            log.warning("handover: the predecessor cannot be understood; keyed requests are turned away")
+            log.warning("handover: the predecessor cannot be understood; keyed requests are rejected")
             ownership.role = PeerRole.INCOMPATIBLE
             self._parts.on_change()
 
     def announce_ready(self) -> None:
-        """Tell the predecessor, once over each channel, that this process takes connections."""
+        """Tell the predecessor, once per channel, that this process accepts connections."""
         lifecycle = self._parts.lifecycle
         peer = self._parts.links.predecessor
         if lifecycle.predecessor is not PredecessorStage.SYNCED or not lifecycle.serving:
@@ -110,7 +110,7 @@
         if self.ready_sent or peer is None:
             return
         self.ready_sent = True
-        # Over a new channel too: of two that leave, either would leave the socket to the other.
+        # A new channel must repeat this: if two processes leave, neither may rely on the other to accept.
         if lifecycle.leaving:
             peer.send(Leaving())
         peer.send(SuccessorReady())
--- a/beechrock/handover/shared.py
+++ b/beechrock/handover/shared.py
@@ -1,4 +1,4 @@
-"""What the predecessor's side and the successor's side of a replacement both use."""
+"""Parts that the channel to the predecessor and the channels to successors share."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -11,12 +11,12 @@
 from beechrock.handover.load_exchange import LoadExchange
 from beechrock.handover.peer import PeerLinks
 
-RETRY_S = 0.05  # between two attempts to reach a predecessor, or two looks whether the doubt is over
+RETRY_S = 0.05  # Seconds between two attempts to reach a predecessor, or two checks whether the doubt is over
 
 
 @dataclass(frozen=True, slots=True)
 class SharedParts:
-    """The parts of one process; each owns its state."""
+    """The components of one process's handover; each owns its state."""
 
     module: ModuleActor
     counters: Counters
@@ -25,5 +25,6 @@
     keys: KeyPartner
     load: LoadExchange
     channel: Channel | None
-    on_change: Callable[[], None]  # whether connections are taken may have changed
+    # Called when this process may have to start or stop accepting connections.
+    on_change: Callable[[], None]
     start_pulse: Callable[[], None]
--- a/beechrock/handover/silence.py
+++ b/beechrock/handover/silence.py
@@ -1,40 +1,44 @@
-"""Whether the other process still reads what it is sent, as long as this one leaves connections to it. Pure.
+"""Detection that the other process reads nothing, while connections are left to it. Pure.
 
-A process that is stopped keeps its channel open, and sends nothing, as one does that has nothing to say. What
-tells them apart is that the kernel still holds what was sent to it.
+A stopped process keeps its channel open and sends nothing, exactly like an idle one. The difference is that
+messages to a stopped process stay unread in the kernel's buffer.
 
-States: NOT HEARD (nothing has been read since the watch began), READING, UNREAD for some time, SILENT.
+States: NOT HEARD (not all messages have been read at any time since the start), READING, UNREAD for some
+time, SILENT.
 """
 
-# Several times the pause of a loop under an upgrade, and well under the time that a request has.
+# Seconds without any reading after which a process counts as stopped: several times the longest pause of an
+# event loop during an upgrade, and much less than the time limit of a request.
 SILENT_S = 0.3
-PROBE_S = 0.05  # between two messages that are sent for no other purpose
-MAX_STEP_S = 0.05  # by which the time between two looks counts: a pause of this process is not the other's
+PROBE_S = 0.05  # Seconds between two messages that are sent only to see whether they are read
+# Maximum seconds that count between two observations, so that a pause of this process does not count as
+# silence of the other one.
+MAX_STEP_S = 0.05
 
 
 class Silence:
-    """How long the other process has left something unread; times in seconds of one clock."""
+    """Time for which the other process has left messages unread; all times are seconds of one clock."""
 
     def __init__(self) -> None:
-        self.heard = False  # it has read all at some look
-        self._unread_s = 0.0
-        self._looked_at_s: float | None = None
-        self._probed_at_s: float | None = None
+        self.has_read_all = False  # Whether all messages were read at some observation
+        self._unread_s = 0.0  # Seconds for which messages have been unread
+        self._observed_at_s: float | None = None  # Time of the last observation
+        self._probed_at_s: float | None = None  # Time of the last probe
 
     @property
     def silent(self) -> bool:
-        """Return whether it has read nothing for so long that it counts as stopped."""
+        """Return whether messages have been unread for so long that the other process counts as stopped."""
         return self._unread_s >= SILENT_S
 
-    def look(self, now_s: float, unread: bool) -> None:
-        """Note whether something that was sent is unread now."""
-        step_s = 0.0 if self._looked_at_s is None else min(now_s - self._looked_at_s, MAX_STEP_S)
-        self._looked_at_s = now_s
+    def observe(self, now_s: float, unread: bool) -> None:
+        """Note whether any sent message is unread now."""
+        step_s = 0.0 if self._observed_at_s is None else min(now_s - self._observed_at_s, MAX_STEP_S)
+        self._observed_at_s = now_s
         self._unread_s = self._unread_s + step_s if unread else 0.0
-        self.heard = self.heard or not unread
+        self.has_read_all = self.has_read_all or not unread
 
     def probe(self, now_s: float) -> bool:
-        """Return whether something is to be sent now, so that the next looks can tell."""
+        """Return whether to send a message now, so that later observations can show whether it is read."""
         due = self._probed_at_s is None or now_s - self._probed_at_s >= PROBE_S
         if due and not self._unread_s:
             self._probed_at_s = now_s
--- a/beechrock/handover/successors.py
+++ b/beechrock/handover/successors.py
@@ -1,4 +1,4 @@
-"""The way out: successors that come, one of which joins at a time; the others wait for it."""
+"""The channels to successors, of which one at a time joins while the others wait."""
 
 import asyncio
 import logging
@@ -11,26 +11,29 @@
 from beechrock.handover.shared import RETRY_S, SharedParts
 
 log = logging.getLogger("beechrock")
-LISTEN_RETRY_S = 0.25  # between two attempts to listen; a successor takes as long to start
+LISTEN_RETRY_S = 0.25  # Seconds between two attempts to listen; a successor takes about as long to start
 MAX_WAITING_SUCCESSORS = 4
 
 
 class Successors:
-    """The successors of this process, joined or not."""
+    """The connected successors of this process, whether they have joined or wait."""
 
     def __init__(self, parts: SharedParts, owner: Owner, copy: ClaimCopy) -> None:
-        self.waiting: list[ChannelPeer] = []  # those that have not joined
+        self.waiting: list[ChannelPeer] = []  # Channels of successors that have not joined
         self._parts = parts
         self._owner = owner
         self._copy = copy
 
     @property
     def incompatible_there(self) -> bool:
-        """Return whether one waits that cannot be understood: that it has come has to do for a yes."""
+        """Return whether a successor of another version is connected.
+
+        It cannot announce that it is ready, so its connection counts as the announcement.
+        """
         return any(peer.incompatible for peer in self.waiting)
 
     def listen(self, channel: Channel) -> None:
-        """Listen for successors, now or once the folder takes a socket."""
+        """Listen for successors, and retry in the background until a socket can be created."""
         if not self._try_listen(channel):
             self._parts.counters.spawn(self._retry_listen(channel), "handover.listen")
 
@@ -46,7 +49,7 @@
         return True
 
     async def _retry_listen(self, channel: Channel) -> None:
-        """Listen once the folder has room: a successor that finds nobody would run keys once more."""
+        """Retry to listen until that succeeds: a successor that finds no predecessor would run keys twice."""
         while not self._parts.lifecycle.ended:
             await asyncio.sleep(LISTEN_RETRY_S)
             if not self._parts.lifecycle.ended and self._try_listen(channel):
@@ -69,13 +72,13 @@
             if peer.incompatible and parts.links.successor is None and not self.incompatible_there:
                 parts.lifecycle.on_successor_lost()
                 parts.on_change()
-        # A channel that this process closes on its way out is no successor's end: it takes no connections
-        # again, and runs no key that nobody knows of.
+        # When this process ends and closes the channel itself, the successor is not lost. This process must
+        # then not accept connections again, nor run keys that the successor does not know.
         if peer is parts.links.successor and not parts.lifecycle.ended:
             self._on_successor_lost()
 
     def _on_successor_lost(self) -> None:
-        """Go on alone after the joined successor's channel has ended."""
+        """Continue alone after the channel to the joined successor has ended."""
         parts = self._parts
         log.info("handover: the successor is gone")
         channel = parts.channel
@@ -90,27 +93,27 @@
         self.join_next()
 
     def on_hello(self, peer: ChannelPeer, understood: bool) -> None:
-        """Take in a successor's first message, of this version or not."""
+        """Process a successor's hello; ``understood`` says whether it has this version."""
         self.waiting.append(peer)
         if understood:
             self._join(peer)
-        else:  # it will request nothing; that it stands here says that it has come
+        else:  # it stays in ``waiting``, where ``incompatible_there`` finds it
             peer.incompatible = True
-            log.warning("handover: a successor of another version")
+            log.warning("handover: a successor of another version has connected")
 
     def join_next(self) -> None:
-        """Let the first successor that waits, and can be understood, join."""
+        """Let the first waiting successor of a compatible version join."""
         for peer in [peer for peer in self.waiting if not peer.incompatible][:1]:
             self._join(peer)
 
     def _join(self, peer: ChannelPeer) -> None:
-        """Copy all claims to a successor, if this process can vouch for them and serves no other one."""
+        """Start the copy to a successor if this process is the authority and no other one has joined."""
         parts = self._parts
         if not parts.lifecycle.authority or parts.links.successor is not None:
             peer.send(Deferral())
             return
-        # A copy without some runs would let the successor run them once more. Without one it serves all
-        # else, and turns keys away.
+        # An incomplete copy would let the successor run keys twice. Without a copy it serves unkeyed requests
+        # and rejects keyed ones.
         if parts.keys.misses_runs:
             parts.counters.spawn(self._join_after_doubt(), "handover.doubt")
             return
@@ -124,6 +127,7 @@
         parts.start_pulse()
 
     async def _join_after_doubt(self) -> None:
+        """Let the first waiting successor join once no run is unknown any more."""
         while self._parts.keys.misses_runs:
             await asyncio.sleep(RETRY_S)
         if self._parts.links.successor is None:
--- a/beechrock/handover/wire.py
+++ b/beechrock/handover/wire.py
@@ -1,12 +1,12 @@
-"""The messages between two processes of one node as bytes. Pure.
+"""Encoding of the messages between two processes of one node. Pure.
 
     message = length:4 type:1 payload      length counts the type and the payload
 
-``Hello`` comes first from both ends, and is the one message that no version may change: a magic word and a
-version. A process that meets another version reads nothing after it.
+``Hello`` is the first message from both ends: a magic word and a version. Its format is the same in all
+versions. A process that receives another version ignores all later messages.
 
-Times on the wire are seconds of the monotonic clock that all processes of a machine share (version 1: Unix
-seconds, which a step of the wall clock between two starts would have shifted).
+Times on the wire are seconds of the monotonic clock, which all processes of a machine share. Version 1 used
+Unix seconds, which a step of the wall clock between two starts would have shifted.
 """
 
 import math
@@ -33,11 +33,11 @@
 
 MAGIC = b"beechrock"
 MESSAGE_HEAD = struct.Struct(">IB")
-MAX_RESULT_BYTES = 65_536  # a longer result is not passed on: its repeats fail
+MAX_RESULT_BYTES = 65_536  # Maximum size of a result that is sent; repeats of runs with longer ones fail
 MAX_MESSAGE_BYTES = MAX_RESULT_BYTES + 512
-MAX_MEDIA_BYTES = 255  # with a longer media type the result is not passed on either
+MAX_MEDIA_BYTES = 255  # Maximum length of a media type; a result with a longer one is not sent either
 
-# By type number: the class, and the layout of its fields in order.
+# Message class and layout of its fields, in their order, by type number.
 LAYOUTS: dict[int, tuple[Callable[..., Message], struct.Struct]] = {
     2: (Deferral, struct.Struct(">")),
     3: (KeyClaimed, struct.Struct(">16s16sd")),
@@ -59,7 +59,7 @@
 
 
 class WireError(ValueError):
-    """Bytes that are no message."""
+    """Bytes that are not a valid message."""
 
 
 def encode(message: Message) -> bytes:
@@ -79,7 +79,10 @@
 
 
 def _encode_run_ended(message: RunEnded) -> bytes:
-    """Leave out what is too long whole: a media type cut within a character would be no message."""
+    """Return the payload of a ``RunEnded``, as failed and empty if its result or media type is too long.
+
+    Neither is truncated: a media type cut within a character could not be decoded.
+    """
     succeeded = message.succeeded
     media = message.media.encode("utf-8", "surrogatepass")
     result = message.result
@@ -91,7 +94,7 @@
 
 
 def shift_times(message: Message, by_s: float) -> Message:
-    """Return the same message with its times on a clock that is ``by_s`` seconds ahead."""
+    """Return the message with its times converted to a clock that is ``by_s`` seconds ahead."""
     match message:
         case KeyClaimed():
             return replace(message, until_s=message.until_s + by_s)
@@ -102,15 +105,15 @@
 
 
 def decode_length(head: bytes) -> int:
-    """Return the size of what follows the four bytes of length. WireError where no message is so long."""
+    """Return the number of bytes after the length field. Raises WireError if it is out of bounds."""
     size = int.from_bytes(head[:4], "big")
     if not 1 <= size <= MAX_MESSAGE_BYTES:
-        raise WireError(f"a message of {size} bytes")
+        raise WireError(f"a message length of {size} bytes is out of bounds")
     return size
 
 
 def decode(number: int, payload: bytes) -> Message:
-    """Return the message of this type. WireError where it is none."""
+    """Return the message with this type number. Raises WireError if the bytes are not a valid message."""
     try:
         if number == HELLO_NUMBER:
             return _decode_hello(payload)
@@ -118,19 +121,19 @@
             return _decode_run_ended(payload)
         message_type, layout = LAYOUTS[number]
         values = layout.unpack(payload)
-        # A claim until infinity would never be swept, one until no number never be found.
+        # A claim with an infinite end would never be swept, and one that ends at NaN would never be found.
         if not all(math.isfinite(value) for value in values if isinstance(value, float)):
-            raise WireError(f"a message of type {number}: a time that is none")
+            raise WireError(f"a message of type {number} has a time that is not finite")
         return message_type(*values)
     except (struct.error, UnicodeDecodeError, KeyError) as error:
-        raise WireError(f"a message of type {number}: {type(error).__name__}") from None
+        raise WireError(f"a message of type {number} is malformed: {type(error).__name__}") from None
 
 
 def _decode_hello(payload: bytes) -> Hello:
-    """Read the magic word and the version; a later version may append more."""
+    """Decode the magic word and the version; later versions may append further bytes."""
     magic, version = HELLO_LAYOUT.unpack(payload[: HELLO_LAYOUT.size])
     if magic != MAGIC:
-        raise WireError("a greeting of something else")
+        raise WireError("a hello message has the wrong magic word")
     return Hello(version)
 
 
@@ -138,6 +141,6 @@
     key, succeeded, media_bytes = RUN_ENDED_LAYOUT.unpack_from(payload)
     rest = payload[RUN_ENDED_LAYOUT.size :]
     if len(rest) < media_bytes:
-        raise WireError("a result that was cut")
+        raise WireError("the media type of a result is truncated")
     media = rest[:media_bytes].decode("utf-8", "surrogatepass")
     return RunEnded(key, succeeded, media, rest[media_bytes:])
--- a/tests/handover/test_grants.py
+++ b/tests/handover/test_grants.py
@@ -231,7 +231,7 @@
     old, new = pair()
     old.claim_run(KEY, BODY, 12.0)
     told(old, new)
-    old.claim_run(KEY, BODY, 14.06, earlier_goes_on=True)
+    old.claim_run(KEY, BODY, 14.06, earlier_run_open=True)
     old.end_run(KEY, True, "", b"second")
     told(old, new)
     first, second = new.find_claim(KEY, 11.9), new.find_claim(KEY, 12.06)
--- a/tests/handover/test_silence.py
+++ b/tests/handover/test_silence.py
@@ -11,32 +11,32 @@
     now_s = from_s
     for _ in range(round(seconds / PULSE_S)):
         now_s += PULSE_S
-        silence.look(now_s, unread)
+        silence.observe(now_s, unread)
     return now_s
 
 
 def test_one_that_reads_nothing_counts_as_silent_after_a_while_and_not_any_more_once_it_reads() -> None:
     silence = Silence()
     now_s = looks(silence, SILENT_S - PULSE_S, unread=True)
-    assert not silence.silent and not silence.heard
+    assert not silence.silent and not silence.has_read_all
     now_s = looks(silence, 3 * PULSE_S, unread=True, from_s=now_s)
-    assert silence.silent and not silence.heard
-    silence.look(now_s + PULSE_S, False)
-    assert not silence.silent and silence.heard
+    assert silence.silent and not silence.has_read_all
+    silence.observe(now_s + PULSE_S, False)
+    assert not silence.silent and silence.has_read_all
     looks(silence, SILENT_S - PULSE_S, unread=True, from_s=now_s)
     assert not silence.silent
 
 
 def test_a_pause_of_this_process_is_not_taken_for_the_others() -> None:
     silence = Silence()
-    silence.look(START_S, True)
-    silence.look(START_S + 10.0, True)
+    silence.observe(START_S, True)
+    silence.observe(START_S + 10.0, True)
     assert not silence.silent and MAX_STEP_S < SILENT_S
 
 
 def test_what_is_sent_to_find_out_is_sent_now_and_then_and_not_to_one_that_reads_nothing() -> None:
     silence = Silence()
-    silence.look(START_S, False)
+    silence.observe(START_S, False)
     assert silence.probe(START_S) and not silence.probe(START_S + PULSE_S)
     assert silence.probe(START_S + PROBE_S + PULSE_S)
     looks(silence, PROBE_S, unread=True)
