--- a/tests/handover/test_channel.py
+++ b/tests/handover/test_channel.py
@@ -26,7 +26,7 @@
     return found
 
 
-def test_two_starts_of_a_listener_at_once_leave_one(folder: Path) -> None:
+def test_two_concurrent_starts_leave_one_listener(folder: Path) -> None:
     async def work(pair: Pair) -> None:
         one = await pair.start()
         await pair.serving(one)
@@ -45,7 +45,7 @@
     run(work, folder)
 
 
-def test_a_listener_that_found_no_descriptor_is_made_again(
+def test_listening_is_retried_after_running_out_of_descriptors(
     folder: Path,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -69,7 +69,7 @@
 
 
 @pytest.mark.parametrize("call", ["bind", "rename", "chmod"])
-def test_a_folder_without_room_for_the_socket_takes_it_later(
+def test_listening_for_successors_is_retried_until_the_socket_can_be_created(
     folder: Path,
     monkeypatch: pytest.MonkeyPatch,
     call: str,
@@ -99,7 +99,7 @@
 
 
 @pytest.mark.parametrize("call", ["listdir", "lstat"])
-def test_a_folder_that_cannot_be_read_now_is_not_taken_for_an_empty_one(
+def test_an_unreadable_folder_does_not_count_as_empty(
     folder: Path,
     monkeypatch: pytest.MonkeyPatch,
     call: str,
@@ -122,7 +122,7 @@
     run(work, folder)
 
 
-def test_the_older_process_is_known_whatever_the_wall_clock_says(
+def test_the_order_of_processes_does_not_depend_on_the_wall_clock(
     folder: Path,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
--- a/tests/handover/test_channel_dropped.py
+++ b/tests/handover/test_channel_dropped.py
@@ -38,7 +38,7 @@
     await pair.end(stand)
 
 
-def test_keys_that_ran_after_a_channel_was_dropped_are_in_doubt_though_all_was_known_before(
+def test_keys_run_after_a_dropped_channel_are_in_doubt_although_all_were_known_before(
     folder: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The old process drops the channel, goes on alone, and is killed before the new one comes again."""
@@ -66,7 +66,7 @@
     run(work, folder)
 
 
-def test_two_whose_channel_ended_find_each_other_again_under_the_new_name(folder: Path) -> None:
+def test_processes_reconnect_under_the_new_socket_name_after_their_channel_ended(folder: Path) -> None:
     async def work(pair: Pair) -> None:
         old, new = await pair.both()
         for _ in range(3):
@@ -92,7 +92,7 @@
     run(work, folder)
 
 
-def test_a_name_that_vanishes_between_the_listing_and_the_attempt_is_looked_for_again(
+def test_a_socket_renamed_between_listing_and_connecting_is_found_again(
     folder: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Else a process that takes another name in that moment is taken for one that has gone in peace."""
@@ -122,7 +122,7 @@
     run(work, folder)
 
 
-def test_what_lies_in_a_channel_that_is_cut_for_its_unread_messages_is_heard(
+def test_messages_already_in_a_channel_are_received_when_it_is_cut(
     folder: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A grant to the other, or its claim, may be on its way as this process gives up telling it."""
@@ -145,7 +145,7 @@
     run(work, folder)
 
 
-def test_a_channel_that_is_cut_takes_no_claim(folder: Path) -> None:
+def test_a_cut_channel_does_not_accept_a_claim(folder: Path) -> None:
     async def work(pair: Pair) -> None:
         old, _ = await pair.both()
         after = part(old).links.successor
@@ -159,7 +159,7 @@
     run(work, folder)
 
 
-def test_a_predecessor_whose_words_were_not_heard_to_their_end_leaves_doubt_once_it_is_killed(
+def test_a_killed_predecessor_leaves_doubt_if_its_messages_were_not_all_received(
     folder: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It is the new process that cannot go on reading: the old one may have said more, and run it."""
@@ -186,7 +186,7 @@
     run(work, folder)
 
 
-def test_a_name_that_cannot_be_changed_now_is_changed_later(
+def test_renaming_the_socket_is_retried_after_a_failure(
     folder: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def work(pair: Pair) -> None:
--- a/tests/handover/test_grants.py
+++ b/tests/handover/test_grants.py
@@ -38,21 +38,21 @@
     assert new.grants.grants[KEY].uses == 1
 
 
-def test_a_try_that_a_question_on_its_way_does_not_reach_is_turned_back() -> None:
+def test_an_attempt_beyond_a_pending_grant_request_is_rejected() -> None:
     _, new = pair()
     assert want(new, 10.0) is Decision.WAIT
     assert new.decide(KEY, BODY, 10.0, 12.0 + GRANT_EXTRA_S, "further", 10.1) is Decision.WAIT
     assert new.decide(KEY, BODY, 10.0, 12.01 + GRANT_EXTRA_S, "too far", 10.1) is Decision.REJECT
 
 
-def test_a_try_that_a_grant_in_use_does_not_reach_is_turned_back() -> None:
+def test_an_attempt_beyond_a_grant_in_use_is_rejected() -> None:
     old, new = pair()
     granted(old, new, 10.0)
     assert want(new, 10.0 + GRANT_EXTRA_S) is Decision.RUN
     assert want(new, 10.01 + GRANT_EXTRA_S) is Decision.REJECT
 
 
-def test_a_run_past_the_window_of_the_one_before_needs_a_grant_of_its_own() -> None:
+def test_a_run_after_the_previous_window_needs_a_new_grant() -> None:
     old, new = pair()
     granted(old, new, 10.0)
     new.claim_run(KEY, BODY, 12.0)
@@ -65,7 +65,7 @@
     assert [type(message) for message in told(new, old)] == [messages.GrantRequest]
 
 
-def test_an_entry_that_is_kept_for_longer_than_its_grant_is_told() -> None:
+def test_a_claim_that_exceeds_its_grant_is_sent() -> None:
     old, new = pair()
     granted(old, new, 10.0)
     new.claim_run(KEY, BODY, 14.0)
@@ -75,7 +75,7 @@
     )
 
 
-def test_a_second_grant_that_is_given_back_leaves_the_first_run_known() -> None:
+def test_returning_a_second_grant_keeps_the_first_run_known() -> None:
     """The first run is still going on past its window as the key is asked for again."""
     old, new = pair()
     granted(old, new, 10.0)
@@ -90,7 +90,7 @@
     assert old.find_claim(KEY, 12.0) is not None and old.find_claim(KEY, 13.06) is None
 
 
-def test_a_try_does_not_run_by_a_grant_that_went_back_for_the_run_before() -> None:
+def test_an_attempt_does_not_run_under_a_returned_grant() -> None:
     """Two tries had one grant; the first never began, and the other process takes the key for free again."""
     old, new = pair()
     assert want(new, 13.0) is Decision.WAIT
@@ -109,7 +109,7 @@
     assert old.find_claim(KEY, 12.0) is not None and want(new, 13.2) is Decision.WAIT
 
 
-def test_a_run_is_held_past_its_window_until_it_has_ended_and_no_longer() -> None:
+def test_a_grant_holds_the_key_past_the_window_only_until_the_run_ends() -> None:
     """Until then further tries may go by the whole grant, should the run turn out never to have begun."""
     old, new = pair()
     assert want(new, 10.0) is Decision.WAIT
@@ -131,7 +131,7 @@
     assert old.find_claim(KEY, 12.26) is None and want(new, 12.26) is Decision.WAIT
 
 
-def test_a_grant_that_is_asked_for_again_without_the_end_of_the_window_before_reaches_as_far() -> None:
+def test_a_repeated_grant_request_extends_a_claim_whose_window_end_was_never_sent() -> None:
     """As a successor of a version asks that never tells the window of its run."""
     old, new = pair()
     granted(old, new, 10.0)
@@ -141,7 +141,7 @@
     assert old.find_claim(KEY, 12.0) is not None and old.find_claim(KEY, 13.06) is None
 
 
-def test_a_second_run_that_never_began_leaves_the_first_one_known_at_either_process() -> None:
+def test_a_second_run_that_never_began_keeps_the_first_known_at_both_processes() -> None:
     for side in PeerRole.PREDECESSOR, PeerRole.SUCCESSOR:
         old, new = pair()
         mine, other = (new, old) if side is PeerRole.PREDECESSOR else (old, new)
@@ -161,7 +161,7 @@
         )
 
 
-def test_keys_are_in_doubt_for_as_long_as_a_run_of_the_lost_process_may_be_repeated_and_no_longer() -> None:
+def test_doubt_lasts_exactly_as_long_as_a_lost_run_may_be_repeated() -> None:
     claims: KeyOwnership[str] = KeyOwnership(60.0, LINGER_S, 100, 1000)  # of another class
     claims.claims_missing = True
     claims.on_peer_lost(10.0)
@@ -176,7 +176,7 @@
     assert claims.decide(KEY, BODY, ends, ends + 60.0, "", ends) is Decision.REJECT  # of the longest window
 
 
-def test_claims_without_room_are_in_doubt_until_their_own_ends() -> None:
+def test_claims_over_capacity_cause_doubt_until_they_end() -> None:
     claims: KeyOwnership[str] = KeyOwnership(WINDOW_S, LINGER_S, 0, 1000)
     claims.role = PeerRole.PREDECESSOR
     claims.receive(messages.KeyClaimed(KEY, BODY, 12.0), False)
@@ -184,7 +184,7 @@
     assert claims.decide(KEY, BODY, 12.06, 14.06, "", 12.06) is Decision.WAIT
 
 
-def test_a_try_that_never_ran_leaves_the_run_of_the_process_before_known_to_the_successor() -> None:
+def test_an_attempt_that_never_ran_keeps_the_run_of_an_earlier_process_known() -> None:
     """``old`` was itself a successor: what its predecessor ran stands among the others' claims alone."""
     old, new = pair()
     old.receive(messages.KeyClaimed(KEY, BODY, 12.0), False)
@@ -198,7 +198,7 @@
     assert known is not None and known.ended and new.find_claim(KEY, 12.06) is None
 
 
-def test_a_try_of_an_earlier_window_shares_the_run_of_its_own_window_at_the_other_process() -> None:
+def test_an_attempt_of_an_earlier_window_shares_the_run_of_that_window() -> None:
     """Where a key had run again, a try of the run before got the later run's result."""
     old, new = pair()
     for until, result in ((12.0, b"first"), (14.06, b"second"), (16.12, b"third")):
@@ -215,7 +215,7 @@
     assert not len(new.other_claims) and new.other_claims.result_bytes == 0
 
 
-def test_a_later_run_that_never_began_leaves_the_result_of_the_one_before_at_the_other_process() -> None:
+def test_a_later_run_that_never_began_keeps_the_earlier_result() -> None:
     old, new = pair()
     old.claim_run(KEY, BODY, 12.0)
     old.end_run(KEY, True, "", b"first")
@@ -227,7 +227,7 @@
     assert len(new.other_claims) == 1 and new.other_claims.result_bytes == len(b"first")
 
 
-def test_a_run_that_outlives_its_window_is_not_taken_for_the_one_that_follows_it() -> None:
+def test_a_run_that_outlives_its_window_is_not_confused_with_the_next_run() -> None:
     old, new = pair()
     old.claim_run(KEY, BODY, 12.0)
     told(old, new)
@@ -240,7 +240,7 @@
 
 
 @pytest.mark.parametrize("after", [12.06, 13.06 + GRANT_EXTRA_S])
-def test_a_run_that_outlives_its_window_ends_at_the_other_process_as_the_key_is_granted_again(
+def test_granting_a_key_again_ends_a_run_that_outlived_its_window(
     after: float,
 ) -> None:
     old, new = pair()
@@ -253,7 +253,7 @@
     assert old.find_claim(KEY, 12.0) is not None and old.find_claim(KEY, after) is not None
 
 
-def test_replaced_claims_count_against_the_room_for_claims() -> None:
+def test_replaced_claims_count_towards_the_capacity() -> None:
     claims: KeyOwnership[str] = KeyOwnership(WINDOW_S, LINGER_S, 2, 1000)
     claims.role = PeerRole.PREDECESSOR
     for until in (12.0, 14.06, 16.12):
--- a/tests/handover/test_lifecycle.py
+++ b/tests/handover/test_lifecycle.py
@@ -107,7 +107,7 @@
             assert lifecycle.serving or self.now <= self.began + HELLO_TIMEOUT_S + COPY_TIMEOUT_S
 
 
-def test_a_process_that_has_gone_is_not_silent_any_more() -> None:
+def test_silence_is_cleared_when_the_other_process_is_lost() -> None:
     """The next one would not be left the connections."""
     lifecycle = Lifecycle()
     for event in (lifecycle.on_successor_lost, lifecycle.on_channel_ended):
--- a/tests/handover/test_node.py
+++ b/tests/handover/test_node.py
@@ -39,7 +39,7 @@
     run_one(work)
 
 
-def test_a_key_that_the_old_process_ran_is_answered_from_there_by_the_new_one(folder: Path) -> None:
+def test_the_new_process_answers_keys_that_the_old_one_ran(folder: Path) -> None:
     async def work(pair: Pair) -> None:
         old = await pair.start()
         await pair.serving(old)
@@ -74,7 +74,7 @@
     run(work, folder)
 
 
-def test_a_key_of_the_new_process_is_granted_once_and_answered_by_the_old_one(folder: Path) -> None:
+def test_a_key_is_granted_once_and_its_repeats_are_answered_by_the_old_process(folder: Path) -> None:
     async def work(pair: Pair) -> None:
         old, new = await pair.both()
         await pair.caller(new, [old])
@@ -101,7 +101,7 @@
     run(work, folder)
 
 
-def test_a_predecessor_that_does_not_answer_costs_a_refusal_with_a_time_to_come_back(folder: Path) -> None:
+def test_a_silent_predecessor_causes_a_rejection_with_a_retry_time(folder: Path) -> None:
     async def work(pair: Pair) -> None:
         old, new = await pair.both()
         await pair.caller(new, [old])
@@ -119,7 +119,7 @@
     run(work, folder)
 
 
-def test_the_old_process_leaves_the_socket_to_a_successor_that_is_ready_alone(folder: Path) -> None:
+def test_the_old_process_stops_accepting_only_after_the_successor_is_ready(folder: Path) -> None:
     async def work(pair: Pair) -> None:
         old = await pair.start()
         await pair.serving(old)
@@ -151,7 +151,7 @@
     run(work, folder)
 
 
-def test_a_replaced_process_stays_good_and_goes_when_nothing_is_owed(folder: Path) -> None:
+def test_a_replaced_process_stays_healthy_and_may_exit_when_its_work_is_done(folder: Path) -> None:
     async def work(pair: Pair) -> None:
         old, new = await pair.both()
         await pair.caller(old, [new])
--- a/tests/handover/test_node_alone.py
+++ b/tests/handover/test_node_alone.py
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize("count", [1, 40])  # as many as are accepted in one turn of the loop, and more
-def test_without_another_process_the_backlog_of_the_shared_socket_is_answered_before_the_end(
+def test_a_lone_process_answers_the_backlog_of_the_shared_socket_before_it_ends(
     folder: Path, count: int
 ) -> None:
     async def work(pair: Pair) -> None:
@@ -32,7 +32,7 @@
     run(work, folder)
 
 
-def test_who_connects_to_a_shared_socket_after_the_end_waits_for_the_next_process(folder: Path) -> None:
+def test_connections_after_the_end_wait_in_the_backlog_of_the_shared_socket(folder: Path) -> None:
     """A process refuses what comes as it closes a socket of its own; others go on with this one."""
 
     async def work(pair: Pair) -> None:
@@ -48,7 +48,7 @@
     run(work, folder)
 
 
-def test_beside_a_successor_the_backlog_of_the_shared_socket_is_left_to_it(folder: Path) -> None:
+def test_the_backlog_of_the_shared_socket_is_left_to_a_successor(folder: Path) -> None:
     async def work(pair: Pair) -> None:
         old, new = await pair.both()
         assert new.program.frames is not None
@@ -63,7 +63,7 @@
     run(work, folder)
 
 
-def test_reports_follow_who_takes_connections_whatever_becomes_of_successors(folder: Path) -> None:
+def test_heartbeats_report_draining_only_while_no_successor_serves(folder: Path) -> None:
     """Ready while another process goes on as this node; draining as soon as none does."""
 
     async def work(pair: Pair) -> None:
@@ -90,7 +90,7 @@
     run(work, folder)
 
 
-def test_an_operators_drain_and_its_end_are_told_by_health_checks_and_not_by_reports(folder: Path) -> None:
+def test_an_operators_drain_shows_in_health_checks_and_not_in_heartbeats(folder: Path) -> None:
     """The platform takes the node off its list by the checks, and may take it back at once after ``ok``."""
 
     async def work(pair: Pair) -> None:
--- a/tests/handover/test_node_crossings.py
+++ b/tests/handover/test_node_crossings.py
@@ -17,7 +17,7 @@
 # --- the end of either process
 
 
-def test_claims_of_a_killed_process_are_heard_though_a_write_to_it_failed_before(folder: Path) -> None:
+def test_claims_of_a_killed_process_are_received_after_a_failed_write(folder: Path) -> None:
     async def work(pair: Pair) -> None:
         old = OlderProcess(pair)
         new = await pair.start()
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize("said", [(), (messages.Hello(),), (messages.Hello(), claimed(1))])
-def test_keys_of_a_predecessor_that_dies_before_it_has_told_all_are_in_doubt(
+def test_keys_are_in_doubt_if_the_predecessor_dies_before_the_sync(
     folder: Path,
     said: tuple[messages.Message, ...],
 ) -> None:
@@ -61,7 +61,7 @@
 
 
 @pytest.mark.parametrize("said", [(messages.Hello(),), (messages.Hello(), claimed(1))])
-def test_keys_of_a_predecessor_that_leaves_no_name_before_it_has_told_all_are_in_doubt(
+def test_keys_are_in_doubt_if_the_predecessor_ends_without_a_socket_before_the_sync(
     folder: Path,
     said: tuple[messages.Message, ...],
 ) -> None:
@@ -84,7 +84,7 @@
     run(work, folder)
 
 
-def test_keys_of_a_predecessor_that_was_killed_before_it_was_reached_are_in_doubt(folder: Path) -> None:
+def test_keys_are_in_doubt_if_the_predecessor_was_killed_before_the_first_connection(folder: Path) -> None:
     async def work(pair: Pair) -> None:
         OlderProcess(pair).die()  # its socket stays behind
         new = await pair.start()
@@ -135,7 +135,7 @@
     run(work, folder)
 
 
-def test_a_third_process_takes_over_at_once_where_the_first_hangs_and_the_second_has_gone(
+def test_a_third_process_takes_over_at_once_if_the_first_hangs_and_the_second_ends(
     folder: Path,
 ) -> None:
     """Nobody accepted for as long as the third one waited for the first one's greeting."""
@@ -161,7 +161,7 @@
     run(work, folder)
 
 
-def test_a_predecessor_that_went_on_after_it_counted_as_a_stranger_vouches_for_its_keys(folder: Path) -> None:
+def test_a_predecessor_that_resumes_after_counting_as_incompatible_syncs_its_keys(folder: Path) -> None:
     async def work(pair: Pair) -> None:
         old = OlderProcess(pair)
         new = await pair.start()
@@ -181,7 +181,7 @@
     run(work, folder)
 
 
-def test_a_try_with_little_time_left_is_answered_before_the_other_has_spoken(folder: Path) -> None:
+def test_an_attempt_near_its_deadline_is_rejected_before_the_predecessor_replies(folder: Path) -> None:
     async def work(pair: Pair) -> None:
         old = OlderProcess(pair)
         new = await pair.start()
@@ -197,7 +197,7 @@
     run(work, folder)
 
 
-def test_nothing_counts_as_told_that_a_closed_channel_did_not_take(folder: Path) -> None:
+def test_a_message_that_a_closed_channel_did_not_accept_does_not_count_as_sent(folder: Path) -> None:
     async def work(pair: Pair) -> None:
         old = OlderProcess(pair)
         new = await pair.start()
@@ -214,7 +214,7 @@
     run(work, folder)
 
 
-def test_the_old_process_stays_until_its_results_have_come_over(
+def test_the_old_process_stays_until_its_results_are_copied(
     folder: Path,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -248,7 +248,7 @@
 # --- words that cross
 
 
-def test_words_of_two_operators_that_cross_leave_both_processes_of_one_mind(folder: Path) -> None:
+def test_crossing_drain_commands_leave_both_processes_in_one_state(folder: Path) -> None:
     async def work(pair: Pair) -> None:
         old, new = await pair.start(admin=True), None
         await pair.serving(old)
@@ -263,7 +263,7 @@
     run(work, folder)
 
 
-def test_two_that_both_leave_take_connections_also_after_their_channel_broke(folder: Path) -> None:
+def test_two_leaving_processes_both_accept_after_their_channel_broke(folder: Path) -> None:
     async def work(pair: Pair) -> None:
         old, new = await pair.both()
         new.program.leave()
@@ -285,7 +285,7 @@
     run(work, folder)
 
 
-def test_a_caller_that_left_while_its_key_was_asked_for_gives_its_place_back(folder: Path) -> None:
+def test_a_cancelled_request_that_is_rejected_in_doubt_is_finished(folder: Path) -> None:
     async def work(pair: Pair) -> None:
         one = await pair.start()
         ended: list[float | None] = []
--- a/tests/handover/test_node_faults.py
+++ b/tests/handover/test_node_faults.py
@@ -16,7 +16,9 @@
 from beechrock.handover.lifecycle import COPY_TIMEOUT_S, HELLO_TIMEOUT_S, PredecessorStage, SuccessorStage
 
 
-def test_a_successor_that_dies_before_its_yes_and_a_reload_beside_one_change_nothing(folder: Path) -> None:
+def test_a_successor_that_dies_before_it_is_ready_and_a_reload_beside_one_change_nothing(
+    folder: Path,
+) -> None:
     async def work(pair: Pair) -> None:
         old = await pair.start()
         await pair.serving(old)
@@ -44,7 +46,7 @@
 
 
 @pytest.mark.parametrize("version", [1, 99])  # 1: times on the wire were Unix times
-def test_a_successor_of_another_version_is_left_the_socket(folder: Path, version: int) -> None:
+def test_the_socket_is_left_to_a_successor_of_another_version(folder: Path, version: int) -> None:
     async def work(pair: Pair) -> None:
         old = await pair.start()
         await pair.serving(old)
@@ -64,7 +66,7 @@
     run(work, folder)
 
 
-def test_a_step_back_leaves_the_node_to_the_old_process_and_both_may_leave(folder: Path) -> None:
+def test_a_rollback_leaves_the_node_to_the_old_process_and_both_may_leave(folder: Path) -> None:
     async def work(pair: Pair) -> None:
         old, new = await pair.both()
         await pair.caller(new, [old])
@@ -83,7 +85,7 @@
     run(work, folder)
 
 
-def test_an_operators_word_holds_for_both_and_passes_to_the_successor(folder: Path) -> None:
+def test_an_operators_drain_command_applies_to_both_processes(folder: Path) -> None:
     async def work(pair: Pair) -> None:
         old = await pair.start(admin=True)
         await pair.serving(old)
@@ -120,7 +122,7 @@
 
 
 @pytest.mark.parametrize("says", ["nothing", "another version", "noise", "half a greeting"])
-def test_beside_a_predecessor_that_cannot_be_understood_no_key_runs_and_all_else_does(
+def test_beside_an_incompatible_predecessor_a_process_serves_but_runs_no_key(
     folder: Path,
     says: str,
 ) -> None:
@@ -186,7 +188,7 @@
     run(work, folder)
 
 
-def test_what_else_lies_in_the_folder_is_passed_over_and_stale_sockets_are_removed(folder: Path) -> None:
+def test_other_files_in_the_folder_are_ignored_and_stale_sockets_are_removed(folder: Path) -> None:
     async def work(pair: Pair) -> None:
         host, port = pair.shared.getsockname()
         names = [f"beechrock-{host}_{port}-{n:020d}-1.sock" for n in range(4)]
@@ -203,7 +205,7 @@
     run(work, folder)
 
 
-def test_without_a_folder_a_process_serves_alone_and_leaves_as_one(folder: Path) -> None:
+def test_a_process_without_a_folder_serves_and_leaves_alone(folder: Path) -> None:
     async def work(pair: Pair) -> None:
         pair.folder = None  # type: ignore[assignment]
         node = await pair.start()
@@ -218,7 +220,7 @@
     run(work, folder)
 
 
-def test_a_folder_with_a_long_name_takes_the_socket_too(folder: Path) -> None:
+def test_a_folder_with_a_long_path_can_hold_the_socket(folder: Path) -> None:
     async def work(pair: Pair) -> None:
         pair.folder = folder / ("x" * 120)
         pair.folder.mkdir()
@@ -227,7 +229,7 @@
     run(work, folder)
 
 
-def test_a_busy_partner_lets_the_module_start_fewer_and_its_end_frees_the_rest(folder: Path) -> None:
+def test_load_of_the_other_process_lowers_the_run_limit_until_it_ends(folder: Path) -> None:
     async def work(pair: Pair) -> None:
         old, new = await pair.both()
         alone = new.program.module.node.concurrency.run_limit()
@@ -245,7 +247,7 @@
     run(work, folder)
 
 
-def test_a_stranger_at_the_channel_learns_nothing_and_ends_nothing(folder: Path) -> None:
+def test_malformed_input_on_the_channel_does_not_prevent_a_later_successor(folder: Path) -> None:
     """Noise, lengths out of bounds, a greeting cut at each byte: the next one is heard all the same."""
 
     async def work(pair: Pair) -> None:
@@ -279,7 +281,7 @@
     run(work, folder)
 
 
-def test_the_settings_of_a_pair_halve_what_each_keeps(folder: Path) -> None:
+def test_a_process_with_a_handover_folder_may_hold_half_the_open_requests(folder: Path) -> None:
     async def work(pair: Pair) -> None:
         one = await pair.start()
         assert (
--- a/tests/handover/test_node_late.py
+++ b/tests/handover/test_node_late.py
@@ -31,7 +31,7 @@
 
 
 @pytest.mark.parametrize(("joined", "answer"), [(True, OK), (False, FAILED)])
-def test_a_try_of_an_earlier_window_gets_no_result_of_the_run_of_a_later_one(
+def test_a_late_attempt_never_gets_the_result_of_a_later_window(
     folder: Path, joined: bool, answer: str
 ) -> None:
     """Its own run's result where that was told, else 'failed'; never the later run's, and it never runs."""
@@ -52,7 +52,7 @@
     run(work, folder)
 
 
-def test_a_run_that_outlives_its_window_is_not_taken_for_the_next_one_of_its_key(folder: Path) -> None:
+def test_a_run_that_outlives_its_window_is_not_mistaken_for_the_next_run_of_its_key(folder: Path) -> None:
     """The next run's repeats got the earlier one's result, or went without an answer of their own."""
 
     async def work(pair: Pair) -> None:
@@ -118,7 +118,7 @@
         return True
 
 
-def test_a_copy_tells_no_earlier_run_of_a_key_whose_later_one_was_told_before(folder: Path) -> None:
+def test_a_copy_skips_earlier_runs_of_a_key_whose_later_claim_was_already_sent(folder: Path) -> None:
     """It would end the later run's claim: between the join and the copy a run can begin."""
 
     async def work(pair: Pair) -> None:
@@ -143,7 +143,7 @@
 @pytest.mark.parametrize(
     ("ended", "answer"), [(PASS % (1, 1), OK), (FAIL % 1, FAILED)], ids=["served", "failed"]
 )
-def test_a_try_born_after_the_window_of_a_run_at_the_successor_runs(
+def test_an_attempt_born_after_the_window_of_a_successors_run_runs_again(
     folder: Path, ended: str, answer: str, reads: str
 ) -> None:
     """A grant reaches past the run's window; a try born there got the earlier result, or 'failed'."""
--- a/tests/handover/test_node_processes.py
+++ b/tests/handover/test_node_processes.py
@@ -204,7 +204,7 @@
 
 
 @pytest.mark.parametrize("stays", [False, True])
-def test_what_connects_while_the_successor_is_stopped_is_answered_by_the_process_that_leaves(
+def test_a_leaving_process_answers_new_connections_while_its_successor_is_stopped(
     stays: bool,
 ) -> None:
     """Nobody took it until the successor went on. ``stays``: the old process has a run to wait for."""
--- a/tests/handover/test_ownership.py
+++ b/tests/handover/test_ownership.py
@@ -68,7 +68,7 @@
 
 # Beyond the first 150: seeds that once ran a key twice.
 @pytest.mark.parametrize("seed", [*range(150), 484, 690, 1554, 1728, 2084, 2606, 3097, 4068])
-def test_no_key_runs_twice_whatever_comes_between(seed: int) -> None:
+def test_no_key_runs_twice_in_random_histories(seed: int) -> None:
     world = World(seed)
     replacement = Replacement(world)
     for _ in range(400):
@@ -77,7 +77,7 @@
     assert sum(map(len, world.runs.values())) > 5
 
 
-def test_a_question_without_an_answer_turns_back_and_a_late_grant_is_given_back() -> None:
+def test_an_unanswered_grant_request_rejects_its_attempts_and_a_late_grant_is_returned() -> None:
     claims: KeyOwnership[str] = KeyOwnership(WINDOW_S, LINGER_S, 100, 1000)
     claims.role = PeerRole.PREDECESSOR
     assert claims.decide(KEYS[0], BODY, 1.0, 3.0, "a", 1.0) is Decision.WAIT
@@ -90,7 +90,7 @@
     assert claims.outbox == [messages.KeyReleased(KEYS[0])] and not claims.grants.grants
 
 
-def test_what_a_stranger_held_is_in_doubt_for_the_longest_window() -> None:
+def test_keys_of_an_incompatible_predecessor_are_in_doubt_for_the_longest_window() -> None:
     claims: KeyOwnership[str] = KeyOwnership(WINDOW_S, LINGER_S, 100, 1000)
     claims.role = PeerRole.INCOMPATIBLE
     assert claims.decide(KEYS[0], BODY, 1.0, 3.0, "a", 1.0) is Decision.REJECT
@@ -104,7 +104,7 @@
     assert claims.decide(KEYS[0], BODY, ends + 0.01, ends + 0.01 + WINDOW_S, "a", ends + 0.01) is Decision.RUN
 
 
-def test_claims_beyond_the_bound_are_in_doubt_and_the_oldest_results_go_first() -> None:
+def test_claims_over_capacity_cause_doubt_and_the_oldest_results_are_dropped_first() -> None:
     claims: KeyOwnership[str] = KeyOwnership(WINDOW_S, LINGER_S, 2, 10)
     claims.role = PeerRole.PREDECESSOR
     for key in KEYS[:2]:
@@ -122,7 +122,7 @@
     assert claims.decide(KEYS[3], BODY, 10.0, 12.0, "a", 10.0) is Decision.WAIT
 
 
-def test_the_authority_answers_a_successor_that_no_longer_knows_its_own_run() -> None:
+def test_the_authority_denies_a_key_whose_run_the_successor_has_forgotten() -> None:
     claims: KeyOwnership[str] = KeyOwnership(WINDOW_S, LINGER_S, 100, 1000)
     claims.role = PeerRole.SUCCESSOR
     claims.other_claims.claims[KEYS[0]] = Claim(KEYS[0], BODY, 3.0, ended=True, succeeded=True, result=b"r")
@@ -137,7 +137,7 @@
     assert claims.outbox == [messages.KeyGranted(KEYS[0])]
 
 
-def test_two_tries_that_are_asked_for_anew_get_one_grant_which_a_second_does_not_take_back() -> None:
+def test_two_attempts_share_one_resent_request_and_a_second_grant_is_ignored() -> None:
     claims: KeyOwnership[str] = KeyOwnership(WINDOW_S, LINGER_S, 100, 1000)
     claims.role = PeerRole.PREDECESSOR
     for of in "ab":
@@ -157,7 +157,7 @@
     assert claims.decide(KEYS[1], BODY, 2.0, 4.0, "d", 2.0) is Decision.WAIT  # not refused for ever
 
 
-def test_a_key_that_is_given_back_is_still_known_for_the_run_before() -> None:
+def test_a_released_key_is_still_known_for_its_earlier_run() -> None:
     claims: KeyOwnership[str] = KeyOwnership(WINDOW_S, LINGER_S, 100, 1000)
     claims.role = PeerRole.SUCCESSOR
     claims.receive(messages.GrantRequest(KEYS[0], BODY, 1.0, 3.0), False)
@@ -171,7 +171,7 @@
     assert claims.is_idle is False and not len(claims.other_claims) and claims.other_claims.result_bytes == 0
 
 
-def test_a_try_waits_for_its_answer_no_longer_than_until_it_is_due() -> None:
+def test_an_attempt_waits_for_a_reply_no_longer_than_until_its_answer_is_due() -> None:
     claims: KeyOwnership[str] = KeyOwnership(WINDOW_S, LINGER_S, 100, 1000)
     claims.role = PeerRole.PREDECESSOR
     claims.decide(KEYS[0], BODY, 1.0, 3.0, "short", 1.0, 1.1)
@@ -180,7 +180,7 @@
 
 
 @pytest.mark.parametrize(("stage", "doubt"), [("unheard", True), ("synced", False)])
-def test_what_a_predecessor_ran_that_died_before_it_had_told_all_is_in_doubt(stage: str, doubt: bool) -> None:
+def test_a_predecessor_lost_before_the_sync_leaves_doubt(stage: str, doubt: bool) -> None:
     claims: KeyOwnership[str] = KeyOwnership(WINDOW_S, LINGER_S, 100, 1000)
     claims.claims_missing = True
     if stage == "synced":
--- a/tests/handover/test_silence.py
+++ b/tests/handover/test_silence.py
@@ -15,7 +15,7 @@
     return now_s
 
 
-def test_one_that_reads_nothing_counts_as_silent_after_a_while_and_not_any_more_once_it_reads() -> None:
+def test_a_process_that_reads_nothing_for_a_while_counts_as_silent_until_it_reads() -> None:
     silence = Silence()
     now_s = looks(silence, SILENT_S - PULSE_S, unread=True)
     assert not silence.silent and not silence.has_read_all
@@ -27,14 +27,14 @@
     assert not silence.silent
 
 
-def test_a_pause_of_this_process_is_not_taken_for_the_others() -> None:
+def test_a_pause_of_this_process_does_not_count_as_silence() -> None:
     silence = Silence()
     silence.observe(START_S, True)
     silence.observe(START_S + 10.0, True)
     assert not silence.silent and MAX_STEP_S < SILENT_S
 
 
-def test_what_is_sent_to_find_out_is_sent_now_and_then_and_not_to_one_that_reads_nothing() -> None:
+def test_probes_are_sent_at_intervals_and_not_while_messages_are_unread() -> None:
     silence = Silence()
     silence.observe(START_S, False)
     assert silence.probe(START_S) and not silence.probe(START_S + PULSE_S)
--- a/tests/handover/test_wire.py
+++ b/tests/handover/test_wire.py
@@ -43,7 +43,7 @@
 
 @settings(deadline=None, derandomize=True)
 @given(MESSAGES)
-def test_every_message_comes_back_as_it_was(message: messages.Message) -> None:
+def test_every_message_survives_encoding_and_decoding(message: messages.Message) -> None:
     data = wire.encode(message)
     assert wire.decode_length(data) == len(data) - 4
     assert wire.decode(data[4], data[5:]) == message
@@ -51,7 +51,7 @@
 
 @settings(deadline=None, derandomize=True)
 @given(st.integers(0, 255), st.binary(max_size=200))
-def test_bytes_that_are_no_message_end_in_one_error(number: int, payload: bytes) -> None:
+def test_invalid_bytes_raise_only_wire_errors(number: int, payload: bytes) -> None:
     try:
         wire.decode(number, payload)
     except wire.WireError:
@@ -59,7 +59,7 @@
     assert number in (wire.HELLO_NUMBER, wire.RUN_ENDED_NUMBER) or number in wire.LAYOUTS
 
 
-def test_a_result_that_is_too_long_is_not_passed_on() -> None:
+def test_an_oversized_result_is_not_sent() -> None:
     data = wire.encode(messages.RunEnded(KEYS[0], True, "", b"x" * (wire.MAX_RESULT_BYTES + 1)))
     assert wire.decode(data[4], data[5:]) == messages.RunEnded(KEYS[0], False)
     with pytest.raises(wire.WireError):
@@ -67,7 +67,7 @@
 
 
 @pytest.mark.parametrize("time", [math.nan, math.inf, -math.inf])
-def test_a_time_that_is_none_and_a_result_that_was_cut_are_no_messages(time: float) -> None:
+def test_non_finite_times_and_truncated_media_types_are_rejected(time: float) -> None:
     for message in (
         messages.KeyClaimed(KEYS[0], BODY, time),
         messages.GrantRequest(KEYS[0], BODY, 1.0, time),
@@ -81,6 +81,6 @@
         wire.decode(data[4], data[5:-1])
 
 
-def test_a_media_type_that_does_not_fit_is_not_cut_within_a_character() -> None:
+def test_an_oversized_media_type_is_not_truncated() -> None:
     data = wire.encode(messages.RunEnded(KEYS[0], True, "\u00e4" * wire.MAX_MEDIA_BYTES, b"r"))
     assert wire.decode(data[4], data[5:]) == messages.RunEnded(KEYS[0], False)
