--- a/tests/handover/claim_processes.py
+++ b/tests/handover/claim_processes.py
@@ -1,4 +1,4 @@
-"""Two processes of one node that claim keys between them, without I/O: what is round the claims of each."""
+"""Model of two processes of one node that share keys, without I/O."""
 
 import random
 from collections import deque
@@ -17,13 +17,13 @@
 
 
 class Process:
-    """What stands round ``Claims`` in a process: its own kept keys, and the runs that it begins."""
+    """A model process: its ``KeyOwnership``, the keys that it remembers, and its runs."""
 
     def __init__(self, world: "World") -> None:
         self.world = world
         self.claims: KeyOwnership[float] = KeyOwnership(WINDOW_S, LINGER_S, 100, 10_000)
-        self.ours: dict[bytes, float] = {}
-        self.before: dict[bytes, float] = {}  # as the key table: ends of runs before those of ``ours``
+        self.own_claims: dict[bytes, float] = {}
+        self.earlier_claims: dict[bytes, float] = {}  # Window ends of the runs before those in ``own_claims``
         self.granted: dict[bytes, int] = {}
         self.running: set[bytes] = set()
         self.inbox: deque[messages.Message] = deque()
@@ -35,72 +35,74 @@
         self.claims.outbox.clear()
 
     def attempt(self, key: bytes, born: float) -> None:
-        if born <= self.ours.get(key, 0.0) + SLACK_S:
-            return  # a repeat, answered here
-        answer = self.claims.decide(key, BODY, born, born + WINDOW_S, born, self.world.now)
-        if answer is Decision.RUN and self.claims.find_claim(key, born) is None:
-            self.take(key, born, key in self.claims.grants.grants)
+        if born <= self.own_claims.get(key, 0.0) + SLACK_S:
+            return  # a repeat of a run here
+        decision = self.claims.decide(key, BODY, born, born + WINDOW_S, born, self.world.now)
+        if decision is Decision.RUN and self.claims.find_claim(key, born) is None:
+            self.run_or_reject(key, born, key in self.claims.grants.grants)
         self.flush()
 
-    def take(self, key: bytes, born: float, granted: bool) -> None:
-        """Run it, or turn it away; a try that waited may find that another one ran meanwhile."""
-        if born > self.ours.get(key, 0.0) + SLACK_S and self.world.draw.random() < 0.6:
-            if key in self.ours:
-                self.before[key] = self.ours[key]
-            self.ours[key] = born + WINDOW_S
+    def run_or_reject(self, key: bytes, born: float, granted: bool) -> None:
+        """Run the attempt or reject it; another attempt may have run while it waited."""
+        if born > self.own_claims.get(key, 0.0) + SLACK_S and self.world.draw.random() < 0.6:
+            if key in self.own_claims:
+                self.earlier_claims[key] = self.own_claims[key]
+            self.own_claims[key] = born + WINDOW_S
             self.claims.claim_run(key, BODY, born + WINDOW_S)
             self.world.begin(key, born)
             self.running.add(key)
         if granted:
             self.claims.finish_use(key)
 
-    def hear(self) -> None:
+    def receive_next(self) -> None:
         message = self.inbox.popleft()
         held = (
             isinstance(message, messages.GrantRequest)
-            and message.born_s <= self.ours.get(message.key, 0.0) + SLACK_S
+            and message.born_s <= self.own_claims.get(message.key, 0.0) + SLACK_S
         )
         for born in self.claims.receive(message, held).attempts:
             key = message.key  # type: ignore[union-attr]
             if key in self.claims.grants.grants:
-                self.take(key, born, True)
+                self.run_or_reject(key, born, True)
         self.flush()
 
     def end_one(self) -> None:
         if self.running:
             key = min(self.running)
             self.running.discard(key)
-            if self.world.draw.random() < 0.3:  # the agent would not run it: it never ran
+            if self.world.draw.random() < 0.3:  # the agent refused the run, so it never began
                 self.world.never_ran(key)
-                self.ours.pop(key, None)
-                before = self.before.pop(key, None)
+                self.own_claims.pop(key, None)
+                before = self.earlier_claims.pop(key, None)
                 if before is not None:
-                    self.ours[key] = before
+                    self.own_claims[key] = before
                 self.claims.release(key, EarlierRun(BODY, before) if before is not None else None)
             else:
                 self.claims.end_run(key, True, "", b"r")
             self.flush()
 
-    def copy_to(self, new: "Process", part: float = 1.0) -> None:
-        """All claims, or as many of them as come over before this process dies."""
+    def copy_to(self, new: "Process", share: float = 1.0) -> None:
+        """Send a share of all claims to a successor; below 1, as if this process died during the copy."""
         self.claims.role = PeerRole.SUCCESSOR
         self.other, new.other = new, self
         new.claims.claims_missing = True
-        told: list[messages.Message] = [messages.KeyClaimed(k, BODY, until) for k, until in self.ours.items()]
-        told += [
+        sent: list[messages.Message] = [
+            messages.KeyClaimed(k, BODY, until) for k, until in self.own_claims.items()
+        ]
+        sent += [
             messages.KeyClaimed(c.key, c.digest, c.until_s) for c in self.claims.other_claims.claims.values()
         ]
-        for message in told[: int(part * len(told))]:
+        for message in sent[: int(share * len(sent))]:
             new.claims.receive(message, False)
-        if part == 1.0:
+        if share == 1.0:
             new.claims.on_claims_synced()
             new.flush()
 
     def break_channel(self, new: "Process") -> None:
-        """Both live on, with a part of what was on its way unheard; this one goes on alone until the next."""
+        """Drop the channel with some messages unread; both processes live on, and this one decides alone."""
         for process in (self, new):
             for _ in range(self.world.draw.randint(0, len(process.inbox))):
-                process.hear()
+                process.receive_next()
             process.other = None
         for process in (self, new):
             process.inbox.clear()
@@ -108,16 +110,18 @@
         for process in (self, new, self):
             process.attempt(self.world.draw.choice(KEYS), self.world.now)
 
-    def lost(self) -> None:
-        """The other is dead: what it had written is read, and then this one decides alone."""
+    def on_peer_lost(self) -> None:
+        """End the other process: read all that it had sent, then decide alone."""
         while self.inbox:
-            self.hear()
+            self.receive_next()
         self.other = None
         for _ in self.claims.on_peer_lost(self.world.now).attempts:
-            pass  # turned away here: what they may do is what any new try may
+            pass  # dropped in this model: they could do no more than a new attempt
 
 
 class World:
+    """Clock, random numbers, and a record of all runs, which fails if a key runs twice in its window."""
+
     def __init__(self, seed: int) -> None:
         self.draw, self.now = random.Random(seed), 100.0
         self.runs: dict[bytes, list[float]] = {}
--- a/tests/handover/pair.py
+++ b/tests/handover/pair.py
@@ -1,4 +1,4 @@
-"""Two processes of one node, in one loop: the stand that the tests of a handover play on."""
+"""Test stand for handovers: two processes of one node in one event loop."""
 
 import asyncio
 import os
@@ -24,15 +24,15 @@
 DOUBT = 'a < {02 %08d 08 02 06"advice" 0006"0.0000" 05"pause" 0003"300"}\n'
 PASS = 'g > "outcome %d %016d PASS 5 2\\r\\nok\\r\\n"\n'
 CHECK = 'a > {04 %08d 00}\na < {05 %08d 00 01 06"advice" 0006"0.0000"}\n'
-WORD = 's = connect admin\ns > "POST /healthcheck/%s HTTP/1.0\\r\\n\\r\\n"\ns ... "%s\\n"\n'
+DRAIN_COMMAND = 's = connect admin\ns > "POST /healthcheck/%s HTTP/1.0\\r\\n\\r\\n"\ns ... "%s\\n"\n'
 
 
-def asked(stream: int, trace: int, key: int) -> str:
+def request_line(stream: int, trace: int, key: int) -> str:
     return ASKED % ("a", stream, 7, trace, "24.5", key, "x")
 
 
 class Pair:
-    """A shared socket, a shared folder, and the processes that are started one beside the other."""
+    """A shared listening socket, a shared folder, and the processes that were started on them."""
 
     def __init__(self, folder: Path, shared: socket.socket) -> None:
         self.folder, self.shared = folder, shared
@@ -51,8 +51,8 @@
             await stand.play(UP + "beat BEAT n1 ready\n")
         return stand
 
-    async def both(self) -> tuple[Stand, Stand]:
-        """One that serves, and its successor, ready."""
+    async def start_both(self) -> tuple[Stand, Stand]:
+        """Start a process, and a successor that is ready, and return both."""
         old = await self.start()
         await self.serving(old)
         new = await self.start()
@@ -74,15 +74,15 @@
         )  # type: ignore
 
     async def end(self, stand: Stand) -> None:
-        """The process is gone: the kernel closes what it had."""
+        """End a process, with all of its sockets closed as by the kernel."""
         await stand.close()
         assert stand.program.handover is not None
         stand.program.handover.close()
         for peer in list(stand.program.frames.peers):  # type: ignore[union-attr]
             peer.drop()
 
-    async def caller(self, stand: Stand, others: list[Stand]) -> None:
-        """A connection named ``a`` that this process takes: the others do not look for one meanwhile."""
+    async def connect_caller(self, stand: Stand, others: list[Stand]) -> None:
+        """Open a connection named ``a`` to this process; the others pause accepting meanwhile."""
         for other in others:
             assert other.program.frames is not None
             other.program.frames.pause()
@@ -93,17 +93,17 @@
             await other.program.shared_socket.listen()
 
 
-class OtherEnd:
-    """The other process of the node, played byte by byte over a blocking socket: it does what it is told."""
+class ScriptedPeer:
+    """One end of a channel whose messages the test sends and receives itself."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock, self.got = sock, b""
 
-    def say(self, *messages: messages.Message) -> None:
+    def send(self, *messages: messages.Message) -> None:
         self.sock.sendall(b"".join(map(wire.encode, messages)))
 
-    async def heard(self, kind: type[Message]) -> Message:
-        """The next message of this kind; what comes before it is passed over."""
+    async def receive(self, kind: type[Message]) -> Message:
+        """Return the next message of this type, skipping others."""
         while True:
             size = wire.decode_length(self.got) if len(self.got) >= 4 else 0
             if not size or len(self.got) < 4 + size:
@@ -117,13 +117,13 @@
             if isinstance(message, kind):
                 return message
 
-    def die(self) -> None:
-        """As the kernel ends a process: what it had said is still there to be read."""
+    def kill(self) -> None:
+        """Close the socket, as the kernel does for a killed process; what was sent remains readable."""
         self.sock.close()
 
 
-class OlderProcess:
-    """Listens under a name that is older than any that is given now."""
+class ScriptedPredecessor:
+    """A predecessor that the test plays itself; its socket name is older than that of any real process."""
 
     def __init__(self, pair: Pair) -> None:
         host, port = pair.shared.getsockname()
@@ -131,23 +131,23 @@
         self.listening.bind(str(pair.folder / f"beechrock-{host}_{port}-{0:020d}-1.sock"))
         self.listening.listen(8)
         self.listening.setblocking(False)
-        self.end: OtherEnd | None = None
+        self.end: ScriptedPeer | None = None
 
-    async def accept(self) -> OtherEnd:
+    async def accept(self) -> ScriptedPeer:
         async with asyncio.timeout(HANG_S):
             sock, _ = await asyncio.get_running_loop().sock_accept(self.listening)
         sock.setblocking(False)
-        self.end = OtherEnd(sock)
+        self.end = ScriptedPeer(sock)
         return self.end
 
-    def leave_no_name(self) -> None:
-        """Take its socket's name away, as a process does that goes in peace."""
+    def remove_socket_name(self) -> None:
+        """Remove the name of its socket from the folder, as a process does that exits cleanly."""
         os.unlink(self.listening.getsockname())
 
-    def die(self) -> None:
+    def kill(self) -> None:
         self.listening.close()
         if self.end is not None:
-            self.end.die()
+            self.end.kill()
 
 
 def run(work, folder: Path) -> None:  # type: ignore[no-untyped-def]
--- a/tests/handover/test_channel.py
+++ b/tests/handover/test_channel.py
@@ -1,4 +1,4 @@
-"""The shared socket and the folder of a replacement: listeners, and who is found there, when calls fail."""
+"""The shared socket and the folder of a replacement when system calls fail or the wall clock is stepped."""
 
 import asyncio
 import contextlib
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 import pytest
-from handover_requests import part
+from handover_requests import handover_of
 from pair import UP, Pair, run
 from play import until
 
@@ -18,10 +18,10 @@
 
 
 def descriptors_of(sock: socket.socket) -> int:
-    """How many descriptors of this process stand for the same socket."""
+    """Return the number of this process's descriptors that refer to the socket."""
     inode, found = os.fstat(sock.fileno()).st_ino, 0
     for name in os.listdir("/proc/self/fd"):
-        with contextlib.suppress(OSError):  # the one that lists the folder is gone by now
+        with contextlib.suppress(OSError):  # the descriptor that listed the folder is already closed
             found += os.fstat(int(name)).st_ino == inode
     return found
 
@@ -37,10 +37,10 @@
         await asyncio.gather(one.program.shared_socket.listen(), one.program.shared_socket.listen())
         assert descriptors_of(pair.shared) == before + 1
         frames.pause()
-        assert descriptors_of(pair.shared) == before  # no second listener goes on accepting
+        assert descriptors_of(pair.shared) == before  # no second listener is left
         with socket.create_connection(pair.shared.getsockname()):
             await asyncio.sleep(0.05)
-            assert not frames.peers  # it waits in the queue, for whoever takes connections
+            assert not frames.peers  # the connection waits in the backlog
 
     run(work, folder)
 
@@ -89,7 +89,7 @@
         old = await pair.start()
         await pair.serving(old)
         await until(
-            lambda: os.listdir(folder) == [part(old).channel.name],  # type: ignore[union-attr]
+            lambda: os.listdir(folder) == [handover_of(old).channel.name],  # type: ignore[union-attr]
             lambda: f"{os.listdir(folder)}",
         )
         new = await pair.start()
@@ -130,7 +130,7 @@
     stepped = time.time_ns() - 3600 * 10**9
     monkeypatch.setattr(channel.time, "time_ns", lambda: stepped)
     new = Channel(folder, "n")
-    # A version before this one named its socket by the Unix time; it is the oldest of all.
+    # An earlier version named its socket by the Unix time; such a process sorts as the oldest.
     names = [f"beechrock-n-{stepped:020d}-1.sock", old.name, new.name, "beechrock-n-x-1.sock"]
     with (
         socket.socket(socket.AF_UNIX) as one,
--- a/tests/handover/test_lifecycle.py
+++ b/tests/handover/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""Stages of a handover, without I/O: random histories, invariants after each step."""
+"""Stages of a handover, without I/O: random histories, with the invariants checked after each step."""
 
 import random
 
@@ -35,11 +35,11 @@
 
 
 class History:
-    """One process under drawn events, and what the invariants need of its past."""
+    """A process under random events, with the parts of its past that the invariants need."""
 
     def __init__(self, seed: int) -> None:
         self.draw, self.lifecycle, self.now = random.Random(seed), Lifecycle(), 0.0
-        self.began: float | None = None  # of the first channel
+        self.connected_at_s: float | None = None  # Time at which the first channel opened
         self.settled = False
 
     def step(self) -> None:
@@ -56,7 +56,7 @@
         lifecycle = self.lifecycle
         match event:
             case "connected" if lifecycle.predecessor is PredecessorStage.SEARCHING:
-                self.began = self.now if self.began is None else self.began
+                self.connected_at_s = self.now if self.connected_at_s is None else self.connected_at_s
                 lifecycle.on_connected(self.now)
             case "absent" if lifecycle.predecessor is PredecessorStage.SEARCHING:
                 lifecycle.on_absent()
@@ -90,7 +90,7 @@
                 lifecycle.on_end()
 
     def check(self, served: bool) -> None:
-        """The invariants of the module, by their numbers there."""
+        """Check the invariants of ``lifecycle``, by their numbers in its docstring."""
         lifecycle = self.lifecycle
         absent = lifecycle.predecessor is PredecessorStage.ABSENT
         if lifecycle.accepting:  # 1
@@ -103,12 +103,12 @@
         assert lifecycle.accepting is (lifecycle.serving and not lifecycle.ended and not leaves_to_other)
         assert lifecycle.authority is absent  # 3
         deferred = lifecycle.predecessor is PredecessorStage.DEFERRED
-        if self.began is not None and not deferred and lifecycle.able_to_run:  # 4
-            assert lifecycle.serving or self.now <= self.began + HELLO_TIMEOUT_S + COPY_TIMEOUT_S
+        if self.connected_at_s is not None and not deferred and lifecycle.able_to_run:  # 4
+            assert lifecycle.serving or self.now <= self.connected_at_s + HELLO_TIMEOUT_S + COPY_TIMEOUT_S
 
 
 def test_silence_is_cleared_when_the_other_process_is_lost() -> None:
-    """The next one would not be left the connections."""
+    """Otherwise connections would not be left to the next process."""
     lifecycle = Lifecycle()
     for event in (lifecycle.on_successor_lost, lifecycle.on_channel_ended):
         lifecycle.other_silent = True
--- a/tests/handover/test_node_alone.py
+++ b/tests/handover/test_node_alone.py
@@ -1,4 +1,4 @@
-"""A process on a shared socket whose other process is absent, gone or stopped: what it does."""
+"""A process on a shared socket whose other process is absent, has ended or is late."""
 
 import asyncio
 import socket
@@ -6,11 +6,11 @@
 
 import pytest
 from callers import Caller, request
-from pair import CHECK, WORD, Pair, run
+from pair import CHECK, DRAIN_COMMAND, Pair, run
 from test_closing import CHECK_1, leave
 
 
-@pytest.mark.parametrize("count", [1, 40])  # as many as are accepted in one turn of the loop, and more
+@pytest.mark.parametrize("count", [1, 40])  # one loop iteration accepts 1, but not 40
 def test_a_lone_process_answers_the_backlog_of_the_shared_socket_before_it_ends(
     folder: Path, count: int
 ) -> None:
@@ -33,7 +33,7 @@
 
 
 def test_connections_after_the_end_wait_in_the_backlog_of_the_shared_socket(folder: Path) -> None:
-    """A process refuses what comes as it closes a socket of its own; others go on with this one."""
+    """Closing a socket of its own refuses connections, but other processes still use a shared one."""
 
     async def work(pair: Pair) -> None:
         one = await pair.start()
@@ -50,9 +50,9 @@
 
 def test_the_backlog_of_the_shared_socket_is_left_to_a_successor(folder: Path) -> None:
     async def work(pair: Pair) -> None:
-        old, new = await pair.both()
+        old, new = await pair.start_both()
         assert new.program.frames is not None
-        new.program.frames.pause()  # it is late
+        new.program.frames.pause()  # it accepts late
         leave(old)
         with socket.create_connection(pair.shared.getsockname()):
             await old.program._end_connections()
@@ -64,7 +64,7 @@
 
 
 def test_heartbeats_report_draining_only_while_no_successor_serves(folder: Path) -> None:
-    """Ready while another process goes on as this node; draining as soon as none does."""
+    """Heartbeats report ready while a successor serves the node, and draining as soon as none does."""
 
     async def work(pair: Pair) -> None:
         old = await pair.start()
@@ -77,7 +77,7 @@
             old.beats.clear()
             await old.play("beat BEAT n1 ready\n")
             old.beats.clear()
-            await old.play("beat BEAT n1 ready\n")  # and goes on so
+            await old.play("beat BEAT n1 ready\n")  # the next heartbeats stay the same
             assert set(old.beats) == {"BEAT n1 ready"} == set(new.beats)
             await pair.end(new)
             await pair.serving(old)
@@ -91,7 +91,7 @@
 
 
 def test_an_operators_drain_shows_in_health_checks_and_not_in_heartbeats(folder: Path) -> None:
-    """The platform takes the node off its list by the checks, and may take it back at once after ``ok``."""
+    """The platform removes the node by its health checks, and may list it again at once after ``ok``."""
 
     async def work(pair: Pair) -> None:
         one = await pair.start(admin=True)
@@ -99,11 +99,11 @@
         await one.play(
             "a = connect frames\n"
             + CHECK % (1, 1)
-            + WORD % ("fail", "failed")
+            + DRAIN_COMMAND % ("fail", "failed")
             + 'a > {04 00000002 00}\na < {05 00000002 01 01 06"advice" 0006"0.0000"}\n'
         )
         one.beats.clear()
-        await one.play("beat BEAT n1 ready\n" + WORD % ("ok", "ready") + CHECK % (3, 3))
+        await one.play("beat BEAT n1 ready\n" + DRAIN_COMMAND % ("ok", "ready") + CHECK % (3, 3))
         one.beats.clear()
         await one.play("beat BEAT n1 ready\n")
         assert set(one.beats) == {"BEAT n1 ready"}
--- a/tests/handover/test_node_faults.py
+++ b/tests/handover/test_node_faults.py
@@ -1,4 +1,4 @@
-"""A handover that meets the end of either process, strangers, other versions, or a third process."""
+"""Handovers with a lost process, malformed input, other versions, or a third process."""
 
 import asyncio
 import contextlib
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 import pytest
-from pair import CHECK, DOUBT, FAILED, LAUNCH, OK, PASS, UP, WORD, Pair, asked, run
+from pair import CHECK, DOUBT, DRAIN_COMMAND, FAILED, LAUNCH, OK, PASS, UP, Pair, request_line, run
 from play import until
 
 from beechrock.handover import messages, wire
@@ -22,7 +22,7 @@
     async def work(pair: Pair) -> None:
         old = await pair.start()
         await pair.serving(old)
-        await old.play("a = connect frames\n" + asked(1, 1, 1) + LAUNCH % 1)
+        await old.play("a = connect frames\n" + request_line(1, 1, 1) + LAUNCH % 1)
         early = await pair.start(up=False)
         await until(
             lambda: old.program.handover.lifecycle.successor is SuccessorStage.JOINING, lambda: "not seen"
@@ -33,19 +33,19 @@
         )  # type: ignore
         new = await pair.start()
         await pair.following(old, new)
-        for stand in (old, new):  # the agent's address moves for both, each to its own new one
+        for stand in (old, new):  # both processes get new agent addresses
             await stand.play("move agent\nreload\ng = accept agent\n")
         greeted = UP.partition("\n")[2].replace("links 1", "links 2")
         await old.play(greeted + LAUNCH % 1 + PASS % (1, 1) + OK % 1)
         await new.play(greeted)
-        await pair.caller(new, [old])
-        await new.play(asked(1, 2, 1) + OK % 1)
+        await pair.connect_caller(new, [old])
+        await new.play(request_line(1, 2, 1) + OK % 1)
         assert new.program.counters["sent.launches"] == 0
 
     run(work, folder)
 
 
-@pytest.mark.parametrize("version", [1, 99])  # 1: times on the wire were Unix times
+@pytest.mark.parametrize("version", [1, 99])  # version 1 sent Unix times
 def test_the_socket_is_left_to_a_successor_of_another_version(folder: Path, version: int) -> None:
     async def work(pair: Pair) -> None:
         old = await pair.start()
@@ -60,7 +60,7 @@
         assert (await reader.read(100)) == wire.encode(messages.Hello())
         old.program.leave()
         assert old.program.replaced and old.program.frames.server is None
-        writer.close()  # it is gone: nobody else stands for this node
+        writer.close()  # the successor is lost, so this process must serve again
         await pair.serving(old)
 
     run(work, folder)
@@ -68,15 +68,15 @@
 
 def test_a_rollback_leaves_the_node_to_the_old_process_and_both_may_leave(folder: Path) -> None:
     async def work(pair: Pair) -> None:
-        old, new = await pair.both()
-        await pair.caller(new, [old])
-        await new.play(asked(1, 1, 1) + LAUNCH % 1)
+        old, new = await pair.start_both()
+        await pair.connect_caller(new, [old])
+        await new.play(request_line(1, 1, 1) + LAUNCH % 1)
         new.program.leave()
         assert new.program.replaced and new.program.frames.server is None  # type: ignore[union-attr]
         await new.play("a < {06 00000000}\n" + CHECK % (9, 9) + PASS % (1, 1) + OK % 1 + "a end\na closed\n")
         await until(new.program.handover.may_go, lambda: "still there")  # type: ignore[union-attr]
         assert old.program.frames.server is not None  # type: ignore[union-attr]
-        # Now the old one is told to go as well: nobody stays, and both stand open to their end.
+        # The old process leaves as well: no other one remains, so both accept connections until their ends.
         old.program.leave()
         await pair.serving(new)
         assert not new.program.replaced and not old.program.replaced
@@ -89,11 +89,11 @@
     async def work(pair: Pair) -> None:
         old = await pair.start(admin=True)
         await pair.serving(old)
-        await old.play(WORD % ("fail", "failed"))
+        await old.play(DRAIN_COMMAND % ("fail", "failed"))
         new = await pair.start(admin=True)
         await pair.following(old, new)
         await until(lambda: new.program.serving.failed, lambda: "not passed on")  # type: ignore
-        await new.play(WORD % ("ok", "ready"))
+        await new.play(DRAIN_COMMAND % ("ok", "ready"))
         await until(lambda: not old.program.serving.failed, lambda: "not passed back")  # type: ignore[union-attr]
 
     run(work, folder)
@@ -103,7 +103,7 @@
     async def work(pair: Pair) -> None:
         first = await pair.start()
         await pair.serving(first)
-        await first.play("a = connect frames\n" + asked(1, 1, 1) + LAUNCH % 1)
+        await first.play("a = connect frames\n" + request_line(1, 1, 1) + LAUNCH % 1)
         second = await pair.start()
         await pair.following(first, second)
         third = await pair.start()
@@ -115,8 +115,8 @@
         third.now -= 60
         await pair.end(first)
         await pair.following(second, third)
-        await pair.caller(third, [second])
-        await third.play(asked(1, 2, 1) + FAILED % 1)  # it was the first's, which died with it on its way
+        await pair.connect_caller(third, [second])
+        await third.play(request_line(1, 2, 1) + FAILED % 1)  # the first process died during its run
 
     run(work, folder)
 
@@ -151,15 +151,15 @@
             new.now += 0.1
             await asyncio.sleep(0.02)
         await pair.serving(new)
-        await new.play("a = connect frames\n" + asked(1, 1, 1) + DOUBT % 1)
+        await new.play("a = connect frames\n" + request_line(1, 1, 1) + DOUBT % 1)
         assert new.program.counters["sent.launches"] == 0
         server.close()
         for end in ends:
             end.transport.abort()
         await until(lambda: life.predecessor is PredecessorStage.ABSENT, lambda: f"{life.predecessor}")
-        await new.play(asked(2, 2, 1) + DOUBT % 2)
-        new.now += 30  # its longest window is over
-        text = asked(3, 3, 1).replace("1700000000000", str(int(1000 * new.now)))
+        await new.play(request_line(2, 2, 1) + DOUBT % 2)
+        new.now += 30  # past the longest window
+        text = request_line(3, 3, 1).replace("1700000000000", str(int(1000 * new.now)))
         await new.play(text + LAUNCH % 3)
 
     run(work, folder)
@@ -180,7 +180,7 @@
             await pair.serving(new)
             await new.play(
                 "a = connect frames\n"
-                + asked(1, 1, 1).replace("1700000000000", str(int(1000 * new.now)))
+                + request_line(1, 1, 1).replace("1700000000000", str(int(1000 * new.now)))
                 + DOUBT % 1
             )
         assert new.program.counters["sent.launches"] == 0
@@ -224,18 +224,18 @@
     async def work(pair: Pair) -> None:
         pair.folder = folder / ("x" * 120)
         pair.folder.mkdir()
-        await pair.both()
+        await pair.start_both()
 
     run(work, folder)
 
 
 def test_load_of_the_other_process_lowers_the_run_limit_until_it_ends(folder: Path) -> None:
     async def work(pair: Pair) -> None:
-        old, new = await pair.both()
+        old, new = await pair.start_both()
         alone = new.program.module.node.concurrency.run_limit()
-        await pair.caller(old, [new])
+        await pair.connect_caller(old, [new])
         await old.play(
-            "".join(asked(n, n, n) for n in range(1, 4)) + 'counter sent.launches 3\ng ... "\\r\\n"\n'
+            "".join(request_line(n, n, n) for n in range(1, 4)) + 'counter sent.launches 3\ng ... "\\r\\n"\n'
         )
         node = new.program.module.node
         await until(lambda: node.other_process.load.running > 0, lambda: f"{node.other_process.load}")
@@ -248,7 +248,7 @@
 
 
 def test_malformed_input_on_the_channel_does_not_prevent_a_later_successor(folder: Path) -> None:
-    """Noise, lengths out of bounds, a greeting cut at each byte: the next one is heard all the same."""
+    """Random bytes, invalid lengths and truncated hellos must not prevent a later successor."""
 
     async def work(pair: Pair) -> None:
         node = await pair.start()
@@ -263,7 +263,7 @@
             hello + b"\0\0\0\x02\x63x",
             *(hello[:n] for n in range(len(hello))),
         ):
-            # One that had greeted was a successor: with its end the socket has another name.
+            # A peer that sent a hello counted as a successor, so the socket was renamed when it ended.
             await until(
                 lambda: handover.links.successor is None and not handover.successors.waiting,
                 lambda: "still there",
@@ -286,7 +286,7 @@
         one = await pair.start()
         assert (
             one.program.module.memory.max_open_requests == 3072
-        )  # 24 MB of 192 at 4 KB each, and half of that
+        )  # half of what fits: 24 MB of 192, 4 KB per request
         assert replace(one.told, listen_fd=None).memory_mb == 192.0
 
     run(work, folder)
--- a/tests/handover/test_node_processes.py
+++ b/tests/handover/test_node_processes.py
@@ -1,4 +1,4 @@
-"""Real processes of one node on an inherited socket under load: replaced, killed, and the keys of both."""
+"""Real processes of one node on an inherited socket under load, which are replaced and killed."""
 
 import asyncio
 import random
@@ -38,25 +38,26 @@
             assert await old.end(how) == (0 if how is signal.SIGTERM else -how)
             assert await check(shared.getsockname())
             await load
-            # Seen beside full load: the first was over before the new process had served anything.
+            # On a fully loaded machine the first load has ended before the new process served anything.
             await callers.load(150.0, 0.5)
-            # Nobody knows what a killed process ran last: the next one turns all keys away for one window.
-            # Seen beside a load of 25: the calls were over before that.
+            # The last runs of a killed process are unknown, so the next one rejects all keys for one window.
+            # At a machine load of 25 the calls ended before that window.
             doubted = False
             async with asyncio.timeout(10 * WINDOW_S):
                 while how is signal.SIGKILL and not KEY_SERVED.search((await new.call("GET", "/stats"))[1]):
                     doubted = True
                     await callers.load(150.0, 0.5)
-            if how is signal.SIGTERM:  # nobody was turned back unheard
+            if how is signal.SIGTERM:  # a clean replacement loses no request
                 assert not callers.ends["lost"] and not callers.refused_connections
-            # How many are served is the machine's matter: 85 of 149 beside eight busy workers on one core.
+            # The number of served requests depends on the machine: 85 of 149 beside eight busy workers on a
+            # core.
             assert callers.ends["served"] and not callers.ends["wrong"], callers.ends
-            # Of the unkeyed ones too: no try of theirs is repeated here.
+            # No request was launched twice, including unkeyed ones, of which this test sends no retry.
             assert max(farm.launched.values()) == 1, seed
             _, figures = await new.call("GET", "/stats")
             assert KEY_SERVED.search(figures)
             assert figures.endswith("svc_concurrent 0\n")
-            assert await new.end() == 0  # alone: it listens to the end
+            assert await new.end() == 0  # alone, it listens until its end
             assert not doubted or new.counters()["handover.in_doubt"], "no key was served, and none in doubt"
             assert "Traceback" not in old.log.read_text() + new.log.read_text()
         finally:
@@ -69,7 +70,7 @@
 
 
 class Play:
-    """Two processes under a load in which most keys are tried twice, at once or a little later."""
+    """Processes under a load in which most keys are sent twice, at once or a little later."""
 
     def __init__(self, folder: Path, shared: socket.socket, seed: int) -> None:
         self.folder, self.shared = folder, shared
@@ -82,8 +83,8 @@
         self.processes.append(process)
         return process
 
-    async def some_stage(self) -> None:
-        """Any moment from the start of a process to its yes, or a little later."""
+    async def wait_random_time(self) -> None:
+        """Wait for a random time that ends during or shortly after the start of a process."""
         await asyncio.sleep(self.draw.uniform(0.0, 0.5))
 
     async def stop(self, process: Process, seconds: float) -> None:
@@ -93,7 +94,8 @@
 
     def check(self, lost: bool) -> None:
         ends = self.callers.ends
-        # By the rule, from the birth of the try that ran: callers on a busy machine may stand for seconds.
+        # The window counts from the birth of the attempt that ran: callers on a busy machine may lag by
+        # seconds.
         for body, traces in self.farm.tries.items():
             born = sorted(self.callers.born[trace] for trace in traces)
             assert all(b - a > WINDOW_S for a, b in pairwise(born)), (body, born)
@@ -106,7 +108,7 @@
 
 async def old_is_stopped_and_goes_on(play: Play, old: Process) -> None:
     new = await play.start()
-    await play.some_stage()
+    await play.wait_random_time()
     await play.stop(old, 1.0)
     assert await new.yes() < 6.0
     assert await old.end() == 0
@@ -115,14 +117,14 @@
 async def old_is_stopped_for_longer_than_the_new_one_waits(play: Play, old: Process) -> None:
     new = await play.start()
     stopping = asyncio.ensure_future(play.stop(old, 4.0))
-    assert await new.yes() < 6.0  # without keys
+    assert await new.yes() < 6.0  # it is ready without running keys
     await stopping
     assert await old.end() == 0
 
 
 async def old_is_stopped_and_killed(play: Play, old: Process) -> None:
     new = await play.start()
-    await play.some_stage()
+    await play.wait_random_time()
     old.popen.send_signal(signal.SIGSTOP)
     await asyncio.sleep(play.draw.uniform(0.0, 1.0))
     await old.end(signal.SIGKILL)
@@ -131,19 +133,19 @@
 
 async def old_is_killed_while_the_new_one_joins(play: Play, old: Process) -> None:
     new = await play.start()
-    await play.some_stage()
+    await play.wait_random_time()
     await old.end(signal.SIGKILL)
     assert await new.yes() < 6.0
 
 
 async def new_is_killed_at_any_stage(play: Play, old: Process) -> None:
     new = await play.start()
-    await play.some_stage()
+    await play.wait_random_time()
     await new.end(signal.SIGKILL)
     assert await check(play.shared.getsockname())
 
 
-async def new_is_stopped_after_its_yes(play: Play, old: Process) -> None:
+async def new_is_stopped_after_it_is_ready(play: Play, old: Process) -> None:
     new = await play.start()
     await new.yes()
     ending = asyncio.ensure_future(old.end())
@@ -151,9 +153,9 @@
     assert await ending == 0
 
 
-async def old_is_told_to_leave_twice_and_before_the_yes(play: Play, old: Process) -> None:
+async def old_gets_sigterm_and_sighup_while_new_starts(play: Play, old: Process) -> None:
     new = await play.start()
-    await play.some_stage()
+    await play.wait_random_time()
     old.popen.send_signal(signal.SIGTERM)
     old.popen.send_signal(signal.SIGHUP)
     await new.yes()
@@ -169,8 +171,8 @@
         (old_is_stopped_and_killed, True),
         (old_is_killed_while_the_new_one_joins, True),
         (new_is_killed_at_any_stage, True),
-        (new_is_stopped_after_its_yes, False),
-        (old_is_told_to_leave_twice_and_before_the_yes, False),
+        (new_is_stopped_after_it_is_ready, False),
+        (old_gets_sigterm_and_sighup_while_new_starts, False),
     ],
 )
 def test_no_key_runs_twice_and_nothing_read_is_lost_while_signals_cross(
@@ -198,30 +200,30 @@
         asyncio.run(work(Path(name), shared))
 
 
-# A stopped process is noticed, and what had connected until then is answered, as soon as any answer is due.
+# Seconds until a request must be answered, even if it connected before the stopped process was noticed.
 DUE_S = SETTINGS["grades"][0]["giveUpS"] + SETTINGS["guarantees"]["answerSlackS"] + 0.05
-STOPPED_S = 2.5  # within the 3.7 s between the notice and the kill
+STOPPED_S = 2.5  # Seconds; less than the 3.7 s between SIGTERM and the kill
 
 
 @pytest.mark.parametrize("stays", [False, True])
 def test_a_leaving_process_answers_new_connections_while_its_successor_is_stopped(
     stays: bool,
 ) -> None:
-    """Nobody took it until the successor went on. ``stays``: the old process has a run to wait for."""
+    """Once nobody accepted until the successor resumed. ``stays``: the old process still has a run."""
 
     async def work(folder: Path, shared: socket.socket) -> None:
         play = Play(folder, shared, 1)
         old = await play.start()
         await old.yes()
         held = Link(play.callers)
-        await held.ask(1000, False)  # its connection is the old process's
+        await held.ask(1000, False)  # this connection belongs to the old process
         new = await play.start()
         await new.yes()
-        asked: list[asyncio.Future[None]] = []
+        requests: list[asyncio.Future[None]] = []
         try:
             if stays:
                 play.farm.free = [time.monotonic() + 1.0] * CORES
-                asked.append(asyncio.ensure_future(held.ask(1001, False)))
+                requests.append(asyncio.ensure_future(held.ask(1001, False)))
                 await asyncio.sleep(0.1)
                 old.popen.send_signal(signal.SIGTERM)
                 await asyncio.sleep(0.1)
@@ -229,11 +231,13 @@
             old.popen.send_signal(signal.SIGTERM)
             stopped_at = time.monotonic()
             while time.monotonic() < stopped_at + STOPPED_S:
-                asked.append(asyncio.ensure_future(Link(play.callers).ask(len(asked), len(asked) % 2 == 0)))
+                requests.append(
+                    asyncio.ensure_future(Link(play.callers).ask(len(requests), len(requests) % 2 == 0))
+                )
                 await asyncio.sleep(0.1)
             new.popen.send_signal(signal.SIGCONT)
-            await asyncio.gather(*asked)
-            assert len(play.callers.took) > len(asked) and not play.callers.refused_connections
+            await asyncio.gather(*requests)
+            assert len(play.callers.took) > len(requests) and not play.callers.refused_connections
             assert max(took_s for _, _, took_s in play.callers.took) < DUE_S
             play.check(lost=False)
             await old.end()
--- a/tests/handover/test_ownership.py
+++ b/tests/handover/test_ownership.py
@@ -1,4 +1,4 @@
-"""Claims of a handover, without I/O: random histories, invariants after each step, and single guards."""
+"""Key ownership without I/O: random histories with invariants, and tests of single rules."""
 
 import pytest
 from claim_processes import BODY, KEYS, LINGER_S, WINDOW_S, Process, World
@@ -11,7 +11,7 @@
 
 
 class Replacement:
-    """An old process and, at times, a new one, under drawn events."""
+    """An old process and sometimes a new one, under random events."""
 
     def __init__(self, world: World) -> None:
         self.world = world
@@ -26,7 +26,7 @@
             case "try":
                 process.attempt(draw.choice(KEYS), self.world.now - draw.random() ** 3 * LINGER_S)
             case "hear" if process.inbox:
-                process.hear()
+                process.receive_next()
             case "end":
                 process.end_one()
             case "time":
@@ -36,23 +36,23 @@
                 self.turn()
 
     def turn(self) -> None:
-        """A new process comes; or the channel breaks, or either process dies."""
+        """Start a new process, break the channel, or end either process."""
         draw, old, new = self.world.draw, self.old, self.new
         if new is None:
-            if self.world.now >= old.claims.doubt.until_s:  # else it vouches for nothing
+            if self.world.now >= old.claims.doubt.until_s:  # in doubt it copies no claims
                 self.new = Process(self.world)
                 old.copy_to(self.new)
         elif draw.random() < 0.4:
             old.break_channel(new)
             old.copy_to(new, draw.choice([1.0, 1.0, draw.random()]))
             if new.claims.claims_missing:
-                new.lost()
+                new.on_peer_lost()
                 self.old, self.new = new, None
-        elif draw.random() < 0.7:  # killed, or gone in peace, with words on their way to it
-            new.lost()
+        elif draw.random() < 0.7:  # the old process ends, with messages to it unread
+            new.on_peer_lost()
             self.old, self.new = new, None
         else:
-            old.lost()
+            old.on_peer_lost()
             self.new = None
 
     def check(self) -> None:
@@ -66,7 +66,7 @@
             assert claims.role is role
 
 
-# Beyond the first 150: seeds that once ran a key twice.
+# The seeds above 150 once ran a key twice.
 @pytest.mark.parametrize("seed", [*range(150), 484, 690, 1554, 1728, 2084, 2606, 3097, 4068])
 def test_no_key_runs_twice_in_random_histories(seed: int) -> None:
     world = World(seed)
@@ -82,7 +82,9 @@
     claims.role = PeerRole.PREDECESSOR
     assert claims.decide(KEYS[0], BODY, 1.0, 3.0, "a", 1.0) is Decision.WAIT
     assert claims.decide(KEYS[0], BODY, 1.0, 3.0, "b", 1.1) is Decision.WAIT
-    assert claims.outbox == [messages.GrantRequest(KEYS[0], BODY, 1.0, 3.0 + GRANT_EXTRA_S)]  # once for both
+    assert claims.outbox == [
+        messages.GrantRequest(KEYS[0], BODY, 1.0, 3.0 + GRANT_EXTRA_S)
+    ]  # one for both attempts
     assert claims.expired_waits(1.0 + GRANT_TIMEOUT_S) == ["a", "b"] and claims.requests.waiting == 0
     assert claims.decide(KEYS[0], BODY, 1.0, 3.0, "c", 1.0 + GRANT_TIMEOUT_S) is Decision.REJECT  # at once
     claims.outbox.clear()
@@ -96,7 +98,7 @@
     assert claims.decide(KEYS[0], BODY, 1.0, 3.0, "a", 1.0) is Decision.REJECT
     claims.on_peer_lost(5.0)
     ends = 5.0 + WINDOW_S + SLACK_S
-    for born in (5.0, ends - 0.01):  # in the window of what ran last, also where it is read late
+    for born in (5.0, ends - 0.01):  # in the window of the last run, even if read late
         assert (
             claims.decide(KEYS[0], BODY, born, born + WINDOW_S, "a", ends + LINGER_S - 0.01)
             is Decision.REJECT
@@ -133,7 +135,7 @@
         messages.KeyDenied(KEYS[0]),
     ]
     claims.outbox.clear()
-    claims.receive(messages.GrantRequest(KEYS[0], BODY, 3.2, 5.2), False)  # its window is over
+    claims.receive(messages.GrantRequest(KEYS[0], BODY, 3.2, 5.2), False)  # after the window
     assert claims.outbox == [messages.KeyGranted(KEYS[0])]
 
 
@@ -144,7 +146,7 @@
         claims.decide(KEYS[0], BODY, 1.0, 3.0, of, 1.0)
     claims.decide(KEYS[1], BODY, 1.0, 3.0, "c", 1.0)
     claims.expired_waits(1.0)
-    claims.requests.pending[KEYS[1]].attempts.clear()  # all have been turned away
+    claims.requests.pending[KEYS[1]].attempts.clear()  # all were rejected
     claims.requests.waiting -= 1
     claims.outbox.clear()
     claims.on_claims_synced()  # over a new channel
@@ -154,7 +156,7 @@
     claims.claim_run(KEYS[0], BODY, 3.0)
     claims.receive(messages.KeyGranted(KEYS[0]), False)
     assert claims.outbox == []
-    assert claims.decide(KEYS[1], BODY, 2.0, 4.0, "d", 2.0) is Decision.WAIT  # not refused for ever
+    assert claims.decide(KEYS[1], BODY, 2.0, 4.0, "d", 2.0) is Decision.WAIT  # the old request was dropped
 
 
 def test_a_released_key_is_still_known_for_its_earlier_run() -> None:
@@ -164,7 +166,7 @@
     claims.receive(messages.RunEnded(KEYS[0], True, "", b"r"), False)
     claims.receive(messages.GrantRequest(KEYS[0], BODY, 3.2, 5.2), False)  # the next window
     claims.receive(messages.KeyReleased(KEYS[0]), False)
-    late = claims.find_claim(KEYS[0], 2.99)  # born in the first window, and read late
+    late = claims.find_claim(KEYS[0], 2.99)  # born in the first window but read late
     assert late is not None and late.ended and claims.find_claim(KEYS[0], 3.2) is None
     assert late.result == b"r" and claims.other_claims.result_bytes == len(b"r")
     claims.sweep(3.0 + SLACK_S + LINGER_S + 0.01)
--- a/tests/handover/test_wire.py
+++ b/tests/handover/test_wire.py
@@ -1,4 +1,4 @@
-"""Messages of a handover on the wire: each comes back as it was, and other bytes end in one error."""
+"""Encoding of handover messages: each survives a round trip, and invalid bytes raise WireError."""
 
 import math
 
@@ -9,7 +9,7 @@
 
 from beechrock.handover import messages, wire
 
-TIMES = st.floats(allow_nan=False, allow_infinity=False)  # what is none of these is no message: see below
+TIMES = st.floats(allow_nan=False, allow_infinity=False)  # Other times are rejected; a test below checks it
 
 
 MESSAGES = st.one_of(
