--- a/beechrock/handover/channel.py
+++ b/beechrock/handover/channel.py
@@ -67,19 +67,19 @@
         Raises OSError if the socket cannot be created in the folder now.
         """
         sock = socket.socket(socket.AF_UNIX)
-        made = f".{self.name}"
+        hidden_name = f".{self.name}"
         server: Listener | None = None
         try:
-            sock.bind(self._path(made))
-            os.chmod(self.folder / made, 0o600)
+            sock.bind(self._path(hidden_name))
+            os.chmod(self.folder / hidden_name, 0o600)
             sock.listen(4)
             server = Listener(sock, accepted, counters, "handover", at_once=4)
-            os.rename(self.folder / made, self.folder / self.name)
+            os.rename(self.folder / hidden_name, self.folder / self.name)
         except OSError:
             if server is not None:  # the event loop must not watch a descriptor number that will be reused
                 server.close()
             sock.close()
-            self._remove(made)
+            self._remove(hidden_name)
             raise
         self.server = server
 
@@ -92,11 +92,13 @@
             names = os.listdir(self.folder)
         except (FileNotFoundError, NotADirectoryError, PermissionError):  # no process can use the folder
             return []
-        mine = self._started(self.name)
-        found = sorted((at, name) for name in names if (at := self._started(name)) and mine and at < mine)
+        own_start = self._start_order(self.name)
+        found = sorted(
+            (at, name) for name in names if (at := self._start_order(name)) and own_start and at < own_start
+        )
         return [name for _, name in found[: -MAX_NAMES - 1 : -1] if self._is_own_socket(name)]
 
-    def _started(self, name: str) -> tuple[bool, int, str] | None:
+    def _start_order(self, name: str) -> tuple[bool, int, str] | None:
         """Return a sort key by start time, or None if no process of this node has such a name.
 
         A name with a Unix time, as earlier versions chose it, sorts before all others.
@@ -125,7 +127,7 @@
             vanished = False
             for name in self.older_names():
                 try:
-                    ends = await open_unix_connection(self._path(name), limit=CHUNK)
+                    streams = await open_unix_connection(self._path(name), limit=CHUNK)
                 except FileNotFoundError:  # the process has exited cleanly or has renamed its socket
                     vanished = True
                 except ConnectionRefusedError:  # the process was killed
@@ -133,7 +135,7 @@
                     self._remove(name)
                 else:
                     self.reached_name = name
-                    return ends
+                    return streams
             if not vanished:
                 return None
         raise OSError(errno.EAGAIN, "sockets in the handover folder keep changing")
--- a/tests/handover/pair.py
+++ b/tests/handover/pair.py
@@ -88,7 +88,10 @@
             other.program.frames.pause()
         had = stand.program.counters["intake.frames_connections"]
         await stand.step(["a", "=", "connect", "frames"], "")
-        await until(lambda: stand.program.counters["intake.frames_connections"] > had, lambda: "not taken")
+        await until(
+            lambda: stand.program.counters["intake.frames_connections"] > had,
+            lambda: "connection not accepted",
+        )
         for other in others:
             await other.program.shared_socket.listen()
 
--- a/tests/handover/test_channel_dropped.py
+++ b/tests/handover/test_channel_dropped.py
@@ -206,7 +206,7 @@
 
         monkeypatch.setattr(os, "rename", failing)
         after.drop()
-        await until(lambda: channel.name != name, lambda: "still the same")
+        await until(lambda: channel.name != name, lambda: "socket not renamed")
         assert not failures
 
     run(work, folder)
--- a/tests/handover/test_node.py
+++ b/tests/handover/test_node.py
@@ -112,7 +112,10 @@
         await pair.connect_caller(new, [old])
         old.program.handover.receive = lambda peer, message: None  # type: ignore  # as if stopped
         await new.play(request_line(1, 1, 1))
-        await until(lambda: new.program.handover.keys.ownership.requests.waiting == 1, lambda: "not asked")  # type: ignore
+        await until(
+            lambda: new.program.handover.keys.ownership.requests.waiting == 1,
+            lambda: "no grant request waits",
+        )  # type: ignore
         await new.play("clock 0.35\n" + DOUBT % 1 + request_line(2, 2, 1) + DOUBT % 2)
         assert new.program.counters["sent.launches"] == 0
         await pair.end(old)
@@ -141,7 +144,7 @@
         await pair.following(old, new)
         assert new.program.handover.serving and old.program.replaced  # type: ignore[union-attr]
         assert old.program.frames.server is None  # type: ignore[union-attr]
-        await until(lambda: old.program.module.status.healthy, lambda: "still bad")
+        await until(lambda: old.program.module.status.healthy, lambda: "still unhealthy")
         old.beats.clear()
         await old.play(CHECK % (9, 9) + "beat BEAT n1 ready\n")  # the successor keeps the node in service
         assert not old.program.handover.may_go()  # type: ignore[union-attr]
@@ -169,7 +172,7 @@
         await old.play(PASS % (1, 1) + OK % 1)
         assert not handover.may_go()
         await old.play("a end\na closed\n")
-        await until(handover.may_go, lambda: "still there")
+        await until(handover.may_go, lambda: "may not exit yet")
         old.program.close()
         handover.close()
         await asyncio.sleep(0.05)  # during upgrades a fault once made it accept again here
--- a/tests/handover/test_node_crossings.py
+++ b/tests/handover/test_node_crossings.py
@@ -39,16 +39,16 @@
     run(work, folder)
 
 
-@pytest.mark.parametrize("said", [(), (messages.Hello(),), (messages.Hello(), claim_of(1))])
+@pytest.mark.parametrize("sent", [(), (messages.Hello(),), (messages.Hello(), claim_of(1))])
 def test_keys_are_in_doubt_if_the_predecessor_dies_before_the_sync(
     folder: Path,
-    said: tuple[messages.Message, ...],
+    sent: tuple[messages.Message, ...],
 ) -> None:
     async def work(pair: Pair) -> None:
         old = ScriptedPredecessor(pair)
         new = await pair.start()
         end = await old.accept()
-        end.send_messages(*said)
+        end.send_messages(*sent)
         await end.receive(messages.Hello)
         old.kill()
         await until_predecessor_absent(new)
@@ -60,10 +60,10 @@
     run(work, folder)
 
 
-@pytest.mark.parametrize("said", [(messages.Hello(),), (messages.Hello(), claim_of(1))])
+@pytest.mark.parametrize("sent", [(messages.Hello(),), (messages.Hello(), claim_of(1))])
 def test_keys_are_in_doubt_if_the_predecessor_ends_without_a_socket_before_the_sync(
     folder: Path,
-    said: tuple[messages.Message, ...],
+    sent: tuple[messages.Message, ...],
 ) -> None:
     """No socket is left, so only the channel without a complete copy shows that runs may be unknown."""
 
@@ -71,7 +71,7 @@
         old = ScriptedPredecessor(pair)
         new = await pair.start()
         end = await old.accept()
-        end.send_messages(*said)
+        end.send_messages(*sent)
         await end.receive(messages.Hello)
         old.remove_socket_name()
         old.kill()
@@ -236,7 +236,7 @@
         new = await pair.start()
         await pair.following(old, new)
         old.program.leave()
-        await until(handover_of(old).may_go, lambda: "still there")
+        await until(handover_of(old).may_go, lambda: "may not exit yet")
         await pair.end(old)
         await until_predecessor_absent(new)
         claims = handover_of(new).keys.ownership.other_claims.claims.values()
@@ -279,7 +279,7 @@
         )
         await until(
             lambda: handover_of(old).lifecycle.other_leaving and handover_of(new).lifecycle.other_leaving,
-            lambda: "not told",
+            lambda: "a leave notice is missing",
         )
         await pair.serving(old)
         await pair.serving(new)
--- a/tests/handover/test_node_faults.py
+++ b/tests/handover/test_node_faults.py
@@ -74,7 +74,7 @@
         new.program.leave()
         assert new.program.replaced and new.program.frames.server is None  # type: ignore[union-attr]
         await new.play("a < {06 00000000}\n" + CHECK % (9, 9) + PASS % (1, 1) + OK % 1 + "a end\na closed\n")
-        await until(new.program.handover.may_go, lambda: "still there")  # type: ignore[union-attr]
+        await until(new.program.handover.may_go, lambda: "may not exit yet")  # type: ignore[union-attr]
         assert old.program.frames.server is not None  # type: ignore[union-attr]
         # The old process leaves as well: no other one remains, so both accept connections until their ends.
         old.program.leave()
@@ -121,25 +121,25 @@
     run(work, folder)
 
 
-@pytest.mark.parametrize("says", ["nothing", "another version", "noise", "half a greeting"])
+@pytest.mark.parametrize("received", ["nothing", "another version", "noise", "half a greeting"])
 def test_beside_an_incompatible_predecessor_a_process_serves_but_runs_no_key(
     folder: Path,
-    says: str,
+    received: str,
 ) -> None:
     async def work(pair: Pair) -> None:
         host, port = pair.shared.getsockname()
         path = folder / f"beechrock-{host}_{port}-{0:020d}-1.sock"
-        told = {
+        data = {
             "nothing": b"",
             "another version": wire.encode(messages.Hello(99)) + b"\xff" * 4000,
             "noise": b"\xff" * 64,
             "half a greeting": wire.encode(messages.Hello())[:9],
-        }[says]
+        }[received]
         ends: list[asyncio.StreamWriter] = []
 
         async def accepted(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             ends.append(writer)
-            writer.write(told)
+            writer.write(data)
 
         server = await asyncio.start_unix_server(accepted, path)
         new = await pair.start()
@@ -175,7 +175,9 @@
             filler = held.enter_context(socket.socket(socket.AF_UNIX))
             filler.connect(stopped.getsockname())
             new = await pair.start()
-            await until(lambda: new.program.counters["handover.channels_ended"] > 0, lambda: "not tried")
+            await until(
+                lambda: new.program.counters["handover.channels_ended"] > 0, lambda: "no connection attempt"
+            )
             new.now += HELLO_TIMEOUT_S + COPY_TIMEOUT_S + 0.1
             await pair.serving(new)
             await new.play(
@@ -256,7 +258,7 @@
         handover = node.program.handover
         assert handover is not None and handover.channel is not None
         hello = wire.encode(messages.Hello())
-        for told in (
+        for data in (
             b"\0" * 50,
             b"\xff" * 50,
             struct.pack(">IB", 2**31, 3),
@@ -270,7 +272,7 @@
             )
             path = str(folder / handover.channel.name)
             reader, writer = await asyncio.open_unix_connection(path)
-            writer.write(told)
+            writer.write(data)
             writer.write_eof()
             while await reader.read(1000):
                 pass
--- a/tests/handover/test_node_late.py
+++ b/tests/handover/test_node_late.py
@@ -94,7 +94,10 @@
         if not joined:
             await pair.start(stand=new)
             before_hello = (PredecessorStage.SEARCHING, PredecessorStage.CONNECTED)
-            await until(lambda: handover_of(new).lifecycle.predecessor not in before_hello, lambda: "not met")
+            await until(
+                lambda: handover_of(new).lifecycle.predecessor not in before_hello,
+                lambda: "no hello received",
+            )
             await asyncio.sleep(0.1)  # longer than a copy takes
             if handover_of(new).lifecycle.predecessor is PredecessorStage.COPYING:
                 new.now += COPY_TIMEOUT_S + 0.01  # the new process serves, but rejects keys
@@ -141,12 +144,12 @@
     run(work, folder)
 
 
-@pytest.mark.parametrize("reads", ["old", "new"])
+@pytest.mark.parametrize("reader", ["old", "new"])
 @pytest.mark.parametrize(
     ("ended", "answer"), [(PASS % (1, 1), OK), (FAIL % 1, FAILED)], ids=["served", "failed"]
 )
 def test_a_try_born_after_the_window_of_a_run_at_the_successor_runs(
-    folder: Path, ended: str, answer: str, reads: str
+    folder: Path, ended: str, answer: str, reader: str
 ) -> None:
     """A grant exceeds its run's window; an attempt born in between once got the earlier result or failed."""
 
@@ -156,7 +159,7 @@
         await new.play(request_line(1, 1, 1) + LAUNCH % 1 + ended + answer % 1)
         for stand in (old, new):
             stand.now += WINDOW_S - 0.1
-        in_window, stand = born_now(request_line(2, 2, 1), old), {"old": old, "new": new}[reads]
+        in_window, stand = born_now(request_line(2, 2, 1), old), {"old": old, "new": new}[reader]
         if stand is old:
             await pair.connect_caller(old, [new])
         await stand.play(in_window + answer % 2)
