--- a/beechrock/agree/errors.py
+++ b/beechrock/agree/errors.py
@@ -6,25 +6,25 @@
 
 
 class AgreeError(OperatorError):
-    """Root of the agreed log's errors."""
+    """Base class of the agreed log's errors."""
 
     event: ClassVar[str] = "agree.error"
 
 
 class NoQuorumError(AgreeError):
-    """The proposal was not accepted, and will not be: no leader with a quorum was found in time."""
+    """No leader with a quorum was found in time: the proposal was not accepted, and will not be."""
 
     event: ClassVar[str] = "agree.no_quorum"
 
 
 class UnsureError(AgreeError):
-    """The proposal was forwarded and may still be accepted; sent again with the same number it runs once."""
+    """The proposal was forwarded and may still be accepted; resent with the same number, it runs once."""
 
     event: ClassVar[str] = "agree.unsure"
 
 
 class FullError(AgreeError):
-    """A bound of the log is reached; the caller is to retry later."""
+    """A bound of the agreed log is reached; the caller should retry later."""
 
     event: ClassVar[str] = "agree.full"
 
@@ -42,6 +42,6 @@
 
 
 class BrokenInvariantError(AgreeError):
-    """An invariant is broken: the process takes no further part in the agreed log, and goes on serving."""
+    """An invariant is broken: the process takes no further part in the agreed log, but keeps serving."""
 
     event: ClassVar[str] = "agree.broken"
--- a/beechrock/agree/marks.py
+++ b/beechrock/agree/marks.py
@@ -1,11 +1,11 @@
-"""Compares a member's journal with what was known of it. Pure.
+"""Comparison of a member's journal with the mark that another member holds of it. Pure.
 
-Each opening of a journal is an epoch: a count, a random id, and how many records it held. A member sends its
-last ``MAX_EPOCHS`` openings. What is known of it must be among them, and the opening after it must have found
-all that had been reported as synced. A copy restored and opened twice has a count as high as the real one's:
-the count alone would let it pass, so the ids are compared.
+Each opening of a journal is an epoch: a count, a random id, and the number of records that it held. A member
+sends its last ``MAX_EPOCHS`` openings. The known mark's epoch must be among them, and the opening after it
+must have found all records that had been reported as synced. A restored copy that was opened twice can have a
+count as high as the original's; as the count alone would not expose it, the ids are compared.
 
-Marks help whoever is asked; safety does not rest on them alone (memory_proof.py).
+Marks detect most outdated journals; safety does not depend on them alone (memory_proof.py).
 """
 
 from collections.abc import Sequence
@@ -14,7 +14,7 @@
 
 
 def judge(known: Mark | None, epochs: Sequence[Epoch]) -> Verdict:
-    """Return the verdict on a journal with these epochs: oldest first, the current one last, never empty."""
+    """Return how a journal with these epochs (oldest first, the current one last) compares with the mark."""
     if known is None:
         return Verdict.NEWER
     for number, epoch in enumerate(epochs):
@@ -26,7 +26,7 @@
 
 
 def later(known: Mark | None, received: Mark) -> Mark:
-    """Return which mark of a member to remember: epochs by count, positions within one only grow."""
+    """Return the newer of two marks of one member: by the epoch's count, then by the position within it."""
     if known is None or received.count > known.count:
         return received
     if received.id == known.id and received.position > known.position:
--- a/beechrock/agree/messages.py
+++ b/beechrock/agree/messages.py
@@ -1,7 +1,8 @@
-"""Data of the agreed log: messages, journal records, and what the core asks its shell to do.
+"""Data types of the agreed log: messages, journal records, and actions that the core asks its shell to do.
 
-All are frozen. Indices and terms begin at 1; 0 is before all. ``round`` numbers a leader's broadcasts, so
-that an answer names the broadcast that it answers. ``codec`` writes the fields by their order.
+All types are frozen. Log indices and terms begin at 1; 0 means "before the first one". ``round`` numbers a
+leader's broadcasts; each answer repeats the number of the broadcast that it answers. ``codec`` writes the
+fields by position, so their order must not change.
 """
 
 from dataclasses import dataclass
@@ -9,34 +10,34 @@
 
 
 class EntryKind(IntEnum):
-    """What an entry of the log is."""
+    """Kind of a log entry."""
 
     NO_OP = 0  # a new leader's first entry
     COMMAND = 1
-    VOTERS = 2  # the whole new set; in force when it is written
-    READMIT = 3  # lets a barred member vote again, under the epoch that is named
+    VOTERS = 2  # holds the complete new voter set, which is in force once the entry is in the log
+    READMIT = 3  # lets a barred member vote again, under the epoch that the entry names
 
 
 class MemoryStatus(IntEnum):
     """Whether a member's journal is known to hold all that its former processes promised."""
 
-    UNPROVEN = 0  # just started: not yet confirmed by enough others
+    UNPROVEN = 0  # too few other members have confirmed the journal since the start
     PROVEN = 1
-    BARRED = 2  # its disk is older than was reported, or empty: no vote before it is readmitted
+    BARRED = 2  # the journal is empty or lacks reported writes: the member must not vote until readmitted
 
 
 class Verdict(IntEnum):
-    """How a member's journal compares with what another one knew of it."""
+    """How a member's journal compares with what another member knew of it."""
 
     SAME = 0
     NEWER = 1
-    OLDER = 2  # of that folder, but writes that were reported as synced are missing
-    OTHER = 3  # another history: an older copy that went on, or an emptied folder
+    OLDER = 2  # the same journal, but it lacks writes that it had reported as synced
+    OTHER = 3  # a different history: the folder was emptied, or is an older copy that was written to since
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """An entry of the log. ``acked``: all numbers of this proposer below it are settled for it."""
+    """A log entry. ``acked``: the proposer knows the outcome of all its proposals with lower numbers."""
 
     index: int
     term: int
@@ -48,13 +49,13 @@
     acked: int = 0
 
     def cost(self) -> int:
-        """Return its size in bytes, roughly, in memory and on the wire."""
+        """Return the entry's approximate size in bytes, in memory and on the wire."""
         return len(self.data) + 64
 
 
 @dataclass(frozen=True, slots=True)
 class Epoch:
-    """One opening of a journal; ``position``: records that it held then."""
+    """One opening of a journal; ``position``: number of records that the journal held at that time."""
 
     count: int
     id: str
@@ -63,14 +64,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Mark:
-    """What is known of a member's journal: its epoch, and records that it reported as synced."""
+    """A member's journal as known to others: its epoch, and the number of records reported as synced."""
 
     count: int
     id: str
     position: int
 
 
-EpochCount = tuple[str, int]  # a member's name, and the count of its newest known epoch
+EpochCount = tuple[str, int]  # name of a member, and the count of its newest known epoch
 
 
 # --- on the wire ---------------------------------------------------------------------------------------
@@ -78,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemoryQuery:
-    """Asks whether the sender's journal is the one that the receiver knows."""
+    """Request to compare the sender's journal with what the receiver knows of it."""
 
     epochs: tuple[Epoch, ...]
     empty: bool
@@ -86,12 +87,12 @@
 
 @dataclass(frozen=True, slots=True)
 class MemoryReport:
-    """Answer to a ``MemoryQuery`` of ``epoch``; ``known_count``: of the newest epoch known to the sender."""
+    """Answer to a ``MemoryQuery``, with the end of the sender's own log and the voters in it."""
 
-    epoch: str
+    epoch: str  # id of the epoch from which the query was sent
     verdict: Verdict
-    known_count: int
-    begun: bool  # the sender's own log or term is not empty
+    known_count: int  # count of the receiver's newest epoch that the sender knew before the query; 0 for none
+    begun: bool  # whether the sender has a term above 0 or any log entry
     memory: MemoryStatus
     term: int
     last_index: int
@@ -102,7 +103,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PreVote:
-    """Asks whether the receiver would vote for the sender in ``term``."""
+    """Question whether the receiver would vote for the sender in ``term``."""
 
     term: int
     last_index: int
@@ -111,7 +112,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PreVoteReply:
-    """``term``: the one that was asked about, or the receiver's where it refuses."""
+    """Answer to a ``PreVote``. ``term``: the term of the request if granted, else the sender's own term."""
 
     term: int
     granted: bool
@@ -119,7 +120,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Vote:
-    """Asks for a vote. ``transferred``: the leader gave up its lease and chose this candidate."""
+    """Request for a vote. ``transferred``: the leader gave up its lease and chose this candidate."""
 
     term: int
     last_index: int
@@ -139,17 +140,17 @@
 
 @dataclass(frozen=True, slots=True)
 class LeadershipTransfer:
-    """From a leader that leaves, to the member that may stand for election at once."""
+    """Request of a leader that steps down, for the receiver to start an election at once."""
 
     term: int
 
 
 @dataclass(frozen=True, slots=True)
 class Append:
-    """Entries, and the heartbeat.
+    """Log entries from the leader; without entries it is a heartbeat.
 
-    ``check_*``: the leader's digest of all that is applied up to an index; 0 where none is sent. ``mark``:
-    how far the leader's own journal is synced.
+    ``check_digest`` covers all entries that the leader applied up to ``check_index``, which is 0 if no digest
+    is sent. ``mark``: how far the leader's own journal is synced.
     """
 
     term: int
@@ -165,7 +166,11 @@
 
 @dataclass(frozen=True, slots=True)
 class AppendReply:
-    """``match``: agrees with the leader and is synced. ``hint``: where to go on after a refusal."""
+    """Answer to an ``Append``.
+
+    ``match``: index up to which the log agrees with the leader's and is synced. ``hint``: after a refusal,
+    the index from which the leader should send entries.
+    """
 
     term: int
     round: int
@@ -179,7 +184,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotChunk:
-    """``data``: the piece of the leader's snapshot at ``offset``; ``size``: of the whole, in bytes."""
+    """A piece of the leader's snapshot: ``data`` begins at byte ``offset`` of ``size`` bytes in total."""
 
     term: int
     round: int
@@ -195,7 +200,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotChunkReply:
-    """``offset``: bytes of the snapshot held so far."""
+    """Answer to a ``SnapshotChunk``. ``offset``: number of bytes of the snapshot received so far."""
 
     term: int
     round: int
@@ -207,9 +212,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ForwardedProposal:
-    """A proposal sent to the leader; sent again until its end is known."""
+    """A proposal sent to the leader, and sent again until its outcome is known."""
 
-    proposer: str  # one start of a node: its numbers begin anew, and no other start shares them
+    proposer: str  # identity of one start of a node: every start numbers its proposals from 1 on
     life: int
     seq: int
     acked: int
@@ -218,7 +223,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ProposalRejected:
-    """The receiver did not accept it: not the leader, full, or the number is out of its window."""
+    """Refusal of a forwarded proposal.
+
+    ``full``: the sender leads, but its log has no room or the command is too long; else it does not lead.
+    """
 
     life: int
     seq: int
@@ -227,7 +235,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadIndexRequest:
-    """Asks the leader for an index to read at."""
+    """Request to the leader for the index that a read must wait for."""
 
     life: int
     token: int
@@ -235,7 +243,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadIndexReply:
-    """``index``: apply up to it, then read; 0: not the leader, or too many reads wait."""
+    """Answer to a ``ReadIndexRequest``.
+
+    ``index``: the reader must have applied the log up to it; 0 if the sender does not lead or has too many
+    reads waiting.
+    """
 
     life: int
     token: int
@@ -266,7 +278,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HardState:
-    """``vote``: empty, a name, or ``?`` where it may have been given and is forgotten."""
+    """Term and vote. ``vote``: empty, a name, or ``?`` if a vote may have been given but is not known."""
 
     term: int
     vote: str
@@ -274,14 +286,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EpochOpened:
-    """The journal was opened."""
+    """Record of an opening of the journal."""
 
     epoch: Epoch
 
 
 @dataclass(frozen=True, slots=True)
 class PeerMark:
-    """What is known of another member's journal."""
+    """The newest known mark of another member's journal."""
 
     peer: str
     mark: Mark
@@ -296,7 +308,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """All machines and sessions at ``index``, with what the log needs to go on from there."""
+    """State of all machines and sessions at ``index``, and the term and voters at that index."""
 
     index: int
     term: int
@@ -306,16 +318,16 @@
     data: bytes
 
 
-# An entry replaces all at its index and after.
+# An Entry record replaces all earlier records of entries at its index and after it.
 Record = HardState | EpochOpened | PeerMark | BarredState | Snapshot | Entry
 
 
-# --- what the shell does -------------------------------------------------------------------------------
+# --- actions for the shell -----------------------------------------------------------------------------
 
 
 @dataclass(frozen=True, slots=True)
 class Persist:
-    """Write in order, sync, then call ``on_written(number)``; many may be synced at once."""
+    """Write the records in order, sync, then call ``on_written(number)``; one sync may cover many writes."""
 
     number: int
     records: tuple[Record, ...]
@@ -331,7 +343,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Apply:
-    """Apply the entry to its machine; ``digest``: of all entries up to it."""
+    """Apply the entry to its machine. ``digest`` covers all entries up to and including this one."""
 
     entry: Entry
     digest: bytes
@@ -339,14 +351,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Restore:
-    """Set all machines to the snapshot."""
+    """Set all machines and sessions to the snapshot's state."""
 
     snapshot: Snapshot
 
 
 @dataclass(frozen=True, slots=True)
 class LeadershipChanged:
-    """The role changed; the right to act is asked of ``leading``."""
+    """Notice that this member began or ceased to lead; before each act ``leading`` must still be called."""
 
     leads: bool
     term: int
@@ -354,7 +366,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadIndexReady:
-    """The own read ``token`` is valid once ``index`` is applied; 0: it failed, ask again."""
+    """Notice that this node's read ``token`` may end once ``index`` is applied; index 0 means: retry."""
 
     token: int
     index: int
@@ -362,7 +374,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Readmitted:
-    """The member may vote again, under the epoch with this count."""
+    """Notice that the member may vote again, under its epoch with this count."""
 
     name: str
     count: int
--- a/beechrock/agree/settings.py
+++ b/beechrock/agree/settings.py
@@ -1,4 +1,4 @@
-"""The table ``[agree]`` of the operator's file: parsing and checks."""
+"""Parsing and validation of the table ``[agree]`` of the operator's settings file."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -12,21 +12,21 @@
 
 
 class Range(NamedTuple):
-    """The least and the greatest allowed value."""
+    """Smallest and largest allowed value of a setting, both included."""
 
     minimum: float
     maximum: float
 
 
-LEASE_S = Range(0.2, 60.0)  # shorter: a sync of a busy disk ends it
-MAX_MB = Range(4, 4096)
-SNAPSHOT_EACH = Range(32, 1_000_000)  # entries
-MIN_TICK_S = 0.005
+LEASE_S = Range(0.2, 60.0)  # seconds; a shorter lease could expire during one sync of a busy disk
+MAX_MB = Range(4, 4096)  # mebibytes of log entries kept in memory
+SNAPSHOT_EACH = Range(32, 1_000_000)  # applied entries between two snapshots
+MIN_TICK_S = 0.005  # shortest allowed seconds between two ticks
 
 
 @dataclass(frozen=True, slots=True)
 class AgreeSettings:
-    """``voters``: of the first start; later the log itself says who votes."""
+    """Checked table ``[agree]``; ``voters`` applies to the first start only; later the log sets them."""
 
     voters: tuple[str, ...]
     rules: Rules
@@ -34,7 +34,7 @@
 
 
 def read(table: Mapping[str, Any], where: str, root: Path) -> AgreeSettings:
-    """Return the checked table. Raises ConfigError, which names file, table and key."""
+    """Return the checked table. Raises ConfigError, naming file, table and key, for a bad value."""
     voters = _voters(table, where)
     lease_s = _number(table, "lease_s", 1.0, LEASE_S, where)
     tick_s = _number(table, "tick_s", lease_s / 20, Range(MIN_TICK_S, lease_s / 5), where)
--- a/beechrock/agree/view.py
+++ b/beechrock/agree/view.py
@@ -1,4 +1,4 @@
-"""What an operator sees of the agreed log at ``/agree``."""
+"""The operators' view of the agreed log, shown at ``/agree``."""
 
 from typing import Any
 
@@ -9,9 +9,9 @@
 
 
 def view(driver: CoreDriver, now_s: float, open_proposals: int) -> dict[str, Any]:
-    """Return the view; indices are of the log.
+    """Return the view; ``last``, ``commit``, ``applied``, ``synced`` and ``snapshot`` are log indices.
 
-    ``peers``: shown by the leader alone; ``lag``: entries that a node has not acknowledged.
+    Only the leader shows ``peers``; ``lag`` is the number of entries that a node has not acknowledged.
     """
     core = driver.core
     disk = driver.disk
@@ -46,7 +46,7 @@
 
 
 def _missing_reports(core: ConsensusCore) -> list[str]:
-    """Return the members whose reports on the own memory are still wanted."""
+    """Return the members that have not yet reported on this member's journal; empty once it is proven."""
     if core.memory is MemoryStatus.PROVEN:
         return []
     return sorted(set(core.context.others) - set(core.proof.reports))
