--- a/beechrock/agree/__init__.py
+++ b/beechrock/agree/__init__.py
@@ -1,4 +1,4 @@
-"""The agreed log (Raft): who leads, what is committed and who may vote; all nodes of the fleet follow it.
+"""The agreed log: a replicated log (Raft) that all nodes of the fleet follow and that some of them vote on.
 
-Owns the agreed log, its voters and the leader's lease. May import errors, store and talk; it knows no duty.
+Owns the log, its voters and the leader's lease. May import errors, store and talk; must not depend on duties.
 """
--- a/beechrock/agree/core.py
+++ b/beechrock/agree/core.py
@@ -1,15 +1,15 @@
-"""The core of the agreed log, Raft with a proof of memory: each event gives what to write, send and apply.
+"""The core of the agreed log: Raft with a proof of memory. Each event returns what to write, send and apply.
 
 Pure. Events: ``tick``, ``receive`` (a message with its sender), ``on_written`` (a write is synced),
 ``propose``, ``read``, ``change_voters``, ``snapshot`` (the machines' state at an applied index),
 ``transfer_leadership``. Each takes the time first, in seconds of a clock that does not go back, and returns
-actions in the order in which the shell executes them.
+actions in the order in which the shell must execute them.
 
-``ConsensusCore`` owns no state of the protocol: it makes the collaborators, and owns the order in which they
-see an event. To be read in this order: log.py, journal_writer.py (writes before sends), epochs.py,
+``ConsensusCore`` owns no state of the protocol: it creates the collaborators and passes each event to them in
+a fixed order. Suggested reading order: log.py, journal_writer.py (writes before sends), epochs.py,
 replicated_log.py (commit), term_state.py, memory_proof.py, elections.py, follower.py, then the leader's
-lease.py, read_index.py, replication.py and voter_changes.py. After a BrokenInvariantError no further event
-may be given to it.
+lease.py, read_index.py, replication.py and voter_changes.py. After a BrokenInvariantError the core must not
+receive any further event.
 """
 
 from collections.abc import Callable
@@ -52,13 +52,13 @@
 from beechrock.agree.voter_changes import VoterChanges
 from beechrock.agree.voters import Voters
 
-KEEP_ENTRIES = 512  # behind a snapshot, for followers that are a little late
-KEEP_BYTES_PART = 16  # of the bound on memory: those entries cost no more than this part of it
+KEEP_ENTRIES = 512  # Maximum number of entries kept before a snapshot, for followers that lag a little
+KEEP_BYTES_DIVISOR = 16  # The kept entries use at most 1/16 of ``Rules.max_bytes``
 
 Handler = Callable[[str, Any], None]
 
 
-def _connect(
+def _register_listeners(
     replicated: ReplicatedLog,
     terms: TermState,
     proof: MemoryProof,
@@ -66,7 +66,7 @@
     replication: Replication,
     reads: ReadIndex,
 ) -> None:
-    """Register who hears of what another collaborator sees happen."""
+    """Register each collaborator's listeners with the collaborators whose events they react to."""
     replicated.on_readmission(proof.on_readmission)
     terms.on_step_down(reads.on_step_down)
     proof.on_newer_epoch(replication.on_newer_epoch)
@@ -74,9 +74,10 @@
 
 
 class ConsensusCore:
-    """One member; ``nodes``: all of the fleet, ``initial_voters``: of the first start.
+    """One member of the agreed log.
 
-    ``seed``: of the drawn election timeouts; ``opening``: a name that no other start of any member has.
+    ``nodes``: names of all nodes of the fleet; ``initial_voters``: voters as long as the log sets none;
+    ``seed``: seed of the random election timeouts; ``opening``: unique name of this start of this member.
     """
 
     def __init__(
@@ -117,11 +118,11 @@
         self._voter_changes = VoterChanges(context, terms, replicated, lease, replication)
         self.keep_entries = min(KEEP_ENTRIES, rules.snapshot_each // 2)
         self._handlers = self._message_handlers()
-        _connect(replicated, terms, proof, elections, replication, reads)
+        _register_listeners(replicated, terms, proof, elections, replication, reads)
         proof.evaluate_reports()
 
     def _message_handlers(self) -> dict[type[Any], Handler]:
-        """Return who takes each type of message in; proposals are the shell's."""
+        """Return the handler of each message type; the shell handles messages about proposals itself."""
         return {
             MemoryQuery: self.proof.on_query,
             MemoryReport: self.proof.on_report,
@@ -139,29 +140,29 @@
         }
 
     def drain_actions(self) -> list[Action]:
-        """Return the actions since the last call, and forget them."""
+        """Return the actions added since the last call, and clear them."""
         return self.context.drain_actions()
 
-    # --- what the shell looks at -----------------------------------------------------------------------
+    # --- state for the shell ---------------------------------------------------------------------------
 
     @property
     def term(self) -> int:
-        """The term."""
+        """The newest term that this member knows."""
         return self.terms.term
 
     @property
     def role(self) -> Role:
-        """What this member does in its term."""
+        """Role of this member in its term."""
         return self.terms.role
 
     @property
     def leader(self) -> str:
-        """The member that this one follows, or empty."""
+        """Name of the term's leader, or empty if none is known."""
         return self.terms.leader
 
     @property
     def memory(self) -> MemoryStatus:
-        """Whether the own journal is known to hold all that its former processes promised."""
+        """Whether this member's journal is known to hold all that its former processes promised."""
         return self.proof.status
 
     @property
@@ -176,22 +177,22 @@
 
     @property
     def applied(self) -> int:
-        """The index up to which ``Apply`` or ``Restore`` were returned."""
+        """The index up to which entries were handed to the shell by ``Apply`` or ``Restore``."""
         return self.replicated.applied
 
     @property
-    def settled_term(self) -> bool:
-        """Whether it leads, and knows all that was ever committed to be."""
-        return self.lease.settled_term
+    def has_committed_in_term(self) -> bool:
+        """Whether this member leads and has committed an entry of its term, so knows all earlier commits."""
+        return self.lease.has_committed_in_term
 
     def leading(self, now_s: float) -> bool:
-        """Return whether this member holds a valid lease; asked before each act."""
+        """Return whether this member holds a valid lease; must be called before each act."""
         return self.lease.holds(now_s)
 
     # --- events ----------------------------------------------------------------------------------------
 
     def tick(self, now_s: float) -> list[Action]:
-        """Advance the time; to be called each ``rules.tick_s``."""
+        """Advance the time and do what is due; must be called every ``rules.tick_s`` seconds."""
         self.context.set_time(now_s)
         self.lease.tick(now_s)
         self.proof.tick(self.elections.leader_contact_s)
@@ -201,18 +202,18 @@
         return self.context.drain_actions()
 
     def _tick_leader(self) -> None:
-        # Without it a leader that is cut off accepts proposals for as long as the cut lasts, and reports
-        # none as failed.
+        # Without this check a leader that is partitioned from its quorum would accept proposals for as long
+        # as the partition lasts, and report none as failed.
         if self.lease.lost_quorum():
             self.terms.follow(self.terms.term, "")
             self.elections.reset_timeout()
         elif self.context.name not in self.voters and self.voters.index <= self.commit:
-            self.terms.follow(self.terms.term, "")  # its own removal is committed
+            self.terms.follow(self.terms.term, "")  # step down: the removal of this voter is committed
         else:
             self.replication.tick()
 
     def on_written(self, now_s: float, number: int) -> list[Action]:
-        """Take note that all writes up to ``number`` are synced."""
+        """Handle that all writes up to ``number`` are synced."""
         self.context.advance(now_s)
         previous = self.writer.durable_index()
         self.writer.on_synced(number)
@@ -226,7 +227,7 @@
         return self.context.drain_actions()
 
     def receive(self, now_s: float, sender: str, message: Message) -> list[Action]:
-        """Take a message in; proposals are the shell's, and are passed over."""
+        """Handle a message; messages about proposals are ignored, as the shell handles them."""
         self.context.advance(now_s)
         handler = self._handlers.get(type(message))
         if handler is not None:
@@ -235,9 +236,10 @@
         return self.context.drain_actions()
 
     def propose(self, now_s: float, command: bytes, proposer: str, life: int, seq: int, acked: int) -> int:
-        """Return the entry's index, or 0 where it is refused: not the leader, too long, no room.
+        """Append a command; return the entry's index, or 0 if it is refused.
 
-        To be followed by ``drain_actions``, and by ``flush`` after some of them.
+        It is refused if this member does not lead, the command is too long or the log has no room. The caller
+        must then call ``drain_actions``, and ``flush`` after one or more proposals.
         """
         self.context.advance(now_s)
         if self.terms.role is not Role.LEADER or len(command) > MAX_COMMAND_BYTES:
@@ -247,14 +249,14 @@
         return self.replication.append_own(EntryKind.COMMAND, command, proposer, life, seq, acked)
 
     def flush(self, now_s: float) -> list[Action]:
-        """Send the newest proposals to all, without a round for each."""
+        """Send all proposals appended since the last round in a single round."""
         self.context.advance(now_s)
         if self.terms.role is Role.LEADER:
             self.replication.broadcast()
         return self.context.drain_actions()
 
     def read(self, now_s: float, token: int) -> list[Action]:
-        """Begin a read, answered by ``ReadIndexReady``; to be repeated where that fails or does not come."""
+        """Begin a read, answered by ``ReadIndexReady``; the caller retries if that fails or does not come."""
         self.context.advance(now_s)
         if self._reads.read(token):
             self.replication.broadcast()
@@ -265,37 +267,37 @@
             self.replication.broadcast()
 
     def snapshot(self, now_s: float, index: int, digest: bytes, data: bytes) -> Snapshot:
-        """Make a snapshot of the machines' ``data`` at an applied index, and drop the log before it.
+        """Return a snapshot with the machines' ``data`` at an applied index, and compact the log behind it.
 
-        The shell then writes the whole state.
+        The shell must then write the whole state to the journal.
         """
         self.context.advance(now_s)
         snapshot = self.replicated.make_snapshot(index, digest, data)
-        self.log.compact(snapshot, self.keep_entries, self.context.rules.max_bytes // KEEP_BYTES_PART)
+        self.log.compact(snapshot, self.keep_entries, self.context.rules.max_bytes // KEEP_BYTES_DIVISOR)
         return snapshot
 
     def change_voters(self, now_s: float, add: str = "", remove: str = "") -> list[Action]:
-        """Add or remove one voter; in force when it is written. Raises VotersError where it is refused."""
+        """Add or remove one voter, with effect once it is in the log. Raises VotersError for a refusal."""
         self.context.advance(now_s)
         self._voter_changes.change(add, remove)
         return self.context.drain_actions()
 
     def transfer_leadership(self, now_s: float) -> list[Action]:
-        """Give up the lease, and have the voter that is furthest take over; none where none is ready."""
+        """Give up the lease, and ask the most up-to-date voter to take over if one is ready."""
         self.context.advance(now_s)
         if self.terms.role is Role.LEADER:
-            successor = self.replication.furthest_voter()
+            successor = self.replication.most_advanced_voter()
             self.terms.follow(self.terms.term, "")
             if successor:
                 self.context.send(successor, LeadershipTransfer(self.terms.term))
         return self.context.drain_actions()
 
     def leave(self, now_s: float) -> list[Action]:
-        """Transfer the leadership, and be no candidate any more."""
+        """Transfer the leadership, and never start an election again."""
         self.elections.leave()
         return self.transfer_leadership(now_s)
 
     def trust(self) -> list[Action]:
-        """Take an operator's word that this member's folder is the one it was."""
+        """Treat this member's memory as proven, because an operator vouches for its folder."""
         self.proof.trust()
         return self.context.drain_actions()
--- a/beechrock/agree/driver.py
+++ b/beechrock/agree/driver.py
@@ -278,7 +278,7 @@
         if self.core.leader != self._followed:
             self._followed = self.core.leader
             self._proposals.on_new_leader()
-        self._listeners.report(not self.broken and self.core.settled_term)
+        self._listeners.report(not self.broken and self.core.has_committed_in_term)
 
     def _compact_if_due(self) -> None:
         core = self.core
--- a/beechrock/agree/elections.py
+++ b/beechrock/agree/elections.py
@@ -154,7 +154,7 @@
         self._terms.become_candidate()
         self._vote_write = self._writer.last_write
         self._votes = {self._context.name: self._epochs.current.count}
-        self._epochs.forget_counts()
+        self._epochs.clear_reported_counts()
         for name in self._replicated.voters.names:
             if name != self._context.name:
                 vote = Vote(self._terms.term, self._log.last, self._log.last_term, transferred)
@@ -194,7 +194,7 @@
         self._votes[sender] = message.mark.count
         self._epochs.record_mark(sender, message.mark)
         for name, count in message.known_epochs:
-            self._epochs.note_count(name, count)
+            self._epochs.record_reported_count(name, count)
         self.count_votes()
 
     def count_votes(self) -> None:
--- a/beechrock/agree/epochs.py
+++ b/beechrock/agree/epochs.py
@@ -118,11 +118,11 @@
 
     # --- grants of former processes --------------------------------------------------------------------
 
-    def note_count(self, name: str, count: int) -> None:
+    def record_reported_count(self, name: str, count: int) -> None:
         """Remember the newest epoch that was reported of a member."""
         self._reported_counts[name] = max(self._reported_counts.get(name, 0), count)
 
-    def forget_counts(self) -> None:
+    def clear_reported_counts(self) -> None:
         """Forget what answers of an earlier candidacy reported."""
         self._reported_counts = {}
 
--- a/beechrock/agree/lease.py
+++ b/beechrock/agree/lease.py
@@ -1,11 +1,11 @@
 """The leader's lease: the rounds of its term, and whether a quorum's answers still give the right to act.
 
-States: no lease; a lease that rests on the newest round which a quorum answered; a gap of the own clock,
-after which only later rounds count. Events: the begin of a term, ticks, the begin of a round, answers.
+States: no lease; a lease based on the newest round that a quorum answered; a lease lost to a gap between two
+ticks, after which only later rounds count. Events: the start of a term, ticks, the start of a round, answers.
 
-Invariants: nobody acts under a lease before an entry of the own term is committed, after the lease's end, or
-after a gap of the own clock and before a round that began later is answered. Safety of the log does not rest
-on it; what is done under it is fenced at its receiver all the same.
+Invariants: a leader may not act under its lease before an entry of its own term is committed, nor after the
+lease's end, nor after a gap between ticks until a quorum has answered a later round. The safety of the log
+does not depend on the lease; receivers also fence the acts done under it.
 """
 
 from beechrock.agree.context import EventContext
@@ -14,11 +14,11 @@
 from beechrock.agree.rules import Guard
 from beechrock.agree.term_state import Role, TermState
 
-MAX_PAUSE_LEASES = 0.5  # between two ticks; after a longer gap the lease has to be earned anew
+MAX_PAUSE_LEASES = 0.5  # Longest pause between two ticks, in leases, that does not end the lease
 
 
 class LeaderLease:
-    """Rounds and lease of the term that this member leads, or led last; times by the own clock."""
+    """Rounds and lease of the term that this member leads or last led; times are of its own clock."""
 
     def __init__(self, context: EventContext, terms: TermState, replicated: ReplicatedLog) -> None:
         self._context = context
@@ -26,20 +26,20 @@
         self._terms = terms
         self._replicated = replicated
         self._rounds = Rounds()
-        self._min_round = 0  # rounds before it give no lease: from before a gap of the clock
+        self._min_round = 0  # number of the first round that may give a lease: it began after the last gap
         self._elected_s = context.now_s
         self.last_tick_s = context.now_s
 
     # --- rounds ----------------------------------------------------------------------------------------
 
     def start_term(self) -> None:
-        """Forget the rounds of the term before."""
+        """Discard the rounds of the former term, and record the time of the election."""
         self._rounds = Rounds()
         self._min_round = 0
         self._elected_s = self._context.now_s
 
     def tick(self, now_s: float) -> None:
-        """Take note of the time; after a gap only rounds from here on give a lease."""
+        """Record the time of a tick; after a gap between ticks only rounds begun from now on give a lease."""
         paused = self._is_gap(now_s)
         self.last_tick_s = now_s
         if paused and self._terms.role is Role.LEADER:
@@ -50,11 +50,11 @@
 
     @property
     def round_number(self) -> int:
-        """The number of the newest round."""
+        """Number of the newest round."""
         return self._rounds.number
 
     def start_round(self) -> int:
-        """Begin a round now, before its messages leave; return its number."""
+        """Begin a round, before its messages are sent; return its number."""
         return self._rounds.start(self._context.now_s)
 
     def record_answer(self, name: str, number: int) -> None:
@@ -62,7 +62,7 @@
         self._rounds.record_answer(name, number)
 
     def forget(self, name: str) -> None:
-        """Forget the answers of a member's former process."""
+        """Discard the answers of a member's former process."""
         self._rounds.forget(name)
 
     def quorum_round(self) -> int:
@@ -73,31 +73,31 @@
     # --- the right to act ------------------------------------------------------------------------------
 
     @property
-    def settled_term(self) -> bool:
-        """Whether an entry of the own term is committed: all that was ever committed is known to be."""
+    def has_committed_in_term(self) -> bool:
+        """Whether this leader has committed an entry of its term, and so knows of all earlier commits."""
         if self._terms.role is not Role.LEADER:
             return False
         return self._replicated.log.term_at(self._replicated.commit) == self._terms.term
 
     def end_s(self) -> float:
-        """Return when the lease ends by the own clock."""
+        """Return the end of the lease, in seconds of this member's clock."""
         voters = self._replicated.voters
         return self._rounds.lease_end_s(self._context.name, voters.names, voters.quorum, self._rules.lease_s)
 
     def holds(self, now_s: float) -> bool:
-        """Return whether this member holds a valid lease; asked before each act.
+        """Return whether this member holds a valid lease; must be called before each act.
 
-        The lease rests on a quorum's answers, from after any gap of this clock.
+        Only a quorum's answers to a round begun after the last gap between ticks give a lease.
         """
-        if not self.settled_term:
+        if not self.has_committed_in_term:
             return False
         if self.quorum_round() < self._min_round and self._rules.on(Guard.LEASE_GAP):
             return False
         if self._is_gap(now_s) and self._rules.on(Guard.LEASE_GAP):
-            return False  # this process did not run for so long: first it takes in what came
+            return False  # this process was paused: it must first handle the messages that came meanwhile
         return now_s < self.end_s() or not self._rules.on(Guard.LEASE_END)
 
     def lost_quorum(self) -> bool:
-        """Return whether no quorum has answered for so long that this member is to lead no more."""
+        """Return whether no quorum has renewed the lease for so long that this member must step down."""
         since_s = max(self.end_s(), self._elected_s + self._rules.lease_s)
         return self._context.now_s > since_s + self._rules.lease_s and self._rules.on(Guard.CHECK_QUORUM)
--- a/beechrock/agree/progress.py
+++ b/beechrock/agree/progress.py
@@ -1,6 +1,6 @@
-"""What the leader knows of one follower. Pure.
+"""The leader's record of one follower's replication progress. Pure.
 
-Invariant: ``match`` < ``next``; entries up to ``match`` agree with the leader's and are synced there.
+Invariant: ``match`` < ``next``; entries up to ``match`` equal the leader's and are synced at the follower.
 """
 
 from dataclasses import dataclass
@@ -8,21 +8,21 @@
 from beechrock.agree.messages import Mark, MemoryStatus
 from beechrock.agree.rules import MAX_UNACKNOWLEDGED
 
-NO_SNAPSHOT = -1
+NO_SNAPSHOT = -1  # Value of ``snapshot_offset`` while no snapshot is sent
 
 
 @dataclass(slots=True)
 class Progress:
-    """How far one follower is."""
+    """Replication state of one follower in the leader's term."""
 
-    next: int  # the index of the next entry to send
-    match: int = 0
+    next: int  # index of the next entry to send
+    match: int = 0  # index up to which the follower's log agrees and is synced
     memory: MemoryStatus = MemoryStatus.UNPROVEN
-    epoch_count: int = 0  # of the process that acknowledged
+    epoch_count: int = 0  # count of the follower's newest epoch known in this term; 0 for none
     mark: Mark | None = None
-    snapshot_index: int = 0  # of the snapshot that is being sent
-    snapshot_offset: int = NO_SNAPSHOT  # bytes of it held there, while one is sent
-    answered_s: float = float("-inf")  # when it last answered, by the leader's clock
+    snapshot_index: int = 0  # index of the snapshot being sent
+    snapshot_offset: int = NO_SNAPSHOT  # bytes of that snapshot that the follower has received
+    answered_s: float = float("-inf")  # time of its last answer, in seconds of the leader's clock
 
     @property
     def may_send(self) -> bool:
@@ -35,13 +35,13 @@
         self.next = max(self.next, self.match + 1)
 
     def reject(self, hint: int) -> bool:
-        """Go back to ``hint``; return whether that changes what is sent next."""
+        """Move ``next`` back to ``hint``, but not to ``match`` or before; return whether it moved."""
         previous = self.next
         self.next = max(self.match + 1, min(self.next, hint))
         return self.next < previous
 
     def restart(self) -> None:
-        """Forget what a former process of the follower acknowledged."""
+        """Discard the acknowledgements of the follower's former process."""
         self.next = self.match + 1
         self.match = 0
         self.memory = MemoryStatus.UNPROVEN
--- a/beechrock/agree/read_index.py
+++ b/beechrock/agree/read_index.py
@@ -1,10 +1,12 @@
-"""Reads through the leader: each waits for a round that begins after it, then is answered with the commit.
+"""Read indices from the leader: a read waits for a quorum's answers to a later round, then gets the commit.
 
-States of a read at the leader: waits for a round; answered; failed when the leadership ends. Events: a read
-of this node or of a follower, an answered round, the end of the leadership, a leader's answer.
+States of a read at the leader: waiting for its round; answered; failed as the leadership ended. Events: a
+read of this node or of a follower, a quorum's answers to a round, the end of the leadership, a reply of the
+leader.
 
-Invariants: a read is never answered by a round that began before it, nor before an entry of the own term is
-committed; at most ``MAX_READS`` wait; an answer to a former process of this member is dropped.
+Invariants: the round that answers a read began after the read; no read is answered before the leader has
+committed an entry of its term; at most ``MAX_READS`` reads wait; an answer meant for a former process of this
+member is dropped.
 """
 
 from typing import NamedTuple
@@ -17,11 +19,11 @@
 from beechrock.agree.rules import MAX_READS, Guard
 from beechrock.agree.term_state import Role, TermState
 
-OWN_LIFE = 0  # of a read that this process itself asks
+OWN_LIFE = 0  # Value of ``ReadKey.life`` for the leader's own reads
 
 
 class ReadKey(NamedTuple):
-    """A read that waits at the leader: who asked, in which of its processes, under which number."""
+    """A read that waits at the leader: name and epoch count of the asking node, and the read's number."""
 
     name: str
     life: int
@@ -29,7 +31,7 @@
 
 
 class ReadIndex:
-    """The reads that wait at this member while it leads, and those that it forwards while it follows."""
+    """Queues reads while this member leads, and forwards its own reads to the leader while it follows."""
 
     def __init__(
         self,
@@ -44,10 +46,10 @@
         self._terms = terms
         self._replicated = replicated
         self._lease = lease
-        self._waiting: dict[ReadKey, int] = {}  # the round that each waits for
+        self._waiting: dict[ReadKey, int] = {}  # number of the round that each read waits for
 
     def read(self, token: int) -> bool:
-        """Begin a read of this node; True where a new round is to begin for it."""
+        """Begin a read of this node; return whether the caller must begin a new round for it."""
         if self._terms.role is Role.LEADER:
             return self._queue(ReadKey(self._context.name, OWN_LIFE, token))
         if self._terms.leader:
@@ -58,16 +60,16 @@
         return False
 
     def on_request(self, sender: str, message: ReadIndexRequest) -> bool:
-        """Queue a follower's read, or refuse it; True where a new round is to begin for it."""
+        """Queue or refuse a follower's read; return whether the caller must begin a new round for it."""
         if self._terms.role is not Role.LEADER or len(self._waiting) >= MAX_READS:
             self._context.send(sender, ReadIndexReply(message.life, message.token, 0))
             return False
         return self._queue(ReadKey(sender, message.life, message.token))
 
     def _queue(self, read: ReadKey) -> bool:
-        """Let the read wait for a round that begins after it.
+        """Queue the read for the next round; return False if too many reads wait.
 
-        An answer to an older one says nothing of what came since.
+        Answers to an earlier round do not show that this member still led when the read began.
         """
         if len(self._waiting) >= MAX_READS:
             self._context.emit(ReadIndexReady(read.token, 0))
@@ -76,13 +78,13 @@
         return True
 
     def on_reply(self, sender: str, message: ReadIndexReply) -> None:
-        """Answer the own read, unless it was one of the process before."""
+        """Pass the leader's answer to this node's read, unless a former process of this node asked for it."""
         if message.life == self._epochs.current.count:
             self._context.emit(ReadIndexReady(message.token, message.index))
 
     def answer_complete(self) -> None:
-        """Answer the reads whose round a quorum has answered."""
-        if not self._waiting or not self._lease.settled_term:
+        """Answer all reads whose round a quorum has answered."""
+        if not self._waiting or not self._lease.has_committed_in_term:
             return
         complete = self._lease.quorum_round()
         for read, number in list(self._waiting.items()):
@@ -98,7 +100,7 @@
             self._context.send(read.name, ReadIndexReply(read.life, read.token, index))
 
     def on_step_down(self) -> None:
-        """Fail the own reads; followers ask again."""
+        """Fail this node's own reads and drop the followers' reads, which they ask again."""
         for read in self._waiting:
             if read.name == self._context.name:
                 self._context.emit(ReadIndexReady(read.token, 0))
--- a/beechrock/agree/replication.py
+++ b/beechrock/agree/replication.py
@@ -1,11 +1,11 @@
 """The leader's side of replication: appends, acknowledgements, commit, readmission.
 
-States of each follower, as the leader sees it: progress.py. Events: an election won, ticks and new entries
-(a broadcast), answers, a newer epoch of a member, a write that is synced.
+States: the progress of each follower, as the leader knows it (progress.py). Events: an election won, ticks
+and new entries (each begins a broadcast), answers, a newer epoch of a member, a synced write.
 
-Invariants: a leader never changes its own log but at its end; it commits by counting only entries of its
-own term, synced at a majority of proven voters. What is applied is digested; the leader sends a digest with
-each append, and a follower that applied something else stops taking part (follower.py).
+Invariants: a leader only appends to its own log; it commits by counting acknowledgements of proven voters for
+synced entries of its own term. The leader sends a digest of all applied entries with each append; a follower
+that applied different entries finds that out and stops taking part (follower.py).
 """
 
 from beechrock.agree.context import EventContext
@@ -29,11 +29,11 @@
 from beechrock.agree.rules import CHUNK_BYTES, Guard
 from beechrock.agree.term_state import Role, TermState
 
-READMIT_WINDOW = 256  # newest entries among which a READMIT that is under way is looked for
+READMIT_WINDOW = 256  # Number of newest entries searched for an equal READMIT before one is appended
 
 
 class Replication:
-    """The followers of this member while it leads."""
+    """Replication from this member to all other nodes while it leads."""
 
     def __init__(
         self,
@@ -56,14 +56,14 @@
         self._proof = proof
         self._lease = lease
         self._reads = reads
-        self.peers: dict[str, Progress] = {}  # of the term that it leads, or led last
-        self._broadcast_s = float("-inf")  # when the newest round began
-        self._broadcast_commit = 0  # in the newest round
+        self.peers: dict[str, Progress] = {}  # by node, for the term that this member leads or last led
+        self._broadcast_s = float("-inf")  # start of the newest round, in seconds
+        self._broadcast_commit = 0  # commit index sent in the newest round
 
     # --- appends ---------------------------------------------------------------------------------------
 
     def on_elected(self) -> None:
-        """Begin the term as its leader."""
+        """Begin to lead: append the term's first entry and send it."""
         self._lease.start_term()
         self.peers = {name: Progress(self._log.last + 1) for name in self._context.others}
         self.append_own(EntryKind.NO_OP)
@@ -78,13 +78,13 @@
         seq: int = 0,
         acked: int = 0,
     ) -> int:
-        """Append an entry to the leader's log; return its index."""
+        """Append an entry of the current term to this leader's log; return its index."""
         entry = Entry(self._log.last + 1, self._terms.term, kind, data, proposer, life, seq, acked)
         self._replicated.write_entries((entry,))
         return entry.index
 
     def broadcast(self) -> None:
-        """Begin a round: everyone is asked, with the entries that it lacks."""
+        """Begin a round: send each other node the entries that it lacks, or a heartbeat."""
         self._broadcast_s = self._context.now_s
         self._broadcast_commit = self._replicated.commit
         number = self._lease.start_round()
@@ -93,12 +93,15 @@
         self.advance_commit()
 
     def tick(self) -> None:
-        """Send the heartbeat that is due."""
+        """Begin a round if a heartbeat is due."""
         if self._context.now_s >= self._broadcast_s + self._rules.heartbeat_s:
             self.broadcast()
 
     def broadcast_new_commit(self) -> None:
-        """Send a commit that is not sent yet: else a proposer that follows waits for the next heartbeat."""
+        """Begin a round if the commit index has grown since the newest one.
+
+        Without it, a follower that proposed an entry would learn of its commit only by the next heartbeat.
+        """
         if self._terms.role is Role.LEADER and self._replicated.commit > self._broadcast_commit:
             self.broadcast()
 
@@ -125,10 +128,10 @@
         peer.next += len(entries)
 
     def _sendable(self, first: int) -> tuple[Entry, ...]:
-        """Return entries from ``first`` on; of a lone voter's log, what it has synced.
+        """Return the entries to send from ``first`` on; a lone voter sends only synced ones.
 
-        A node that holds more than a lone voter after its start then shows that the voter's disk forgot
-        (memory_proof.py).
+        So a node whose log is longer than a restarted lone voter's proves that the voter's disk lost synced
+        writes (memory_proof.py).
         """
         entries = self._log.batch(first)
         if self._replicated.voters.names != (self._context.name,):
@@ -137,7 +140,7 @@
         return tuple(entry for entry in entries if entry.index <= durable)
 
     def _send_chunk(self, name: str, peer: Progress, number: int) -> None:
-        """Send the next piece of the snapshot, which holds what is gone from the log."""
+        """Send the next chunk of the snapshot, as the log no longer holds the entries that the node lacks."""
         snapshot = self._log.snapshot
         if snapshot is None:
             raise BrokenInvariantError(
@@ -164,7 +167,7 @@
     # --- answers ---------------------------------------------------------------------------------------
 
     def _accept_answer(self, sender: str, message: AppendReply | SnapshotChunkReply) -> Progress | None:
-        """Take in what holds for every answer; None where it does not count for this term's leader."""
+        """Update the sender's progress from an answer; return None if it does not count in this term."""
         terms = self._terms
         if message.term > terms.term:
             terms.follow(message.term, "")
@@ -174,7 +177,7 @@
         count = message.mark.count
         former = count < peer.epoch_count and self._rules.on(Guard.OLD_EPOCH)
         if former or not self._epochs.is_current(sender, count):
-            return None  # late, of a former process: it says nothing of what the new one holds
+            return None  # a late answer of a former process, which says nothing about the new one's journal
         if count > peer.epoch_count:
             if peer.epoch_count:
                 peer.restart()
@@ -183,16 +186,16 @@
         peer.mark = message.mark
         peer.memory = message.memory
         peer.answered_s = self._context.now_s
-        if self._counts(peer):
+        if self._counts_for_quorum(peer):
             self._epochs.record_mark(sender, message.mark)
             self._lease.record_answer(sender, message.round)
         return peer
 
-    def _counts(self, peer: Progress) -> bool:
+    def _counts_for_quorum(self, peer: Progress) -> bool:
         return peer.memory is MemoryStatus.PROVEN or not self._rules.on(Guard.OLD_DISK)
 
     def on_append_reply(self, sender: str, message: AppendReply) -> None:
-        """Take an acknowledgement or a refusal in."""
+        """Handle an acknowledgement or a refusal of an append."""
         for name, count in message.known_epochs:
             if name in self.peers:
                 self.on_newer_epoch(name, count)
@@ -204,14 +207,14 @@
             peer.acknowledge(message.match)
             if peer.next <= self._log.last and peer.may_send:
                 self._replicate(sender, self._lease.round_number)
-        # Only where that changes anything: else each refusal is answered with what is refused again.
+        # Resend only if ``next`` moved back: the same append would be refused again, and so on without end.
         elif peer.reject(message.hint):
             self._replicate(sender, self._lease.round_number)
         self.advance_commit()
         self._readmit(sender, peer)
 
     def on_chunk_reply(self, sender: str, message: SnapshotChunkReply) -> None:
-        """Go on with the snapshot, or with the entries after it."""
+        """Send the next chunk of the snapshot, or the entries after it once it is complete."""
         peer = self._accept_answer(sender, message)
         snapshot = self._log.snapshot
         if peer is None or snapshot is None:
@@ -225,9 +228,9 @@
         self._replicate(sender, self._lease.round_number)
 
     def on_newer_epoch(self, name: str, count: int) -> None:
-        """Drop what an older process of the member granted or acknowledged."""
+        """Drop votes and acknowledgements of the member's former process, as a newer epoch is known."""
         if self._terms.role is Role.CANDIDATE:
-            self._epochs.note_count(name, count)
+            self._epochs.record_reported_count(name, count)
         elif self._terms.role is Role.LEADER and name in self.peers and self._rules.on(Guard.OLD_EPOCH):
             peer = self.peers[name]
             if peer.epoch_count < count:
@@ -235,15 +238,15 @@
                     peer.restart()
                     self._lease.forget(name)
                 peer.epoch_count = count
-                self._epochs.note_count(name, count)
+                self._epochs.record_reported_count(name, count)
 
     def _readmit(self, name: str, peer: Progress) -> None:
-        """Let a barred member that has caught up vote again, from an entry on."""
+        """Append an entry that lets a barred member vote again, once it has caught up with the commit."""
         if (
             peer.memory is not MemoryStatus.BARRED
             or peer.mark is None
             or peer.match < self._replicated.commit
-            or not self._lease.settled_term
+            or not self._lease.has_committed_in_term
         ):
             return
         data = ReadmittedEpoch(name, peer.mark.count, peer.mark.id).pack()
@@ -255,14 +258,14 @@
     # --- commit ----------------------------------------------------------------------------------------
 
     def _durable_match(self, name: str) -> int:
-        """Return up to which index the member's log agrees and is synced; 0 where it does not count."""
+        """Return the index up to which the member's log agrees and is synced; 0 if it may not vote."""
         if name == self._context.name:
             return self._writer.durable_index() if self._proof.may_vote else 0
         peer = self.peers[name]
-        return peer.match if self._counts(peer) else 0
+        return peer.match if self._counts_for_quorum(peer) else 0
 
     def advance_commit(self) -> None:
-        """Commit what a majority holds, answer the reads whose round is complete."""
+        """Commit the entries that a majority of voters has synced; answer reads whose round is complete."""
         if self._terms.role is not Role.LEADER:
             return
         voters = self._replicated.voters
@@ -273,8 +276,8 @@
             self._replicated.commit_up_to(index)
         self._reads.answer_complete()
 
-    def furthest_voter(self) -> str:
-        """Return the proven voter whose log is furthest, of those that answered lately; empty for none."""
+    def most_advanced_voter(self) -> str:
+        """Return the proven voter with the highest match that answered within a lease; empty if none did."""
         ready = [
             (peer.match, name)
             for name, peer in self.peers.items()
--- a/beechrock/agree/voter_changes.py
+++ b/beechrock/agree/voter_changes.py
@@ -45,7 +45,7 @@
         self._replication.broadcast()
 
     def _check_may_change(self, add: str, remove: str) -> None:
-        if not self._lease.settled_term:
+        if not self._lease.has_committed_in_term:
             do = f"ask {self._terms.leader or 'again in a second'}"
             raise VotersError("not the leader", where=self._where, do=do)
         if bool(add) == bool(remove):
--- a/tests/agree/test_guards.py
+++ b/tests/agree/test_guards.py
@@ -177,7 +177,7 @@
 def read_round(seed: int, rules: Rules) -> None:
     sim, a, others = with_leader(seed, rules)
     partition(sim, [a.name], others)
-    assert sim.within(10.0, lambda: any(sim.processes[name].core.settled_term for name in others))
+    assert sim.within(10.0, lambda: any(sim.processes[name].core.has_committed_in_term for name in others))
     for name in others:
         sim.processes[name].write(name.encode())
     sim.run(1.0)
