--- a/beechrock/agree/elections.py
+++ b/beechrock/agree/elections.py
@@ -1,13 +1,14 @@
-"""Elections: pre-votes, votes, and who may be a candidate.
+"""Elections: pre-votes, votes, and the conditions for a candidacy.
 
-States: a follower that waits for its timeout, one that asks for pre-votes, a candidate. A follower asks for
-pre-votes after ``lease_s`` to 1.7 times that without a leader; with a majority of them it raises its term,
-votes for itself, writes, and asks for votes; with a majority of those it leads. Events: ticks, a leader's
-message, pre-votes, votes and the answers to them, a write that is synced, a leader that leaves.
+States: a follower that waits for its timeout, a follower that asks for pre-votes, a candidate. After 1 to 1.7
+times ``lease_s`` without contact to a leader, a follower asks for pre-votes; with a majority of them it
+raises its term, votes for itself, syncs that vote, and asks for votes; with a majority of votes it leads.
+Events: ticks, a leader's message, pre-votes, votes and the answers to them, a synced write, a leadership
+transfer.
 
-Invariants: no vote for a log behind the own one (or behind what was reported on the own memory); no vote
-while a leader may hold a lease that rests on this member; a vote of a former process does not count beside
-its successor.
+Invariants: no vote for a candidate whose log is behind this member's log, or behind the end that the memory
+proof requires; no vote while a leader may hold a lease that depends on this member; a vote of a member's
+former process does not count once its restart is known.
 """
 
 import random
@@ -23,8 +24,8 @@
 from beechrock.agree.rules import Guard
 from beechrock.agree.term_state import Role, TermState
 
-ELECTION_TIMEOUT_LEASES = 1.0, 1.7  # drawn between, so that few are candidates at once
-PRE_VOTE_RETRY_LEASES = 0.2, 0.5  # drawn between
+ELECTION_TIMEOUT_LEASES = 1.0, 1.7  # Bounds of the random timeout, in leases; avoids simultaneous candidates
+PRE_VOTE_RETRY_LEASES = 0.2, 0.5  # Bounds of the random wait before pre-votes are asked again, in leases
 
 
 class Elections:
@@ -50,13 +51,13 @@
         self._proof = proof
         self._random = random.Random(seed)
         self._pre_voting = False
-        self._pre_votes: set[str] = set()  # who granted one
-        self._votes: dict[str, int] = {}  # who granted, and its epoch's count
-        self._vote_write = 0  # the write which holds the own vote
+        self._pre_votes: set[str] = set()  # names of the members that granted a pre-vote
+        self._votes: dict[str, int] = {}  # epoch count of each member that granted its vote
+        self._vote_write = 0  # number of the write that holds this member's vote for itself
         self._leaving = False
-        # After a start a leader may have been heard from and be forgotten.
+        # The former process may have had contact with a leader until just now, so count the start as contact.
         self.leader_contact_s = context.now_s
-        self.timeout_s = context.now_s  # when to ask for pre-votes next
+        self.timeout_s = context.now_s  # time of the next request for pre-votes, in seconds
         self._elected_listeners: list[Callable[[], None]] = []
         self.reset_timeout()
 
@@ -67,28 +68,28 @@
     # --- the timeout -----------------------------------------------------------------------------------
 
     def reset_timeout(self) -> None:
-        """Draw when to ask for votes next without a leader."""
+        """Draw a new random time for the next election, in case no leader makes contact before."""
         wait_s = self._rules.lease_s * self._random.uniform(*ELECTION_TIMEOUT_LEASES)
         self.timeout_s = self._context.now_s + wait_s
 
     def on_leader_contact(self) -> None:
-        """Take note that the leader was heard from now."""
+        """Record contact with the leader at the current time, and end a request for pre-votes."""
         self.leader_contact_s = self._context.now_s
         self._pre_voting = False
         self.reset_timeout()
 
     def leave(self) -> None:
-        """Be no candidate any more."""
+        """Never start an election again."""
         self._leaving = True
 
     def tick(self) -> None:
-        """Ask for votes where the timeout is over."""
+        """Start an election if the timeout has passed and this member may be a candidate."""
         if self._terms.role is Role.LEADER or self._context.now_s < self.timeout_s or self._leaving:
             return
         self.reset_timeout()
         self._terms.forget_leader()
         if self._proof.may_be_candidate and self._log.end() >= self._proof.min_log_end():
-            self._terms.withdraw()
+            self._terms.end_candidacy()
             if self._rules.on(Guard.PRE_VOTE):
                 self._request_pre_votes()
             else:
@@ -97,7 +98,8 @@
     # --- pre-votes -------------------------------------------------------------------------------------
 
     def _request_pre_votes(self) -> None:
-        # Refused by those who heard from the leader a moment later, it asks again: that raises no term.
+        # Voters that had contact with the leader a little later refuse at first, so ask again soon: pre-votes
+        # raise no term.
         wait_s = self._rules.lease_s * self._random.uniform(*PRE_VOTE_RETRY_LEASES)
         self.timeout_s = self._context.now_s + wait_s
         self._pre_voting = True
@@ -114,7 +116,7 @@
         return end >= self._proof.min_log_end() or not self._rules.on(Guard.LOG_UP_TO_DATE)
 
     def on_pre_vote(self, sender: str, message: PreVote) -> None:
-        """Answer whether this member would vote for the sender."""
+        """Answer a member's question whether this member would vote for it."""
         granted = (
             self._proof.may_grant
             and message.term > self._terms.term
@@ -123,16 +125,16 @@
             and self._is_up_to_date(LogEnd(message.last_term, message.last_index))
         )
         if granted:
-            # Whom it would vote for has the turn: two candidates at once share the votes, and a whole lease
-            # more passes without a leader.
+            # Give the sender time to be elected: two candidates at once would split the votes, and a whole
+            # further lease would pass without a leader.
             self.timeout_s = max(self.timeout_s, self._context.now_s + self._rules.heartbeat_s)
             if sender < self._context.name:
-                self._pre_voting = False  # both ask: one of them goes on
+                self._pre_voting = False  # both members ask at once: only the lower name goes on
         term = message.term if granted else self._terms.term
         self._writer.send_after_sync(sender, PreVoteReply(term, granted))
 
     def on_pre_vote_reply(self, sender: str, message: PreVoteReply) -> None:
-        """Count a pre-vote, or take over the higher term of who refused."""
+        """Count a granted pre-vote, or adopt the higher term of a member that refused."""
         if message.granted and self._pre_voting and message.term == self._terms.term + 1:
             self._pre_votes.add(sender)
             self._count_pre_votes()
@@ -148,7 +150,7 @@
     # --- votes -----------------------------------------------------------------------------------------
 
     def _start_candidacy(self, transferred: bool) -> None:
-        """Become a candidate in the next term."""
+        """Become a candidate in the next term, and ask all other voters for their votes."""
         self.reset_timeout()
         self._pre_voting = False
         self._terms.become_candidate()
@@ -164,7 +166,7 @@
     def on_vote(self, sender: str, message: Vote) -> None:
         """Grant or refuse a vote."""
         terms = self._terms
-        # A voter with a live leader does not even take the term over: the leader's lease rests on it.
+        # A voter with a live leader does not even adopt the higher term: the leader's lease depends on that.
         if self._follows_live_leader() and not message.transferred and message.term > terms.term:
             return
         if message.term > terms.term:
@@ -185,7 +187,7 @@
         self._writer.send_after_sync(sender, reply)
 
     def on_vote_reply(self, sender: str, message: VoteReply) -> None:
-        """Count a vote, or take over a higher term."""
+        """Count a granted vote, or adopt a higher term."""
         terms = self._terms
         if message.term > terms.term:
             terms.follow(message.term, "")
@@ -198,7 +200,7 @@
         self.count_votes()
 
     def count_votes(self) -> None:
-        """Lead where a majority has granted; the own vote counts once it is on disk."""
+        """Become the leader if a majority has granted its vote and this member's own vote is synced."""
         if self._terms.role is not Role.CANDIDATE or not self._writer.is_synced(self._vote_write):
             return
         voters = self._replicated.voters
@@ -211,7 +213,7 @@
                 listener()
 
     def on_leadership_transfer(self, sender: str, message: LeadershipTransfer) -> None:
-        """Be a candidate at once, as the leader asks."""
+        """Become a candidate at once, as the leader that steps down asks."""
         if (
             message.term == self._terms.term
             and sender == self._terms.leader
--- a/beechrock/agree/epochs.py
+++ b/beechrock/agree/epochs.py
@@ -1,11 +1,11 @@
 """The epochs of all members' journals, as this member knows them: its own, and the newest of each other one.
 
-States: the own epochs, oldest first; a mark (epoch and synced records) of each peer that was heard from; the
-counts that answers carried in this term. Events: an opening of the own journal, a mark in a message, a report
-of a count, an entry that readmits a member.
+States: this member's epochs, oldest first; the newest known mark (epoch and synced records) of each peer; the
+epoch counts that answers reported since the last candidacy. Events: an opening of this member's journal, a
+mark in a message, a reported count, an entry that readmits a member.
 
-Invariants: counts of the own epochs grow; a peer's mark is on its way to the journal before what rests on it
-is answered; a grant under an epoch that is known to have a successor does not count.
+Invariants: the counts of this member's epochs grow; a peer's mark is queued for the journal before any answer
+that depends on it; a vote or an acknowledgement given in an epoch does not count once a newer one is known.
 """
 
 from dataclasses import dataclass
@@ -17,7 +17,7 @@
 from beechrock.agree.messages import Epoch, EpochCount, EpochOpened, Mark, PeerMark
 from beechrock.agree.rules import MAX_EPOCHS, Guard
 
-MARK_RECORDS = 64  # records of a peer's journal from one written mark of it to the next
+MARK_WRITE_INTERVAL = 64  # A peer's mark is written once per this many records of its journal
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,7 +40,7 @@
 
 
 class EpochTable:
-    """``opening``: a name that no other start of any member has."""
+    """Known epochs of all members. ``opening``: unique name of this start of this member."""
 
     def __init__(
         self, context: EventContext, writer: JournalWriter, recovered: RecoveredState, opening: str
@@ -49,23 +49,23 @@
         self._writer = writer
         self._opening = opening
         self._marks: dict[str, Mark] = dict(recovered.peer_marks)
-        self._reported_counts: dict[str, int] = {}  # by member: the newest that answers carried
+        self._reported_counts: dict[str, int] = {}  # newest epoch count of each member that answers reported
         self.own: tuple[Epoch, ...] = recovered.epochs  # oldest first
 
     # --- the own journal -------------------------------------------------------------------------------
 
     @property
     def current(self) -> Epoch:
-        """The epoch of this process."""
+        """The epoch in which this process writes its journal."""
         return self.own[-1]
 
     def own_mark(self) -> Mark:
-        """Return how far the own journal is synced."""
+        """Return the mark of this member's journal: its epoch, and the number of synced records."""
         epoch = self.own[-1]
         return Mark(epoch.count, epoch.id, self._writer.synced_position)
 
     def open(self, min_count: int) -> None:
-        """Begin an epoch whose count is above all own ones, and at least ``min_count``."""
+        """Begin a new epoch of this member, with a count above its former ones and at least ``min_count``."""
         count = max(min_count, self.own[-1].count + 1 if self.own else 1)
         epoch = Epoch(count, f"{self._opening}.{count}", self._writer.position)
         self.own = (*self.own, epoch)[-MAX_EPOCHS:]
@@ -74,43 +74,43 @@
     # --- the others' journals --------------------------------------------------------------------------
 
     def mark_of(self, name: str) -> Mark | None:
-        """Return what is known of a member's journal."""
+        """Return the newest known mark of a member's journal; None if there is none."""
         return self._marks.get(name)
 
     def record_mark(self, peer: str, mark: Mark) -> None:
-        """Remember how far a peer's journal is; written when its epoch changes, or each MARK_RECORDS."""
+        """Update a peer's mark; write it when its epoch changes and once per MARK_WRITE_INTERVAL records."""
         known = self._marks.get(peer)
         new = later(known, mark)
         self._marks[peer] = new
         if (
             known is None
             or new.id != known.id
-            or new.position // MARK_RECORDS != known.position // MARK_RECORDS
+            or new.position // MARK_WRITE_INTERVAL != known.position // MARK_WRITE_INTERVAL
         ):
             self._writer.persist(PeerMark(peer, new))
 
     def replace_mark(self, peer: str, mark: Mark) -> None:
-        """Remember and write what a peer's journal is from now on."""
+        """Replace and write a peer's mark, even by one that is not newer."""
         self._marks[peer] = mark
         self._writer.persist(PeerMark(peer, mark))
 
     def known_counts(self, names: tuple[str, ...]) -> tuple[EpochCount, ...]:
-        """Return the newest epochs known of these members.
+        """Return the newest known epoch count of each of these members.
 
-        An answer carries them, so that what a former process granted is dropped.
+        Answers carry them, so that their receiver drops what a member's former process granted.
         """
         return tuple((name, self._marks[name].count) for name in names if name in self._marks)
 
     # --- readmission -----------------------------------------------------------------------------------
 
     def on_readmit_appended(self, readmitted: ReadmittedEpoch) -> None:
-        """Count the named epoch as the member's as soon as the entry stands in the log."""
+        """Adopt the readmitted epoch as the member's newest as soon as the entry is in the log."""
         known = self._marks.get(readmitted.name)
         if known is not None and known.count < readmitted.count:
             self._marks[readmitted.name] = Mark(readmitted.count, readmitted.id, 0)
 
     def on_readmit_applied(self, readmitted: ReadmittedEpoch) -> None:
-        """Write down the epoch of another member that votes again."""
+        """Write the mark of another member's readmitted epoch, once the entry is applied."""
         known = self._marks.get(readmitted.name)
         if known is None or known.count < readmitted.count or known.id == readmitted.id:
             position = known.position if known and known.id == readmitted.id else 0
@@ -119,17 +119,17 @@
     # --- grants of former processes --------------------------------------------------------------------
 
     def record_reported_count(self, name: str, count: int) -> None:
-        """Remember the newest epoch that was reported of a member."""
+        """Record the epoch count that an answer reported of a member, if it is the newest."""
         self._reported_counts[name] = max(self._reported_counts.get(name, 0), count)
 
     def clear_reported_counts(self) -> None:
-        """Forget what answers of an earlier candidacy reported."""
+        """Discard the counts reported before this candidacy."""
         self._reported_counts = {}
 
     def is_current(self, name: str, count: int) -> bool:
-        """Return whether a grant of this epoch counts.
+        """Return whether a vote or an acknowledgement given in this epoch counts.
 
-        False where the epoch has a successor: that one forgot the grant and may grant otherwise.
+        It does not if a newer epoch is known: the restarted process may not remember it and act otherwise.
         """
         known = self._marks[name].count if name in self._marks and name != self._context.name else 0
         newest = max(known, self._reported_counts.get(name, 0))
--- a/beechrock/agree/follower.py
+++ b/beechrock/agree/follower.py
@@ -1,11 +1,11 @@
 """The follower's side of replication: entries, commit and snapshots that the leader sends.
 
-States: how far the own log is verified against this term's leader; the chunks of a snapshot that is under
-way. Events: the leader's appends and snapshot chunks, a write that is synced.
+States: the index up to which the log is verified against this term's leader; the received chunks of an
+incomplete snapshot. Events: the leader's appends and snapshot chunks, a synced write.
 
-Invariants: a follower takes over an entry only after one that agrees; two logs that have an entry of one
-index and term agree up to there; a follower that applied something else than its leader finds that out by the
-digest, and stops taking part.
+Invariants: a follower accepts an entry only if the entry before it equals the leader's; two logs with an
+entry of the same index and term are equal up to it; a follower that applied other entries than its leader
+detects that by the digest, and stops taking part.
 """
 
 from dataclasses import dataclass, field
@@ -22,16 +22,16 @@
 
 @dataclass(slots=True)
 class IncomingSnapshot:
-    """The chunks of a snapshot that the leader of ``term`` sends."""
+    """Received chunks of a snapshot that the leader of ``term`` sends."""
 
     term: int = 0
     index: int = 0
-    size: int = 0  # bytes held
+    size: int = 0  # bytes received so far
     chunks: list[bytes] = field(default_factory=list)
 
 
 class Follower:
-    """Takes the leader's log over, and acknowledges what is synced."""
+    """Copies the leader's log to this member, and acknowledges the entries that are synced."""
 
     def __init__(
         self,
@@ -51,13 +51,13 @@
         self._log = replicated.log
         self._proof = proof
         self._elections = elections
-        self._verified_index = 0  # agrees with the leader of this term, synced or not
+        self._verified_index = 0  # index up to which the log equals that of this term's leader, synced or not
         self._incoming = IncomingSnapshot()
 
     # --- appends ---------------------------------------------------------------------------------------
 
     def _accept_leader(self, sender: str, term: int) -> bool:
-        """Follow the sender; False where its term is an older one.
+        """Follow the sender; return False if its term is older than this member's.
 
         Raises BrokenInvariantError for a second leader of the term.
         """
@@ -81,16 +81,16 @@
         )
 
     def on_append(self, sender: str, message: Append) -> None:
-        """Take entries and commit over from the leader, or refuse."""
+        """Write the leader's entries and adopt its commit, or refuse them if the logs differ before."""
         if not self._accept_leader(sender, message.term):
             self._writer.send_after_sync(sender, self._append_reply(message.round, False))
             return
-        # Else nobody knows how far the journal of one that leads ever since its start is, as it answers
-        # nobody: an older copy of its folder would pass as the one it was.
+        # A member that has led since its start sends no answers that carry its mark: without this record, an
+        # older copy of its folder would later pass as up to date.
         self._epochs.record_mark(sender, message.mark)
         prev = message.prev_index
         entries = message.entries
-        if prev < self._log.start:  # part of it is in the snapshot already
+        if prev < self._log.start:  # this member's snapshot covers some of the entries already
             entries = tuple(entry for entry in entries if entry.index > self._log.start)
             prev = self._log.start
         elif self._log.term_at(prev) != message.prev_term:
@@ -106,32 +106,32 @@
         self._acknowledge(sender, message.round)
 
     def _refuse(self, leader: str, message: Append) -> None:
-        """Report from where on the leader's log may agree with the own one."""
+        """Refuse an append, with the index from which the leader should send entries."""
         prev = message.prev_index
         hint = self._log.last + 1 if prev > self._log.last else self._log.first_of_term(prev)
         hint = max(hint, self._replicated.commit + 1)
         self._writer.send_after_sync(leader, self._append_reply(message.round, False, hint))
 
     def _write_new(self, entries: tuple[Entry, ...]) -> None:
-        """Write the entries from the first one on that differs from the own log."""
+        """Write the entries from the first one on that is missing or differs in this member's log."""
         new = tuple(entry for entry in entries if self._log.term_at(entry.index) != entry.term)
         if new:
             first = new[0].index
             self._replicated.write_entries(tuple(entry for entry in entries if entry.index >= first))
 
     def _acknowledge(self, leader: str, number: int) -> None:
-        """Report what is synced; the term at least is, before anything is sent in it."""
+        """Report what is synced; the answer leaves only after the term itself is synced."""
         self._writer.send_after_sync(leader, self._append_reply(number, True))
 
     def on_durable(self) -> None:
-        """Report to the leader that more of the log is synced."""
+        """Report to the leader that more of this member's log is synced."""
         if self._terms.has_leader_contact:
             self._acknowledge(self._terms.leader, 0)
 
     # --- snapshots -------------------------------------------------------------------------------------
 
     def on_chunk(self, sender: str, message: SnapshotChunk) -> None:
-        """Take a piece of the leader's snapshot over; install it once it is complete."""
+        """Store a chunk of the leader's snapshot, and install the snapshot once it is complete."""
         if not self._accept_leader(sender, message.term):
             self._writer.send_after_sync(sender, self._append_reply(message.round, False))
             return
@@ -147,7 +147,7 @@
         self._writer.send_after_sync(sender, reply)
 
     def _add_chunk(self, message: SnapshotChunk) -> int:
-        """Return how many bytes of the snapshot are held with this chunk."""
+        """Add the chunk if it is the next one; return how many bytes of the snapshot are received."""
         if (self._incoming.term, self._incoming.index) != (message.term, message.index):
             self._incoming = IncomingSnapshot(message.term, message.index)
         incoming = self._incoming
--- a/beechrock/agree/journal.py
+++ b/beechrock/agree/journal.py
@@ -1,8 +1,8 @@
-"""The state that journal records give when they are read back in their order. Pure.
+"""The member's state as read back from its journal records, in the order in which they were written. Pure.
 
-The log's own index and the store's are two things: one store holds entries, terms, votes and marks in the
-order in which they were written, so that one sync makes all of them last. ``to_records`` gives that state as
-one list of records, for the store's snapshot.
+The store's index is not the log's index: a single store holds entries, terms, votes and marks in the order of
+their writes, so that one sync makes all of them durable. ``to_records`` returns the state as one list of
+records, for the store's snapshot.
 """
 
 from collections.abc import Iterable
@@ -25,7 +25,10 @@
 
 @dataclass(slots=True)
 class RecoveredState:
-    """``position``: records ever written; it never falls as long as a folder is not replaced."""
+    """State read back from a journal.
+
+    ``position``: number of records ever written; it never falls unless the folder is replaced.
+    """
 
     term: int = 0
     vote: str = ""
@@ -37,7 +40,7 @@
     position: int = 0
 
     def apply(self, record: Record) -> None:
-        """Take the next record in. Raises BrokenInvariantError for an entry that leaves a gap."""
+        """Apply the next record. Raises BrokenInvariantError for an entry that leaves a gap."""
         self.position += 1
         match record:
             case HardState():
@@ -73,14 +76,14 @@
 
     @property
     def empty(self) -> bool:
-        """Whether there is nothing that a vote or an acknowledgement could have rested on."""
+        """Whether there is no term, snapshot or entry, so that no vote or acknowledgement depends on it."""
         return self.term == 0 and self.snapshot is None and not self.entries
 
 
 def from_records(records: Iterable[Record], position: int = 0) -> RecoveredState:
-    """Return the state that the records give.
+    """Return the state that results from applying the records.
 
-    ``position``: of a whole state that the records begin with, which counts anew.
+    ``position``: number of records ever written, if the records are a whole state that replaced others.
     """
     state = RecoveredState()
     for record in records:
@@ -90,7 +93,7 @@
 
 
 def to_records(state: RecoveredState) -> list[Record]:
-    """Return records that give ``state`` again, but for the position."""
+    """Return records from which ``from_records`` restores ``state``, except for its position."""
     records: list[Record] = [EpochOpened(epoch) for epoch in state.epochs]
     records += [PeerMark(peer, mark) for peer, mark in state.peer_marks.items()]
     records += [HardState(state.term, state.vote), BarredState(state.barred)]
--- a/beechrock/agree/journal_writer.py
+++ b/beechrock/agree/journal_writer.py
@@ -1,12 +1,12 @@
-"""The order of a member's writes and sends: what promises something leaves after what it promises is synced.
+"""The order of a member's writes and sends: a message that promises something is sent after its sync.
 
-States: writes that are under way; messages that wait for one of them; what is known to be synced. Events:
-``persist`` (a write is queued), ``send_after_sync``, ``on_synced`` (the disk reports), ``limit_synced`` (the
-end of the log was replaced).
+States: writes that are not synced yet; messages deferred until one of them is synced; the synced index and
+position. Events: ``persist`` (queues a write), ``send_after_sync``, ``on_synced`` (the disk has synced),
+``limit_synced`` (the end of the log was replaced).
 
-Invariants: a deferred message leaves only after every record that was written before it is synced; deferred
-messages leave in their order; the position (records ever written) never falls; ``durable_index`` is never
-beyond what is synced, nor beyond the end of the log.
+Invariants: a deferred message is sent only after every record that was written before it is synced; deferred
+messages are sent in their order; the position (number of records ever written) never falls; ``durable_index``
+is never beyond the synced entries, nor beyond the end of the log.
 """
 
 from collections import deque
@@ -29,22 +29,22 @@
 
 
 class DeferredSend(NamedTuple):
-    """A message that leaves once a write is synced."""
+    """A message to be sent once the write with number ``write`` is synced."""
 
     write: int
     send: Send
 
 
 class JournalWriter:
-    """Numbers the writes, knows what is synced, and holds back what must wait for it."""
+    """Numbers the writes, tracks which of them are synced, and defers messages until then."""
 
     def __init__(self, context: EventContext, log: Log, position: int) -> None:
         self._context = context
         self._log = log
-        self.last_write = 0  # the number of the newest write
-        self.position = position  # records ever written
+        self.last_write = 0  # number of the newest write
+        self.position = position  # number of records ever written
         self.synced_position = position
-        self.synced_index = log.last  # of the log
+        self.synced_index = log.last  # index of the last synced log entry
         self._synced_write = 0
         self._pending: deque[PendingWrite] = deque()
         self._deferred: deque[DeferredSend] = deque()
@@ -57,14 +57,14 @@
         self._context.emit(Persist(self.last_write, records))
 
     def send_after_sync(self, to: str, message: Message) -> None:
-        """Send once all that is written so far is synced: a vote sent and then lost is given twice."""
+        """Send once all earlier writes are synced: else a vote could be sent, lost, and given again."""
         if self._pending and self._context.rules.on(Guard.SYNC_FIRST):
             self._deferred.append(DeferredSend(self.last_write, Send(to, message)))
         else:
             self._context.send(to, message)
 
     def on_synced(self, number: int) -> None:
-        """Take note that all writes up to ``number`` are synced; send what waited for them."""
+        """Record that all writes up to ``number`` are synced; send the messages deferred until then."""
         while self._pending and self._pending[0].number <= number:
             write = self._pending.popleft()
             self._synced_write = write.number
@@ -74,17 +74,17 @@
             self._context.emit(self._deferred.popleft().send)
 
     def is_synced(self, number: int) -> bool:
-        """Return whether the write may count as synced."""
+        """Return whether the write counts as synced; always True without the guard SYNC_FIRST."""
         return self._synced_write >= number or not self._context.rules.on(Guard.SYNC_FIRST)
 
     def durable_index(self) -> int:
-        """Return the last index of the log that may be reported as held."""
+        """Return the last log index that may be reported as synced."""
         if not self._context.rules.on(Guard.SYNC_FIRST):
             return self._log.last
         return min(self.synced_index, self._log.last)
 
     def limit_synced(self, index: int) -> None:
-        """Take back what counts as synced beyond ``index``, also by writes under way."""
+        """Lower the synced index to ``index``, also for pending writes, as later entries are replaced."""
         self.synced_index = min(self.synced_index, index)
         for write in self._pending:
             write.last_index = min(write.last_index, index)
--- a/beechrock/agree/log.py
+++ b/beechrock/agree/log.py
@@ -1,7 +1,7 @@
-"""The part of the log that is kept in memory: what is newer than the snapshot, and the snapshot itself.
+"""The part of the log that is kept in memory: the snapshot, entries after it, and some entries before it.
 
 Invariants: indices grow by one; terms never fall; ``start`` is the index before the first kept entry, of term
-``start_term``; nothing at or before the snapshot is ever cut.
+``start_term``; truncation never removes an entry at or before the snapshot.
 """
 
 from collections.abc import Iterable
@@ -14,14 +14,14 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class LogEnd:
-    """The end of a log; the greater one holds more."""
+    """Term and index of a log's last entry; the log with the greater end is more up to date."""
 
     term: int
     index: int
 
 
 class Log:
-    """Entries ``start + 1`` to ``last``."""
+    """The newest snapshot, and the entries from ``start + 1`` to ``last``."""
 
     def __init__(self, snapshot: Snapshot | None, entries: Iterable[Entry] = ()) -> None:
         self.snapshot = snapshot
@@ -58,7 +58,7 @@
         self.bytes += entry.cost()
 
     def term_at(self, index: int) -> int | None:
-        """Return the term; None where the index is newer than the last or gone into the snapshot."""
+        """Return the term of the entry at an index; None if it is after the last or no longer kept."""
         if index == self.start:
             return self.start_term
         if self.start < index <= self.last:
@@ -70,7 +70,7 @@
         return self.entries[index - self.start - 1]
 
     def batch(self, first: int) -> tuple[Entry, ...]:
-        """Return the entries from ``first`` on, as many as one message holds."""
+        """Return the entries from ``first`` on, as many as one message may hold."""
         entries: list[Entry] = []
         size = 0
         position = first - self.start - 1
@@ -81,8 +81,8 @@
             entries.append(entry)
         return tuple(entries)
 
-    def cut(self, index: int) -> None:
-        """Remove the entry at ``index`` and all after it."""
+    def truncate(self, index: int) -> None:
+        """Remove the entry at ``index`` and all entries after it."""
         removed = self.entries[index - self.start - 1 :]
         del self.entries[index - self.start - 1 :]
         self.bytes -= sum(entry.cost() for entry in removed)
@@ -97,8 +97,8 @@
     def compact(self, snapshot: Snapshot, keep: int, keep_bytes: int) -> None:
         """Replace entries by a snapshot at an applied index.
 
-        The ``keep`` newest entries before it stay, for slow followers, as long as they cost no more than
-        ``keep_bytes``: else the next snapshot would be due at once.
+        Up to ``keep`` entries before it are kept for slow followers, using at most ``keep_bytes``: more bytes
+        could make the next snapshot due at once.
         """
         self.snapshot = snapshot
         start = snapshot.index
@@ -117,7 +117,7 @@
         self.start_term = term
 
     def restart(self, snapshot: Snapshot) -> None:
-        """Replace everything by a snapshot."""
+        """Replace the whole log by a snapshot."""
         self.snapshot = snapshot
         self.start = snapshot.index
         self.start_term = snapshot.term
--- a/beechrock/agree/memory_proof.py
+++ b/beechrock/agree/memory_proof.py
@@ -1,30 +1,33 @@
-"""Proof of memory: what a member does before it votes again after a start.
-
-A process that comes back is UNPROVEN: it asks all others. Each reports whether the journal is the one that it
-knew (marks.py), its term and the end of its log, and remembers the new epoch before it reports. The member is
-PROVEN once so many have reported that each majority which it was ever part of has been met (``proof_quorum``:
-both others of 3, three of 5): it then votes only in terms above all that were reported, and only for logs
-that hold all that was reported. So even a journal that forgot without any mark to show it (an older copy,
-whose last acts only a lost peer saw) breaks no promise, as long as one forgets at a time. What its former
-process granted and is still under way is dropped by whoever counts it, since each answer carries the newest
-epochs that its sender knew.
-
-Where that many cannot be reached, reports of a majority are enough after ``proof_wait_s``, unless ``strict``:
-a voter lost for good must not keep every other from a restart. Then an older copy passes only where nobody
-who is reached had heard of what it lost.
-
-Where one or two voters are left, a single one may have committed with nobody but nodes that do not vote:
-alone, or as one of two that came next. Then all other nodes have to report (a majority of them after the
-wait), and a lone voter stays UNPROVEN while one of them holds more than it does: as such a leader sends what
-it has synced alone, that is what its disk forgot. Where there is no other node, nothing can be shown, and it
-is PROVEN at once.
-
-Events: ticks, a query of another member, reports on the own journal, an operator's word, an entry that
-readmits this member. Invariant: a member that is not PROVEN neither grants a vote nor counts for a commit.
-
-BARRED: judged OLDER or OTHER, or empty though the others had begun. It follows without a vote, under a new
-epoch whose count is above all that were known, until an entry of the log readmits that epoch. Written down:
-for one that starts again the wait is not enough.
+"""Proof of memory: the check that a member must pass after a start before it may vote again.
+
+A member that starts is UNPROVEN and queries all others. Each of them records the member's new epoch, then
+reports whether the journal is the one that it knew (marks.py), its own term and the end of its own log. The
+member is PROVEN once so many voters have reported that every majority with this member includes one of them
+(``proof_quorum``: both others of 3 voters, three others of 5). It then votes only in terms above all reported
+ones, and only for candidates whose log holds all that was reported. So even a journal that lost writes
+without any mark to show it (an older copy, whose last promises only a lost peer knows) breaks no promise, as
+long as only one member at a time loses writes. Votes and acknowledgements of the former process that are
+still on their way are dropped by the member that counts them, as each answer carries the newest epochs that
+its sender knows.
+
+If that many voters cannot be reached, reports of a majority are enough after ``proof_wait_s``, unless
+``strict``: else a voter that is lost for good would keep all others from restarting. Then an older copy
+passes only if none of the reached members knew of the writes that it lost.
+
+If one or two voters are left, a single voter may have committed entries that otherwise only non-voting nodes
+hold: as the only voter, or as one of two after the next change of voters. So all other nodes must report (a
+majority of them after the wait), and a lone voter stays UNPROVEN while one of them has a longer log: as a
+leader that is the only voter sends only synced entries, a longer log shows what the voter's disk lost. If
+there is no other node, nothing can be checked, and the member is PROVEN at once.
+
+Events: ticks, a query of another member, reports on this member's journal, an operator's confirmation, an
+entry that readmits this member. Invariant: a member that is not PROVEN neither grants a vote nor counts for a
+commit.
+
+BARRED: a report found the journal OLDER or OTHER, or it is empty although others are not. A barred member
+follows without a vote, under a new epoch whose count is above all known ones, until an entry of the log
+readmits that epoch. The status is written to the journal, so that after another start the wait alone does not
+make the member PROVEN.
 """
 
 from collections.abc import Callable
@@ -49,13 +52,13 @@
 from beechrock.agree.term_state import TermState
 from beechrock.agree.voters import VoterSet, majority, proof_quorum
 
-REPROVE_LEASES = 6.0  # without a leader, while the own log is behind what was reported
-LOST_MEMORY = (Verdict.OLDER, Verdict.OTHER)
-FEW_VOTERS = 2  # from one change of these to the next, no majority needs a second voter of them
+REPROVE_LEASES = 6.0  # Leases without a leader after which a member behind the required end proves anew
+LOST_MEMORY_VERDICTS = (Verdict.OLDER, Verdict.OTHER)  # Verdicts on a journal that lost reported writes
+SMALL_VOTER_SET = 2  # Up to this number, one change of voters may leave a lone voter, who commits by itself
 
 
 class MemoryProof:
-    """The status of the own memory, and the reports of others on it."""
+    """Status of this member's memory, and the reports of other members on it."""
 
     def __init__(
         self,
@@ -74,46 +77,46 @@
         self._replicated = replicated
         self._log = replicated.log
         self.status = MemoryStatus.UNPROVEN
-        self.reports: dict[str, MemoryReport] = {}  # by member
+        self.reports: dict[str, MemoryReport] = {}  # newest report of each other member
         self._recovered_barred = recovered.barred
         self._recovered_empty = recovered.empty
         self._queried_s = float("-inf")
-        self._started_s = context.now_s  # when this proof began
+        self._started_s = context.now_s  # start of the current proof, in seconds
         self._proved_s = context.now_s
-        self._required_end = LogEnd(0, 0)  # which a log must reach to get this member's vote
+        self._required_end = LogEnd(0, 0)  # reported end that a candidate's log must reach to get a vote
         voters = replicated.voters
         self._newest_voters = VoterSet(voters.index, voters.names)
         self._epoch_listeners: list[Callable[[str, int], None]] = []
 
     def on_newer_epoch(self, listener: Callable[[str, int], None]) -> None:
-        """Register a listener, called with name and count of a member's epoch that was not known."""
+        """Register a listener that is called with a member's name and the count of its new epoch."""
         self._epoch_listeners.append(listener)
 
     # --- the right to vote -----------------------------------------------------------------------------
 
     @property
     def may_grant(self) -> bool:
-        """Whether it may grant a vote.
+        """Whether this member may grant a vote.
 
-        Also where its own log does not know it as a voter yet, as the candidate's log decides.
+        It may do so even if its own log does not list it as a voter yet, as the candidate's log decides.
         """
         return self.status is MemoryStatus.PROVEN or not self._rules.on(Guard.OLD_DISK)
 
     @property
     def may_vote(self) -> bool:
-        """Whether it is a voter whose memory is proved."""
+        """Whether this member is a voter whose memory is proved."""
         return self._context.name in self._replicated.voters and self.may_grant
 
     @property
     def may_be_candidate(self) -> bool:
-        """Whether it may ask for votes: also as a voter whose removal is not known to be committed.
+        """Whether this member may ask for votes, which includes a voter whose removal may be uncommitted.
 
-        The others may need its log, which alone holds the removal, and it then leads without a vote.
+        Its log may be the only one that holds the removal; it then leads without a vote of its own.
         """
         return self._replicated.may_still_vote(self._context.name) and self.may_grant
 
     def min_log_end(self) -> LogEnd:
-        """Return the end that a candidate's log must reach to get this member's vote."""
+        """Return the log end that a candidate must reach to get this member's vote."""
         own = self._log.end()
         if own >= self._required_end:
             self._required_end = LogEnd(0, 0)
@@ -122,13 +125,13 @@
     # --- queries and reports ---------------------------------------------------------------------------
 
     def tick(self, leader_contact_s: float) -> None:
-        """Send the queries that are due; ``leader_contact_s``: when a leader was last heard from."""
+        """Send the queries that are due; ``leader_contact_s``: time of the last contact with a leader."""
         now_s = self._context.now_s
         self._reprove_if_stuck(leader_contact_s)
         if self.status is MemoryStatus.PROVEN:
             return
-        # A barred one asks on: its epoch's count has to rise above all that are known, or its answers are
-        # taken for a former process's, and it never catches up.
+        # A barred member keeps asking: until its epoch's count is above all known ones, its answers are taken
+        # for a former process's, and it never catches up.
         unproven = self.status is MemoryStatus.UNPROVEN
         every_s = self._rules.heartbeat_s if unproven else self._rules.lease_s
         if now_s >= self._queried_s + every_s:
@@ -139,10 +142,9 @@
             self.evaluate_reports()
 
     def _reprove_if_stuck(self, leader_contact_s: float) -> None:
-        """Begin a new proof, as after a start, with those that are there now.
+        """Begin a new proof, as after a start, if this log has long been behind the required end.
 
-        The member whose log set the required end may have lost it after its report: then nobody could be
-        elected any more.
+        The member that reported the required end may have lost it since: then no candidate could reach it.
         """
         now_s = self._context.now_s
         since_s = max(leader_contact_s, self._proved_s) + REPROVE_LEASES * self._rules.lease_s
@@ -153,7 +155,7 @@
             self.reports.clear()
 
     def on_query(self, sender: str, message: MemoryQuery) -> None:
-        """Report on the sender's journal, once its new epoch is remembered."""
+        """Report on the sender's journal, after its new epoch is recorded."""
         known = self._epochs.mark_of(sender)
         verdict = judge(known, message.epochs)
         current = message.epochs[-1]
@@ -177,12 +179,12 @@
         self._writer.send_after_sync(sender, report)
 
     def on_report(self, sender: str, message: MemoryReport) -> None:
-        """Take a report on the own journal in."""
+        """Handle a report on this member's journal."""
         if message.epoch != self._epochs.current.id or not self._rules.on(Guard.OLD_DISK):
-            return  # of an epoch before: late
-        lost = message.verdict in LOST_MEMORY
+            return  # a late report on an earlier epoch
+        lost = message.verdict in LOST_MEMORY_VERDICTS
         if message.known_count >= self._epochs.current.count and lost:
-            # Counts must show which process is the later one; what was reported on this epoch is asked anew.
+            # The newest process must have the highest count: open a new epoch and ask for all reports again.
             self._epochs.open(message.known_count + 1)
             self.reports.clear()
             self._queried_s = float("-inf")
@@ -200,15 +202,16 @@
     # --- the proof -------------------------------------------------------------------------------------
 
     def trust(self) -> None:
-        """Take an operator's word that this folder is the one it was."""
+        """Treat the memory as proven, because an operator vouches for this member's folder."""
         if self.status is not MemoryStatus.PROVEN:
             self._prove()
 
     def evaluate_reports(self) -> None:
-        """Prove the own memory where enough nodes have reported, and none shows that something is missing."""
+        """Become PROVEN if enough nodes have reported and no report shows a lost entry."""
         if self.status is not MemoryStatus.UNPROVEN:
             return
-        # A start may follow a readmission whose record was not synced yet: then no wait is enough.
+        # A barred member may start again after its readmission if that record was not synced: it can then be
+        # proved by the full proof quorum, but not by waiting.
         wait = not self._rules.strict and not self._recovered_barred
         waited = wait and self._context.now_s >= self._started_s + self._rules.proof_wait_s
         if self._enough_voters(waited) and self._enough_nodes(waited) and not self.lacks_entries:
@@ -216,22 +219,22 @@
 
     def _enough_voters(self, waited: bool) -> bool:
         voters = set(self._newest_voters.names) | {self._context.name}
-        # A barred one's report counts, too: it is the one that forgot, so this one is not.
+        # A barred member's report counts, too: as that member lost writes, this one did not.
         reported = [name for name in self.reports if name in voters]
         needed = majority(len(voters)) - 1 if waited else proof_quorum(len(voters))
         return len(reported) >= needed
 
     def _enough_nodes(self, waited: bool) -> bool:
-        """Return whether as many nodes have reported as few voters need, whether these vote or not."""
+        """Return whether enough nodes, voting or not, have reported; only small voter sets require any."""
         names = self._newest_voters.names
         others = len(self._context.others)
-        if self._context.name not in names or len(names) > FEW_VOTERS or not others:
+        if self._context.name not in names or len(names) > SMALL_VOTER_SET or not others:
             return True
         return len(self.reports) >= (majority(others) if waited else others)
 
     @property
     def lacks_entries(self) -> bool:
-        """Whether this member is the lone voter, and another node has reported a longer log."""
+        """Whether this member is the only voter and another node has reported a longer log."""
         if self._newest_voters.names != (self._context.name,):
             return False
         own = self._log.end()
@@ -243,8 +246,8 @@
         self.status = MemoryStatus.PROVEN
         self._recovered_barred = False
         self._proved_s = self._context.now_s
-        # Of voters alone: what only a learner holds may stand nowhere else, and then nobody could be elected.
-        # Nor of a barred one: it is the one that forgot, so the own log lacks nothing that was promised.
+        # Only logs of voters count: an end that only a learner's log reaches could prevent every election.
+        # A barred voter's log does not count either: as that voter lost writes, this member's log did not.
         ends = [
             LogEnd(report.last_term, report.last_index)
             for name, report in self.reports.items()
@@ -253,14 +256,14 @@
         self._required_end = max(ends, default=LogEnd(0, 0))
         term = max([report.term for report in self.reports.values()], default=0)
         if not (self._recovered_empty and term == 0 and self._terms.term == 0):
-            self._terms.give_up_votes(term)
+            self._terms.abstain_up_to(term)
 
     def on_readmission(self, readmitted: ReadmittedEpoch) -> None:
-        """Let the member vote again, under the epoch that the applied entry names."""
+        """Let the member of an applied READMIT entry vote again, under the epoch that the entry names."""
         self._context.emit(Readmitted(readmitted.name, readmitted.count))
         if readmitted.name != self._context.name:
             self._epochs.on_readmit_applied(readmitted)
         elif readmitted.id == self._epochs.current.id and self.status is MemoryStatus.BARRED:
             self.status = MemoryStatus.PROVEN
             self._writer.persist(BarredState(False))
-            self._terms.give_up_votes(self._terms.term)
+            self._terms.abstain_up_to(self._terms.term)
--- a/beechrock/agree/replicated_log.py
+++ b/beechrock/agree/replicated_log.py
@@ -1,12 +1,13 @@
-"""The log of one member with its commit, what is applied, and the voters that it sets.
+"""The log of one member, with its commit and applied indices and the voters that it sets.
 
 States: entries up to the log's end, of which those up to ``commit`` are committed and, at the end of each
-event, applied; the voters in force. Events: entries are appended or replaced, committed, compacted behind a
+event, applied; the voters in force. Events: entries are appended or replaced, committed, compacted into a
 snapshot, or all replaced by a snapshot of the leader.
 
-Invariants: nothing at or before the commit is cut; the commit and what is applied never fall, and neither
-passes the log's end; a snapshot holds applied entries only; the digest covers all that was applied, so that
-two members that applied the same have the same one. A broken one raises BrokenInvariantError.
+Invariants: an entry at or before the commit is never removed by truncation; the commit and applied indices
+never fall, and neither passes the log's end; a snapshot covers applied entries only; the digest covers all
+applied entries, so members that applied the same entries have the same digest. A violation raises
+BrokenInvariantError.
 """
 
 from collections import deque
@@ -22,7 +23,7 @@
 from beechrock.agree.messages import Apply, Entry, EntryKind, Restore, Snapshot
 from beechrock.agree.voters import Voters
 
-MAX_DIGESTS = 256  # newest applied indices whose digest is remembered, to compare with the leader's
+MAX_DIGESTS = 256  # Number of newest applied indices whose digests are kept to compare with the leader's
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,7 +44,10 @@
 
 
 class ReplicatedLog:
-    """Changes ``log``, which others only read; ``initial_voters``: of the first start."""
+    """Log, commit, applied index, digest and voters of this member.
+
+    ``initial_voters``: voters as long as the log sets none.
+    """
 
     def __init__(
         self,
@@ -72,21 +76,21 @@
         self._readmission_listeners.append(listener)
 
     def may_still_vote(self, name: str) -> bool:
-        """Return whether the member is a voter, or was one before a change that may not be committed."""
+        """Return whether the member is a voter, or was one before a change that may still be undone."""
         return any(name in voters.names for voters in self.voters.sets)
 
     # --- appending -------------------------------------------------------------------------------------
 
     def _on_appended(self, entry: Entry) -> None:
-        """Act on what an entry means as soon as it stands in the log."""
+        """Apply the effects that an entry has once it is in the log, committed or not."""
         self.voters.append(entry)
         if entry.kind is EntryKind.READMIT:
             self._epochs.on_readmit_appended(ReadmittedEpoch.unpack(entry.data))
 
     def write_entries(self, entries: tuple[Entry, ...]) -> None:
-        """Append entries, or replace those from the first one's index on.
+        """Append entries, after removing any entries from the first one's index on.
 
-        Raises BrokenInvariantError where a committed entry would be cut.
+        Raises BrokenInvariantError if that would remove a committed entry.
         """
         first = entries[0].index
         if first <= self.log.last:
@@ -95,8 +99,8 @@
                     f"entry {first} would be cut, commit is {self.commit}",
                     where=f"agreed log of {self._context.name}",
                 )
-            self.log.cut(first)
-            self.voters.cut(first)
+            self.log.truncate(first)
+            self.voters.truncate(first)
             self._writer.limit_synced(first - 1)
         for entry in entries:
             self.log.append(entry)
@@ -106,7 +110,7 @@
     # --- committing ------------------------------------------------------------------------------------
 
     def commit_up_to(self, index: int) -> None:
-        """Commit and apply entries. Raises BrokenInvariantError beyond the end of the log."""
+        """Commit and apply the entries up to ``index``. Raises BrokenInvariantError beyond the log's end."""
         if index <= self.commit:
             return
         if index > self.log.last:
@@ -128,11 +132,11 @@
                     listener(readmitted)
 
     def newest_digest(self) -> IndexDigest:
-        """Return the digest of all that is applied; NO_DIGEST where none is known."""
+        """Return the digest of all applied entries with their last index; NO_DIGEST if none is known."""
         return self._digests[-1] if self._digests else NO_DIGEST
 
     def compare_digest(self, index: int, digest: bytes) -> None:
-        """Raise BrokenInvariantError where the leader applied something else up to the index."""
+        """Raise BrokenInvariantError if the leader's digest at the index differs from this member's."""
         for own in reversed(self._digests):
             if own.index == index and own.digest != digest:
                 raise BrokenInvariantError(
@@ -154,7 +158,10 @@
         return Snapshot(index, term, voters.index, voters.names, digest, data)
 
     def install(self, snapshot: Snapshot) -> bool:
-        """Go on from the leader's snapshot; False where all of it was here, and is now committed."""
+        """Replace the log by the leader's snapshot, and return True.
+
+        If the log already holds the snapshot's last entry, only commit up to it, and return False.
+        """
         if self.log.term_at(snapshot.index) == snapshot.term and snapshot.index > self.log.start:
             self.commit_up_to(snapshot.index)
             return False
--- a/beechrock/agree/term_state.py
+++ b/beechrock/agree/term_state.py
@@ -1,11 +1,10 @@
 """Term, vote, role and leader of a member of the agreed log.
 
-States: FOLLOWER, CANDIDATE (asks for votes), LEADER; in each term one vote, and the leader that was heard
-from. Events: a higher term, a vote, a candidacy, an election won, a leader's message, the end of a
-leadership.
+States: FOLLOWER, CANDIDATE (asks for votes), LEADER; the vote and the leader of the current term. Events: a
+higher term, a vote, a candidacy, an election won, a leader's message, the end of a leadership.
 
-Invariants: the term never falls; one vote a term is given, on its way to the journal before it is sent; at
-most one leader a term is ever followed. A broken one raises BrokenInvariantError.
+Invariants: the term never falls; at most one vote is given per term, and it is queued for the journal before
+it is sent; at most one leader is followed per term. A violation raises BrokenInvariantError.
 """
 
 from collections.abc import Callable
@@ -17,11 +16,11 @@
 from beechrock.agree.journal_writer import JournalWriter
 from beechrock.agree.messages import HardState, LeadershipChanged
 
-FORGOTTEN_VOTE = "?"  # a vote which may have been given in this term, and is not remembered
+UNKNOWN_VOTE = "?"  # Value of ``vote`` if a vote may have been given in the term, but it is not known to whom
 
 
 class Role(Enum):
-    """What a member does in its term."""
+    """Role of a member in its term."""
 
     FOLLOWER = auto()
     CANDIDATE = auto()
@@ -29,7 +28,7 @@
 
 
 class TermLeader(NamedTuple):
-    """The leader of a term, as this member heard from it."""
+    """The member that sent messages as the leader of a term."""
 
     term: int
     name: str
@@ -39,7 +38,7 @@
 
 
 class TermState:
-    """``leader``: whom this member follows; empty where none is known."""
+    """Term, vote and role of this member. ``leader``: the term's leader, or empty if none is known."""
 
     def __init__(self, context: EventContext, writer: JournalWriter, term: int, vote: str) -> None:
         self._context = context
@@ -52,11 +51,11 @@
         self._step_down_listeners: list[Callable[[], None]] = []
 
     def on_step_down(self, listener: Callable[[], None]) -> None:
-        """Register a listener that is called when this member ceases to lead."""
+        """Register a listener that is called when this member stops leading."""
         self._step_down_listeners.append(listener)
 
     def set_term(self, term: int, vote: str = "") -> None:
-        """Take over a higher term, or vote in this one. Raises BrokenInvariantError for anything else."""
+        """Adopt a higher term, or set the vote of this one. Raises BrokenInvariantError for anything else."""
         if term < self.term or (term == self.term and self.vote not in ("", vote)):
             raise BrokenInvariantError(
                 f"term {term} vote {vote!r} after term {self.term} vote {self.vote!r}",
@@ -66,12 +65,12 @@
         self.vote = vote
         self._writer.persist(HardState(term, vote))
 
-    def give_up_votes(self, term: int) -> None:
-        """Vote no more in any term up to this one, as a vote may have been given in it."""
+    def abstain_up_to(self, term: int) -> None:
+        """Never vote again in ``term`` or an earlier one, as a forgotten vote may have been given there."""
         if term > self.term:
             self.follow(term, "")
         if not self.vote:
-            self.set_term(self.term, FORGOTTEN_VOTE)
+            self.set_term(self.term, UNKNOWN_VOTE)
 
     def follow(self, term: int, leader: str) -> None:
         """Become a follower; ``leader`` may be empty. Raises BrokenInvariantError for a second leader."""
@@ -91,9 +90,9 @@
                 listener()
 
     def accept_leader(self, sender: str, term: int) -> bool:
-        """Follow the sender, which leads ``term``, not an older one; True for the first contact in the term.
+        """Follow the sender as leader of ``term``; return whether it is the first contact with it.
 
-        Raises BrokenInvariantError for a second leader of the term.
+        ``term`` must not be older than this member's. Raises BrokenInvariantError for a second leader.
         """
         if self._term_leader.term == term and self._term_leader.name != sender:
             raise BrokenInvariantError(
@@ -109,25 +108,25 @@
 
     @property
     def has_leader_contact(self) -> bool:
-        """Whether this term's leader is known, and has been heard from."""
+        """Whether this term's leader is known and has sent a message in it."""
         return bool(self.leader) and self._term_leader.term == self.term
 
     def forget_leader(self) -> None:
-        """Follow nobody; the role stays."""
+        """Follow no leader any more; the role does not change."""
         self.leader = ""
 
-    def withdraw(self) -> None:
-        """End a candidacy that was not won."""
+    def end_candidacy(self) -> None:
+        """Become a follower again after a candidacy that was not won."""
         self.role = Role.FOLLOWER
 
     def become_candidate(self) -> None:
-        """Begin the next term, with the own vote."""
+        """Begin the next term as a candidate, with this member's vote for itself."""
         self.role = Role.CANDIDATE
         self.leader = ""
         self.set_term(self.term + 1, self._context.name)
 
     def become_leader(self) -> None:
-        """Lead the term."""
+        """Become the leader of the current term."""
         self.role = Role.LEADER
         self.leader = self._context.name
         self._term_leader = TermLeader(self.term, self._context.name)
--- a/beechrock/agree/voter_changes.py
+++ b/beechrock/agree/voter_changes.py
@@ -1,7 +1,7 @@
-"""Changes of the voters, one name at a time, as an operator asks for them at the leader.
+"""Changes of the voters, one name at a time, as an operator requests them at the leader.
 
-States: no change is open; one is (its entry is not committed yet). Event: ``change``. Invariant: two changes
-are never open at once, as their majorities need not meet.
+States: no change is open; one change is open, as its entry is not committed yet. Event: ``change``.
+Invariant: two changes are never open at once, as their majorities need not overlap.
 """
 
 from beechrock.agree.context import EventContext
@@ -34,7 +34,7 @@
         self._where = f"voters of the agreed log, at {context.name}"
 
     def change(self, add: str, remove: str) -> None:
-        """Add or remove one voter; in force when it is written. Raises VotersError where it is refused."""
+        """Add or remove one voter, with effect once it is in the log. Raises VotersError for a refusal."""
         self._check_may_change(add, remove)
         if add:
             self._check_addition(add)
@@ -52,7 +52,7 @@
             raise VotersError(
                 "one name comes or goes at a time", where=self._where, wanted="add=NAME or remove=NAME"
             )
-        # Two open changes could have majorities that do not meet.
+        # Two open changes could have majorities that do not overlap.
         if self._replicated.voters.index > self._replicated.commit and self._rules.on(Guard.SINGLE_CHANGE):
             raise VotersError(
                 "the change before is not committed yet", where=self._where, do="ask again in a second"
--- a/beechrock/agree/voters.py
+++ b/beechrock/agree/voters.py
@@ -1,7 +1,7 @@
-"""Who votes: the newest set that stands in the log, committed or not. Pure.
+"""The voter sets of the log: the newest one in the log is in force, committed or not. Pure.
 
-Invariants: a set holds 1 to ``MAX_VOTERS`` names; it differs from the one before by one name at most, so
-that any majority of one meets any majority of the next.
+Invariants: a set holds 1 to ``MAX_VOTERS`` names; it differs from the one before by at most one name, so
+that any majority of one set overlaps any majority of the next.
 """
 
 from dataclasses import dataclass
@@ -17,9 +17,9 @@
 
 
 def proof_quorum(count: int) -> int:
-    """Return how many others must report so that every majority that one was part of is met.
+    """Return how many other voters must report so that every majority with a member includes one of them.
 
-    Two for 3, three for 5.
+    ``count`` is the number of all voters. Examples: two others of 3 voters, three others of 5.
     """
     return min(count - 1, count - majority(count) + 1)
 
@@ -30,7 +30,7 @@
 
 
 def unpack(data: bytes) -> tuple[str, ...]:
-    """Return the names. Raises BadMessageError for data that is no set of voters."""
+    """Return the names in an entry's data. Raises BadMessageError for data that is no set of voters."""
     names = tuple(data.decode(errors="replace").split("\n"))
     if not 1 <= len(names) <= MAX_VOTERS or len(set(names)) != len(names) or not all(names):
         raise BadMessageError(f"{data[:80]!r} is no set of voters", where="agreed log")
@@ -46,14 +46,14 @@
 
 
 class Voters:
-    """All sets that may still come into force again when the log is cut."""
+    """The voter set in force, and former sets that truncation of the log may put in force again."""
 
     def __init__(self, initial: tuple[str, ...], index: int = 0) -> None:
         self.sets = [VoterSet(index, tuple(sorted(initial)))]
 
     @property
     def index(self) -> int:
-        """The index of the entry that set the voters."""
+        """Index of the entry that set the voters in force."""
         return self.sets[-1].index
 
     @property
@@ -66,21 +66,21 @@
 
     @property
     def quorum(self) -> int:
-        """The size of a majority."""
+        """Size of a majority of the voters in force."""
         return majority(len(self.names))
 
     def append(self, entry: Entry) -> None:
-        """Put the entry's set in force, where it is one."""
+        """Put the entry's voter set in force, if it holds one."""
         if entry.kind is EntryKind.VOTERS:
             self.sets.append(VoterSet(entry.index, unpack(entry.data)))
 
-    def cut(self, index: int) -> None:
-        """Take back the sets at ``index`` and after."""
+    def truncate(self, index: int) -> None:
+        """Remove the sets of entries at ``index`` and after it, but never the oldest set."""
         while len(self.sets) > 1 and self.sets[-1].index >= index:
             self.sets.pop()
 
     def at(self, index: int) -> VoterSet:
-        """Return the set that was in force at an index, for a snapshot there."""
+        """Return the set in force at an index, for a snapshot at that index."""
         return next(found for found in reversed(self.sets) if found.index <= index or found is self.sets[0])
 
     def forget(self, index: int) -> None:
