--- a/beechrock/agree/codec.py
+++ b/beechrock/agree/codec.py
@@ -1,8 +1,8 @@
-"""Messages and journal records as bytes: msgpack, each type an extension with its number and its fields.
+"""Encoding of messages and journal records: msgpack, with one extension number per type.
 
-The fields are written by their order, so their names may change. Numbers are never used again for something
-else. What has another version, an unknown number or another count of fields is refused with BadMessageError;
-the sender is known by then (the transport's tags), so it is a program of another version, not an enemy.
+Fields are written by position, so their names may change but not their order. A number is never reused for
+another type. Data with another version, an unknown number or a wrong number of fields raise BadMessageError.
+The transport has authenticated the sender by then, so it runs another version and is no attacker.
 """
 
 from collections.abc import Iterable
@@ -16,7 +16,7 @@
 from beechrock.agree.errors import BadMessageError
 
 VERSION = 1
-FIRST_RECORD_NUMBER = 32  # numbers below it are messages
+FIRST_RECORD_NUMBER = 32  # Smallest extension number of a journal record; smaller numbers are messages
 TYPES: dict[int, type[Any]] = {
     1: m.MemoryQuery,
     2: m.MemoryReport,
@@ -45,7 +45,7 @@
 NUMBERS = {kind: number for number, kind in TYPES.items()}
 FIELD_NAMES = {kind: tuple(field.name for field in fields(kind)) for kind in TYPES.values()}
 ENUM_TYPES: tuple[type[IntEnum], ...] = (m.EntryKind, m.MemoryStatus, m.Verdict)
-# By type: the positions of its fields that are enums, which msgpack writes as numbers.
+# For each type, the enum types of its enum fields by position; msgpack writes their values as numbers.
 ENUM_FIELDS: dict[type[Any], dict[int, type[IntEnum]]] = {
     kind: {
         position: cast(type[IntEnum], field.type)
@@ -94,12 +94,12 @@
 
 
 def encode(message: m.Message) -> bytes:
-    """Return the message's bytes."""
+    """Return the message encoded as bytes."""
     return bytes([VERSION]) + _pack(message)
 
 
 def decode(data: bytes) -> m.Message:
-    """Return the message. Raises BadMessageError where the bytes hold none."""
+    """Return the decoded message. Raises BadMessageError if the bytes are no message."""
     message = _read(data)
     if NUMBERS.get(type(message), FIRST_RECORD_NUMBER) >= FIRST_RECORD_NUMBER:
         raise BadMessageError(f"{type(message).__name__} is no message", where="agreed log")
@@ -107,15 +107,15 @@
 
 
 def encode_records(records: Iterable[m.Record], position: int = 0) -> bytes:
-    """Return the records' bytes.
+    """Return the records encoded as bytes.
 
-    ``position``: of a whole state; 0 for records that go on from what was written before.
+    ``position``: number of records ever written if these are a whole state; 0 for further single records.
     """
     return bytes([VERSION]) + _pack((position, tuple(records)))
 
 
 def decode_records(data: bytes) -> tuple[int, tuple[m.Record, ...]]:
-    """Return position and records. Raises BadMessageError where the bytes hold none."""
+    """Return the position and the decoded records. Raises BadMessageError if the bytes are no records."""
     content = _read(data)
     if not (
         isinstance(content, tuple)
--- a/beechrock/agree/disk.py
+++ b/beechrock/agree/disk.py
@@ -1,8 +1,8 @@
-"""The journal on its store: writes in order in a thread, many to a sync; reported to the core when synced.
+"""The journal on disk: a thread writes records in order, many per sync, and synced writes are reported.
 
-One task alone touches the store, so that a slow sync holds up no message that promises nothing. A disk that
-is full, or fails for a while, is a slow one: nothing is reported of what it did not take, and it is tried
-again, after a failed sync by writing anew all that no sync had proved. Damage ends the part.
+Only one task uses the store, so that a slow sync does not delay messages that need no sync. A disk that is
+full or fails for a while is treated as a slow one: writes that it did not take are not reported but retried,
+and after a failed sync all writes that no sync has confirmed are written again. Damage ends the part.
 """
 
 import asyncio
@@ -19,14 +19,14 @@
 from beechrock.store.limits import StoreLimits as StoreRules
 from beechrock.store.log import Store
 
-PREFIX = "agree"  # of the files' names
-MAX_QUEUED = 100_000  # writes that wait for the disk; beyond it the part ends, its disk is gone
-FIRST_RETRY_S, MAX_RETRY_S = 0.5, 8.0  # waits before a full disk is tried again, doubled
+PREFIX = "agree"  # Prefix of the store's file names
+MAX_QUEUED = 100_000  # Waiting writes above which a failing disk ends the part instead of being retried
+FIRST_RETRY_S, MAX_RETRY_S = 0.5, 8.0  # Backoff of failed writes: first and longest wait, doubled each time
 
 
 @dataclass(frozen=True, slots=True)
 class QueuedWrite:
-    """``is_state``: the data hold the complete state, in place of all before."""
+    """An encoded write. ``is_state``: the data hold the complete state and replace all earlier writes."""
 
     number: int
     data: bytes
@@ -34,7 +34,10 @@
 
 
 class Disk:
-    """``recovered``: the state as it was opened; ``mirror``: with all that was given to ``put`` since."""
+    """The journal's store and the queue of writes to it.
+
+    ``recovered``: state when the store was opened; ``mirror``: that state with all writes queued since.
+    """
 
     def __init__(self, files: Files, max_bytes: int) -> None:
         """Open the store.
@@ -46,9 +49,9 @@
         self.mirror = self._read()
         self.queue: deque[QueuedWrite] = deque()
         self.syncs = 0
-        self.failed_tries = 0  # that the disk did not take
+        self.failed_attempts = 0  # number of write attempts that failed or found no room
         self._wakeup = asyncio.Event()
-        self._stored = 0  # of the writes in hand, those that had room
+        self._stored_count = 0  # number of writes that the newest attempt stored
 
     def _read(self) -> RecoveredState:
         snapshot = self.store.snapshot()
@@ -62,7 +65,7 @@
         return state
 
     def put(self, action: Persist) -> None:
-        """Queue records, written in this order; a snapshot that came over the wire replaces all."""
+        """Queue records to be written in order; a snapshot from the leader replaces the whole state."""
         for record in action.records:
             self.mirror.apply(record)
         if any(isinstance(record, Snapshot) for record in action.records):
@@ -72,7 +75,7 @@
         self._wakeup.set()
 
     def compact(self, snapshot: Snapshot, number: int) -> None:
-        """Queue the whole state in place of all that was written up to ``number``."""
+        """Queue the whole state, with the snapshot, to replace all writes up to ``number``."""
         self.mirror.compact(snapshot)
         self._queue_state(number)
         self._wakeup.set()
@@ -82,7 +85,7 @@
         self.queue.append(QueuedWrite(number, data, True))
 
     async def run(self, on_written: Callable[[int], None]) -> None:
-        """Write until cancelled; ``on_written(number)`` reports what is synced. OSError, StoreError."""
+        """Write until cancelled; call ``on_written(number)`` after each sync. Raises OSError, StoreError."""
         while True:
             await self._wakeup.wait()
             self._wakeup.clear()
@@ -96,7 +99,7 @@
         return [self.queue.popleft() for _ in range(len(self.queue))]
 
     async def _write_until_synced(self, writes: list[QueuedWrite]) -> None:
-        """Write all of it, and what comes while there is no room, which is added to ``writes``."""
+        """Write and sync, retrying until it works; writes queued during a wait are added to ``writes``."""
         stored = 0
         retry_s = FIRST_RETRY_S
         while True:
@@ -105,11 +108,11 @@
             except (StoreFullError, StoreFailedError) as error:
                 if len(writes) > MAX_QUEUED:
                     raise
-                self.failed_tries += 1
+                self.failed_attempts += 1
                 if retry_s == FIRST_RETRY_S:
                     logs.event("agree.disk_full", "warning", **error.fields())
-                # What had room is not written twice.
-                stored += self._stored
+                # Writes that were stored before the error are not written again.
+                stored += self._stored_count
                 await asyncio.sleep(retry_s)
                 retry_s = min(2 * retry_s, MAX_RETRY_S)
                 writes += self._drain_queue()
@@ -119,16 +122,16 @@
                 return
 
     def _write(self, writes: list[QueuedWrite]) -> None:
-        """Write and sync, in a thread; ``_stored`` counts what had room."""
-        self._stored = 0
+        """Write and sync, in a thread; ``_stored_count`` counts the stored writes."""
+        self._stored_count = 0
         self.store.rewrite()
         last_state = max((at for at, write in enumerate(writes) if write.is_state), default=-1)
-        if last_state >= 0:  # it holds all before it
+        if last_state >= 0:  # the newest whole state replaces all writes before it
             self.store.save_snapshot(self.store.last, writes[last_state].data)
-            self._stored = last_state + 1
+            self._stored_count = last_state + 1
         for write in writes[last_state + 1 :]:
             self.store.append(write.data)
-            self._stored += 1
+            self._stored_count += 1
         self.store.sync()
 
     def close(self) -> None:
--- a/beechrock/agree/driver.py
+++ b/beechrock/agree/driver.py
@@ -1,9 +1,9 @@
-"""Drives the core of the agreed log: events in, its actions executed in their order.
+"""Driver of the agreed log's core: passes events to it and executes its actions in their order.
 
-A write is queued for the disk task, all else is done at once. States: taking part; broken, after a broken
-invariant or a failed disk: then it does not lead, no event reaches the core any more, and the node serves on.
-Events: ticks, messages, writes that are synced, proposals and reads of this node. Times are of the monotonic
-clock.
+Writes are queued for the disk task; all other actions are executed at once. States: taking part; broken,
+after a broken invariant or a failed disk: then this member does not lead, the core receives no further event,
+and the node keeps serving. Events: ticks, messages, synced writes, proposals and reads of this node. Times
+are of the monotonic clock.
 """
 
 import asyncio
@@ -36,13 +36,13 @@
 from beechrock.errors import OperatorError
 from beechrock.talk.part import PeerTransport
 
-CHANNEL = "agree"
-COMMIT_EVENT_EACH = 16  # every so many commits one is an event, with its digest
-COMPACT_PART = 4  # a snapshot is taken once the log holds this part of its bound
+CHANNEL = "agree"  # Name of the transport channel
+COMMIT_EVENT_INTERVAL = 16  # An entry whose index is a multiple of this is logged with its digest
+COMPACT_DIVISOR = 4  # A snapshot is due once the log uses more than 1/4 of ``Rules.max_bytes``
 
 
 class LeadershipListeners:
-    """Who is called with True once this node leads and has applied all before, with False when that ends."""
+    """Listeners called with True once this node leads with all earlier commits applied, then with False."""
 
     def __init__(self) -> None:
         self._listeners: list[Callable[[bool], None]] = []
@@ -53,7 +53,7 @@
         self._listeners.append(listener)
 
     def report(self, leading: bool) -> None:
-        """Call the listeners where that has changed."""
+        """Call the listeners if the value differs from the one reported last."""
         if leading is not self._reported:
             self._reported = leading
             for listener in self._listeners:
@@ -61,7 +61,7 @@
 
 
 class CoreDriver:
-    """One member of the log at this node: its core, its disk, and the machines that it applies entries to."""
+    """Connects this node's core with its disk, its transport, its machines and its clients."""
 
     def __init__(
         self,
@@ -87,18 +87,18 @@
         self._listeners = listeners
         self._counters = counters
         self._clock = clock
-        self._followed = ""  # the leader at the last event
+        self._last_leader = ""  # leader after the last event, to detect a new one
         self._flush_scheduled = False
-        self._stopped = asyncio.Event()  # never set: a broken member waits for its end
+        self._never_set = asyncio.Event()  # never set: a broken member waits on it until it is cancelled
 
     @property
     def leader(self) -> str:
-        """The node that this one follows, or empty."""
+        """Name of the current leader; empty if none is known, or if this member is broken."""
         return "" if self.broken else self.core.leader
 
     @property
     def applied(self) -> int:
-        """The index up to which the machines have applied the log."""
+        """Index up to which the machines have applied the log."""
         return self.core.applied
 
     def leading(self) -> bool:
@@ -108,7 +108,7 @@
     # --- running ---------------------------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Tick and write until cancelled; after an error the node takes no further part, and serves on."""
+        """Tick and write until cancelled; after an error this node stops taking part but keeps serving."""
         ticking = asyncio.ensure_future(self._tick())
         writing = asyncio.ensure_future(self.disk.run(self._on_written))
         try:
@@ -117,7 +117,7 @@
                 task.result()
         except OperatorError as error:
             self._stop_taking_part(error)
-            await self._stopped.wait()
+            await self._never_set.wait()
         except OSError as error:
             self._stop_taking_part(
                 AgreeError(
@@ -126,7 +126,7 @@
                     do="look at the disk, then start the node again",
                 )
             )
-            await self._stopped.wait()
+            await self._never_set.wait()
         finally:
             for task in (ticking, writing):
                 task.cancel()
@@ -142,7 +142,7 @@
         self.run_event(lambda: self.core.on_written(self._clock(), number))
 
     def run_event(self, event: Callable[[], list[Action]]) -> None:
-        """Execute the actions of an event of the core; nothing once it is broken."""
+        """Pass an event to the core and execute its actions; do nothing once this member is broken."""
         if self.broken:
             return
         try:
@@ -161,7 +161,7 @@
     # --- messages, proposals, reads --------------------------------------------------------------------
 
     def receive(self, sender: str, data: bytes) -> None:
-        """Take a message of another node in."""
+        """Handle a message of another node."""
         if self.broken:
             return
         try:
@@ -179,17 +179,17 @@
 
     def _send(self, to: str, message: Message) -> None:
         if not self._transport.send(to, CHANNEL, codec.encode(message)):
-            self._counters.add("agree.unsent")  # it is sent again
+            self._counters.add("agree.unsent")  # the protocol sends it again
 
     def submit(self, message: ForwardedProposal) -> None:
-        """Send a proposal of this node to the leader, or append it where that is this node."""
+        """Send a proposal of this node to the leader, or append it if this node leads."""
         if self.leader == self._name:
             self._on_proposal(self._name, message)
         else:
             self._send(self.leader, message)
 
     def _on_proposal(self, sender: str, message: ForwardedProposal) -> None:
-        """Append a proposal at the leader; what came in one turn of the loop goes out in one round."""
+        """Append a proposal at the leader; one round sends all proposals of the same event loop turn."""
         if self._machines.is_applied(message.proposer, message.life, message.seq):
             return
         index = self._append(message)
@@ -202,7 +202,7 @@
             asyncio.get_running_loop().call_soon(self._flush)
 
     def _append(self, message: ForwardedProposal) -> int:
-        """Return the index of the proposal's entry, 0 where the core refuses it."""
+        """Append the proposal to the log; return its index, or 0 if the core refuses it."""
         index = 0
         if self.broken:
             return index
@@ -220,17 +220,17 @@
         self.run_event(lambda: self.core.flush(self._clock()))
 
     def read(self, token: int) -> None:
-        """Begin a read of this node."""
+        """Begin a read of this node; ``ReadClient.on_index`` receives its index."""
         self.run_event(lambda: self.core.read(self._clock(), token))
 
     def leave(self) -> None:
-        """Transfer the leadership to the voter that is furthest; be no candidate any more."""
+        """Transfer the leadership to the most up-to-date voter, and never start an election again."""
         self.run_event(lambda: self.core.leave(self._clock()))
 
     # --- actions of the core ---------------------------------------------------------------------------
 
     def execute(self, actions: list[Action]) -> None:
-        """Execute the actions in their order, then what follows from the core's new state."""
+        """Execute the actions in their order, then update reads, listeners and snapshots to the new state."""
         for action in actions:
             self._execute_action(action)
         self._reads.on_applied(self.core.applied)
@@ -258,7 +258,7 @@
     def _apply(self, action: Apply) -> None:
         entry = action.entry
         result = self._machines.apply(entry)
-        if entry.index % COMMIT_EVENT_EACH == 0:
+        if entry.index % COMMIT_EVENT_INTERVAL == 0:
             logs.event(
                 "agree.commit",
                 node=self._name,
@@ -275,16 +275,17 @@
         self._proposals.on_restored(self._machines)
 
     def _report_leadership(self) -> None:
-        if self.core.leader != self._followed:
-            self._followed = self.core.leader
+        if self.core.leader != self._last_leader:
+            self._last_leader = self.core.leader
             self._proposals.on_new_leader()
         self._listeners.report(not self.broken and self.core.has_committed_in_term)
 
     def _compact_if_due(self) -> None:
         core = self.core
         snapshot_index = core.log.snapshot.index if core.log.snapshot else 0
-        new = core.applied - snapshot_index  # without a quorum nothing is applied: a snapshot frees nothing
-        large = core.log.bytes > self._rules.max_bytes // COMPACT_PART and new >= MAX_APPEND_ENTRIES
+        # A snapshot frees applied entries only: without a quorum there are none, and it would free nothing.
+        new = core.applied - snapshot_index
+        large = core.log.bytes > self._rules.max_bytes // COMPACT_DIVISOR and new >= MAX_APPEND_ENTRIES
         if new > self._rules.snapshot_each or large:
             data = self._machines.snapshot()
             snapshot = core.snapshot(self._clock(), core.applied, core.replicated.digest, data)
--- a/beechrock/agree/machines.py
+++ b/beechrock/agree/machines.py
@@ -1,13 +1,13 @@
-"""The state machines that run on the log: machines by name, and each proposal once. Pure.
+"""The state machines to which the log's commands are applied, each proposal at most once. Pure.
 
-A command's first bytes name its machine. A proposer numbers its proposals within its life and sends up to
-which number all are settled for it (``acked``); what was applied above that is remembered, so that a
-proposal which was sent twice, or by two leaders, has one effect. A newer life ends the older one's: what it
-left under way does nothing.
+A command's first bytes name its machine. A proposer numbers its proposals within its life and sends the
+number below which it knows all outcomes (``acked``); a session remembers the applied numbers from there on,
+so that a proposal which was sent twice, or appended by two leaders, has one effect. After an entry of a newer
+life of a proposer, entries of its older lives have no effect.
 
-Invariants: of one (proposer, life, number) at most one command reaches a machine; at most
-``MAX_OPEN_PROPOSALS`` numbers and ``MAX_SESSIONS`` sessions are kept; nothing here depends on time or on the
-node it runs at.
+Invariants: for each (proposer, life, number) at most one command reaches a machine; at most
+``MAX_OPEN_PROPOSALS`` numbers per session and ``MAX_SESSIONS`` sessions are kept; results depend neither on
+time nor on the node.
 """
 
 from collections.abc import Mapping
@@ -25,54 +25,58 @@
 
 
 class Machine(Protocol):
-    """A deterministic state machine; a bad command gives a result, never an exception."""
+    """A deterministic state machine; it answers a bad command by a result, never by an exception."""
 
     def apply(self, index: int, command: bytes) -> Any:
         """Apply the command of the entry at ``index``; return its result."""
 
     def snapshot(self) -> bytes:
-        """Return the whole state."""
+        """Return the machine's whole state."""
 
     def restore(self, data: bytes) -> None:
-        """Set the state to what ``snapshot`` returned."""
+        """Replace the state by one that ``snapshot`` returned."""
 
 
 class NoEffect(Enum):
     """Why an entry had no effect."""
 
     NO_COMMAND = auto()
-    DUPLICATE = auto()  # applied before, or its number is out of the window
-    PAST_LIFE = auto()  # of a process that has a successor
+    DUPLICATE = auto()  # the proposal was applied before, or its number is outside the session's window
+    PAST_LIFE = auto()  # the proposal is of a former life of its proposer
     NO_MACHINE = auto()
 
 
 @dataclass(slots=True)
 class Session:
-    """``applied``: numbers at or above ``floor`` that were applied; all below it are settled."""
+    """Applied proposals of one proposer.
+
+    ``applied``: applied numbers at or above ``floor``; the proposer knows the outcome of all lower numbers.
+    """
 
     life: int
     floor: int = 1
     applied: set[int] = field(default_factory=set)
-    last_index: int = 0  # of the newest entry of this proposer
+    last_index: int = 0  # index of the newest entry of this proposer
 
 
 def wrap(machine: str, command: bytes) -> bytes:
-    """Return a command with the name of its machine, of at most 255 bytes."""
+    """Return the command, prefixed with the name of its machine (at most 255 bytes)."""
     name = machine.encode()
     return bytes([len(name)]) + name + command
 
 
 class StateMachines:
-    """All machines of a node, and the sessions of the proposers."""
+    """All state machines of a node, and the sessions of the proposers."""
 
     def __init__(self, machines: Mapping[str, Machine], dedup: bool = True) -> None:
         self.machines = machines
         self.sessions: dict[str, Session] = {}
         self.dedup = dedup
-        self.unhosted: dict[str, bytes] = {}  # state of machines that this version lacks: passed on unread
+        # States of machines that this program version does not have; they are kept for the next snapshot.
+        self.unhosted: dict[str, bytes] = {}
 
     def apply(self, entry: Entry) -> Any:
-        """Return the machine's result, or ``NoEffect``."""
+        """Apply an entry; return the machine's result, or the reason why it had no effect."""
         if entry.kind is not EntryKind.COMMAND:
             return NoEffect.NO_COMMAND
         no_effect = self._record(entry)
@@ -85,7 +89,7 @@
         return machine.apply(entry.index, entry.data[1 + size :])
 
     def _record(self, entry: Entry) -> NoEffect | None:
-        """Record the proposal as applied; not None where it must have no effect."""
+        """Record the proposal as applied; return None, or the reason why it must have no effect."""
         session = self._session(entry)
         if not self.dedup:
             return None
@@ -102,7 +106,7 @@
         return None
 
     def _session(self, entry: Entry) -> Session:
-        """Return the session of the entry's proposer; a new one for a new life."""
+        """Return the session of the entry's proposer, or start one for a new proposer or a newer life."""
         session = self.sessions.get(entry.proposer)
         if session is None or entry.life > session.life:
             if session is None and len(self.sessions) >= MAX_SESSIONS:
@@ -111,14 +115,14 @@
         return session
 
     def is_applied(self, proposer: str, life: int, seq: int) -> bool:
-        """Return whether the proposal was applied."""
+        """Return whether the proposal was applied in the session of this life."""
         session = self.sessions.get(proposer)
         if session is None or session.life != life:
             return False
         return seq < session.floor or seq in session.applied
 
     def snapshot(self) -> bytes:
-        """Return the state of all machines and sessions."""
+        """Return the encoded state of all machines and sessions."""
         sessions = [
             (name, session.life, session.floor, sorted(session.applied), session.last_index)
             for name, session in sorted(self.sessions.items())
@@ -129,7 +133,7 @@
         return data
 
     def restore(self, data: bytes) -> None:
-        """Set the state to a snapshot's. Raises BadMessageError where it is none."""
+        """Replace the state by a snapshot's. Raises BadMessageError if it cannot be read."""
         try:
             version, sessions, machines = msgpack.unpackb(data)
             if version != SNAPSHOT_VERSION:
--- a/beechrock/agree/part.py
+++ b/beechrock/agree/part.py
@@ -1,7 +1,8 @@
 """The agreed log as a part of its node, for the node's other parts and for operators.
 
-``host`` a machine before the part listens; then ``propose``, ``settled``, ``leading``. States: starting (no
-journal is open), taking part, broken (driver.py). Times are of the monotonic clock.
+Other parts register their machines with ``host`` before ``listen``; afterwards they call ``propose``,
+``settled`` and ``leading``. States: starting (the journal is not open yet), taking part, broken (driver.py).
+Times are of the monotonic clock.
 """
 
 import asyncio
@@ -29,7 +30,7 @@
 
 
 class AgreedLog:
-    """The member of the log at this node, from its start on."""
+    """The member of the agreed log at this node."""
 
     def __init__(
         self,
@@ -44,20 +45,20 @@
         self.counters = counters
         self.clock = clock
         self.name = transport.name
-        self.identity = f"{transport.name}/{secrets.token_hex(6)}"  # of this start
+        self.identity = f"{transport.name}/{secrets.token_hex(6)}"  # unique name of this start of the node
         self._hosted: dict[str, Machine] = {}
         self._machines = StateMachines(self._hosted)
         self._proposals = ProposalClient(self.name, self.identity, transport.life, self.rules, clock)
         self._reads = ReadClient(self.name, self.rules, self._participant)
         self._listeners = LeadershipListeners()
-        self._disk: Disk | None = None  # None before the journal is open
-        self._driver: CoreDriver | None = None  # None before the machines are restored
+        self._disk: Disk | None = None  # None until the journal is open
+        self._driver: CoreDriver | None = None  # None until the machines are restored
         self.probe = LogProbe(self)
         self.host(NAME, self.probe.machine)
         transport.on(CHANNEL, self._receive)
 
     def _participant(self) -> CoreDriver | None:
-        """Return the driver; None before the start, and once it is broken."""
+        """Return the driver; None before the start, and after the driver has failed."""
         if self._driver is None or self._driver.broken:
             return None
         return self._driver
@@ -69,13 +70,14 @@
     # --- for the other parts ---------------------------------------------------------------------------
 
     def host(self, name: str, machine: Machine) -> None:
-        """Register a machine, before ``listen``, which restores its state."""
+        """Register a state machine; must be called before ``listen``, which restores the machine's state."""
         self._hosted[name] = machine
 
     async def propose(self, name: str, command: bytes, within_s: float) -> Any:
-        """Return the result of the machine ``name`` at this node.
+        """Propose a command; return its result from the machine ``name`` at this node.
 
-        Raises NoQuorumError: not accepted; UnsureError: may still be; FullError: too long, or too many open.
+        Raises NoQuorumError if it was not accepted, UnsureError if it may still be accepted, and FullError if
+        it is too long or too many proposals are open.
         """
         driver = self._participant()
         if driver is None:
@@ -85,45 +87,46 @@
         return await self._proposals.propose(driver, name, command, within_s)
 
     async def settled(self, within_s: float) -> int:
-        """Wait until what is read here is not older than the call (a linearizable read); return the index.
+        """Wait until this node has applied all entries that were committed before the call; return the index.
 
-        Raises NoQuorumError.
+        A later read of a machine's state is linearizable. Raises NoQuorumError if this takes too long.
         """
         return await self._reads.settled(within_s)
 
     def leading(self) -> bool:
-        """Return whether this node holds a valid lease now; to be asked right before each act."""
+        """Return whether this node holds a valid lease now; must be called right before each act."""
         driver = self._participant()
         return driver is not None and driver.leading()
 
     @property
     def leader(self) -> str:
-        """The node that this one follows, or empty."""
+        """Name of the current leader, or empty if none is known."""
         return self._driver.leader if self._driver is not None else ""
 
     @property
     def term(self) -> int:
-        """The term, 0 before the start."""
+        """Current term of this member; 0 before the start."""
         return self._driver.core.term if self._driver is not None else 0
 
     @property
     def voters(self) -> tuple[str, ...]:
-        """The voters in force, sorted; of the first start, before this one."""
+        """The voters in force, sorted; before the start, the voters of the settings."""
         if self._driver is None:
             return tuple(sorted(self.settings.voters))
         return self._driver.core.voters.names
 
     def on_lead(self, listener: Callable[[bool], None]) -> None:
-        """Register a listener.
+        """Register a listener for changes of leadership.
 
-        Called with True once all that was committed before is applied here, with False when leading ends.
+        It is called with True once this node leads and has applied all earlier commits, and with False when
+        it stops leading.
         """
         self._listeners.add(listener)
 
     # --- as a part -------------------------------------------------------------------------------------
 
     async def listen(self) -> None:
-        """Open the journal, restore the machines. OperatorError, OSError."""
+        """Open the journal and restore the machines. Raises OperatorError or OSError."""
         disk = Disk(open_folder(self.transport.settings.state / "agree"), self.rules.max_bytes)
         self._disk = disk
         recovered = disk.recovered
@@ -163,7 +166,7 @@
         self._warn_of_unchecked_memory(core)
 
     def _warn_of_unchecked_memory(self, core: ConsensusCore) -> None:
-        """Log where the memory counts as proved at the start, as there is no other node to ask."""
+        """Log a warning if the memory counts as proved from the start, as there is no other node to ask."""
         if core.memory is MemoryStatus.PROVEN:
             logs.event(
                 "agree.memory_unchecked",
@@ -174,7 +177,7 @@
             )
 
     async def run(self) -> None:
-        """Tick and write until cancelled; after an error the node takes no further part, and serves on."""
+        """Tick and write until cancelled; after an error this node stops taking part but keeps serving."""
         if self._driver is None:
             raise AgreeError(
                 "no journal is open", where=f"agreed log at {self.name}", wanted="listen() before run()"
@@ -182,14 +185,14 @@
         await self._driver.run()
 
     async def leave(self) -> None:
-        """Transfer the leadership to the voter that is furthest; be no candidate any more."""
+        """Transfer the leadership to the most up-to-date voter, and never start an election again."""
         driver = self._participant()
         if driver is not None:
             driver.leave()
-            await asyncio.sleep(self.rules.tick_s)  # for the message to leave
+            await asyncio.sleep(self.rules.tick_s)  # time for the transfer message to be sent
 
     def close(self) -> None:
-        """End a probe, close the journal."""
+        """Cancel a running probe and close the journal."""
         self.probe.close()
         if self._disk is not None:
             self._disk.close()
@@ -201,15 +204,16 @@
     # --- for operators ---------------------------------------------------------------------------------
 
     def view(self) -> dict[str, Any]:
-        """Return what ``/agree`` shows."""
+        """Return the view shown at ``/agree``."""
         if self._driver is None:
             return {"state": "starting"}
         return view(self._driver, self.clock(), self._proposals.open_count)
 
     def change_voters(self, query: dict[str, str]) -> dict[str, Any]:
-        """Execute ``add=NAME``, ``remove=NAME``, or ``trust=NAME`` at that node itself; return the view.
+        """Add or remove a voter at the leader, or trust this node's folder; return the view.
 
-        Raises VotersError.
+        ``query`` holds ``add=NAME``, ``remove=NAME``, or ``trust=NAME`` with this node's own name. Raises
+        VotersError for a refusal.
         """
         driver = self._participant()
         if driver is None:
@@ -232,7 +236,7 @@
 
 
 def begin(settings: AgreeSettings, context: Context) -> AgreedLog:
-    """Make the actor, and show its views. Raises ConfigError where a voter is no node of the fleet."""
+    """Create the part and register its views and calls. Raises ConfigError for a voter outside the fleet."""
     transport = context.parts["fleet"]
     for name in settings.voters:
         if name != transport.name and name not in transport.peers:
--- a/beechrock/agree/probe.py
+++ b/beechrock/agree/probe.py
@@ -1,8 +1,8 @@
-"""Whether the log takes writes and reads, and how long they take: an operator's question, and test load.
+"""Probe of the agreed log: runs writes and reads and measures how long they take, for operators and tests.
 
-``POST /agree/probe?writes=10&reads=10`` begins; each end is an event ``agree.probe`` with its times
-(seconds of the monotonic clock, which all processes of a machine share) and its result; ``GET
-/agree/probe`` shows the figures.
+``POST /agree/probe?writes=10&reads=10`` starts a probe. The end of each operation is logged as an event
+``agree.probe`` with its start, its end (seconds of the monotonic clock, which all processes of a machine
+share) and its result. ``GET /agree/probe`` shows the measured times.
 """
 
 import asyncio
@@ -17,35 +17,35 @@
 if TYPE_CHECKING:
     from beechrock.agree.part import AgreedLog
 
-NAME = "probe"  # of the machine
-MAX_OPERATIONS = 10_000  # of writes and of reads, a probe
-MAX_WITHIN_S = 60.0
+NAME = "probe"  # Name of the probe's state machine
+MAX_OPERATIONS = 10_000  # Maximum number of writes, and of reads, per probe
+MAX_WITHIN_S = 60.0  # Longest allowed timeout of one operation, in seconds
 
 
 class OperationKind(StrEnum):
-    """What an operation of a probe is; the values are shown to operators."""
+    """Kind of a probe's operation; the values are shown to operators."""
 
     WRITE = "write"
     READ = "read"
 
 
 class CounterMachine:
-    """A machine that counts: a write's result is its number."""
+    """A state machine that counts writes; the result of a write is the new count."""
 
     def __init__(self) -> None:
         self.count = 0
 
     def apply(self, index: int, command: bytes) -> int:
-        """Count one write; return its number."""
+        """Count one write; return the new count."""
         self.count += 1
         return self.count
 
     def snapshot(self) -> bytes:
-        """Return the count."""
+        """Return the encoded count."""
         return str(self.count).encode()
 
     def restore(self, data: bytes) -> None:
-        """Set the count."""
+        """Replace the count by an encoded one."""
         self.count = int(data)
 
 
@@ -67,13 +67,13 @@
     def start(self, query: dict[str, str]) -> dict[str, Any]:
         """Start a probe; return the view.
 
-        Raises VotersError (shown as 409) for bad numbers, FullError where one runs.
+        Raises VotersError (shown as 409) for numbers out of bounds, FullError if a probe is running.
         """
         try:
             writes, reads = (int(query.get(key, "0")) for key in ("writes", "reads"))
             within_s = float(query.get("within_s", "5"))
         except ValueError:
-            writes, reads, within_s = -1, -1, 0.0  # out of the bounds
+            writes, reads, within_s = -1, -1, 0.0  # out of bounds, so refused below
         operations = range(MAX_OPERATIONS + 1)
         if writes not in operations or reads not in operations or not 0 < within_s <= MAX_WITHIN_S:
             raise VotersError(
@@ -82,7 +82,9 @@
                 wanted=f"writes=N&reads=N&within_s=S, N up to {MAX_OPERATIONS}",
             )
         if self.task is not None and not self.task.done():
-            raise FullError("a probe runs", where="/agree/probe", do="wait for its end: GET /agree/probe")
+            raise FullError(
+                "a probe is running", where="/agree/probe", do="wait for its end: GET /agree/probe"
+            )
         self._reset()
         self.task = asyncio.ensure_future(self._run(writes, reads, within_s))
         return self.view()
@@ -120,7 +122,7 @@
         )
 
     def view(self) -> dict[str, Any]:
-        """Return what ``/agree/probe`` shows."""
+        """Return the view shown at ``/agree/probe``."""
         view: dict[str, Any] = {
             "running": self.task is not None and not self.task.done(),
             "failed": self.failed,
@@ -136,6 +138,6 @@
         return view
 
     def close(self) -> None:
-        """End a probe that runs."""
+        """Cancel the running probe, if any."""
         if self.task is not None:
             self.task.cancel()
--- a/beechrock/agree/proposal_client.py
+++ b/beechrock/agree/proposal_client.py
@@ -1,8 +1,8 @@
-"""Proposals of this node's other parts: each is sent until its end is known, and its caller hears the result.
+"""Proposals of this node's other parts: each is sent until its outcome is known, then its caller is answered.
 
-States and events of one proposal: proposals.py. Events here: a caller, ticks, a new leader, an applied entry,
-a restored snapshot, a rejection. Invariants: a caller gets its own proposal's result, once, or an error that
-says whether it may still be applied; times are of the monotonic clock.
+States and events of one proposal: proposals.py. Events here: a call, ticks, a new leader, an applied entry, a
+restored snapshot, a rejection. Invariants: a caller gets the result of its own proposal exactly once, or an
+error whose type tells whether it may still be applied; times are of the monotonic clock.
 """
 
 import asyncio
@@ -16,41 +16,42 @@
 from beechrock.agree.rules import MAX_COMMAND_BYTES, Rules
 from beechrock.errors import OperatorError
 
-RETRY_LEASES = 0.4  # from one sending of a proposal or a read to the next, in leases
+RETRY_LEASES = 0.4  # Interval between two attempts to send a proposal or a read, in leases
 
 
 class LeaderLink(Protocol):
-    """The way to the leader."""
+    """Interface for sending proposals to the leader."""
 
     @property
     def leader(self) -> str:
-        """The node that this one follows, or empty."""
+        """Name of the current leader, or empty if none is known."""
 
     def submit(self, message: ForwardedProposal) -> None:
-        """Send a proposal to the leader, or append it where this node leads."""
+        """Send a proposal to the leader, or append it if this node leads."""
 
 
 class ProposalClient:
-    """``identity``: of this start of the node, under which its proposals are numbered."""
+    """Proposals of one start of a node. ``identity``: unique name of that start, sent with each proposal."""
 
     def __init__(self, name: str, identity: str, life: int, rules: Rules, clock: Callable[[], float]) -> None:
         self._name = name
         self._identity = identity
         self._clock = clock
         self._proposals = Proposals(identity, life, RETRY_LEASES * rules.lease_s)
-        self._results: dict[int, asyncio.Future[Any]] = {}  # by the proposal's number
+        self._results: dict[int, asyncio.Future[Any]] = {}  # awaited result of each proposal, by its number
 
     @property
     def open_count(self) -> int:
-        """How many proposals are open."""
+        """Number of open proposals."""
         return len(self._proposals.open)
 
     # --- for callers -----------------------------------------------------------------------------------
 
     async def propose(self, link: LeaderLink, machine: str, command: bytes, within_s: float) -> Any:
-        """Return the result of the machine at this node.
+        """Propose a command; return its result from the machine at this node.
 
-        Raises NoQuorumError: not accepted; UnsureError: may still be; FullError: too long, or too many open.
+        Raises NoQuorumError if it was not accepted, UnsureError if it may still be accepted, and FullError if
+        it is too long or too many proposals are open.
         """
         data = wrap(machine, command)
         if len(data) > MAX_COMMAND_BYTES:
@@ -69,7 +70,7 @@
         except TimeoutError:
             raise self._timed_out(link, proposal, within_s) from None
         except asyncio.CancelledError:
-            # With nobody yet: nobody gets it once its caller is gone.
+            # A proposal that was never forwarded is dropped, and so is not sent after its caller has left.
             self._proposals.give_up(proposal.seq)
             raise
         finally:
@@ -80,14 +81,14 @@
         where = f"agreed log at {self._name}, leader {link.leader or 'unknown'}"
         if forwarded:
             return UnsureError(
-                f"no end within {within_s} s", where=where, do="look at the state before acting"
+                f"no outcome within {within_s} s", where=where, do="look at the state before acting"
             )
-        return NoQuorumError(f"no leader within {within_s} s", where=where, do="come back once there is one")
+        return NoQuorumError(f"no leader within {within_s} s", where=where, do="retry once there is one")
 
     # --- events ----------------------------------------------------------------------------------------
 
     def forward_due(self, link: LeaderLink) -> None:
-        """Send the proposals that are due to the leader."""
+        """Send all proposals that are due to the leader, if one is known."""
         if not link.leader or not self._proposals.open:
             return
         for proposal in self._proposals.collect_due(self._clock()):
@@ -103,23 +104,23 @@
             )
 
     def on_new_leader(self) -> None:
-        """Make all proposals due at once."""
+        """Make all open proposals due now."""
         self._proposals.on_new_leader()
 
     def on_rejected(self, message: ProposalRejected) -> None:
-        """Send the proposal again after a while, unless it was one of the process before."""
+        """Postpone the rejected proposal's next attempt, unless a former process of this node sent it."""
         if message.life == self._proposals.life:
             self._proposals.on_rejected(message.seq, self._clock())
 
     def on_applied(self, entry: Entry, result: object) -> None:
-        """Give the caller its result, where the entry is an own proposal."""
+        """Answer the caller with the result, if the entry is a proposal of this start of this node."""
         if entry.proposer == self._identity and self._proposals.settle(entry.seq):
             future = self._results.get(entry.seq)
             if future is not None and not future.done():
                 future.set_result(result)
 
     def on_restored(self, machines: StateMachines) -> None:
-        """Settle the proposals that a snapshot holds; their results are not known."""
+        """Settle the proposals that a restored snapshot includes; their results are unknown."""
         for seq in list(self._proposals.open):
             if machines.is_applied(self._identity, self._proposals.life, seq):
                 self._proposals.settle(seq)
@@ -130,7 +131,7 @@
         if future is not None and not future.done():
             future.set_exception(
                 UnsureError(
-                    "applied, but its result came by in a snapshot",
+                    "applied, but its result is unknown, as a snapshot replaced the entry",
                     where=f"agreed log at {self._name}",
                     do="look at the state before acting",
                 )
--- a/beechrock/agree/read_client.py
+++ b/beechrock/agree/read_client.py
@@ -1,8 +1,8 @@
-"""Linearizable reads of this node's other parts: an index from the leader, then that much applied here.
+"""Linearizable reads of this node's other parts: get an index from the leader, then wait until it is applied.
 
-States of a read: waits for its index, waits until that is applied here, done. Events: a caller, an answer
-(``on_index``), entries that were applied (``on_applied``). Invariant: a read ends only once all that was
-committed before it began is applied here; times are of the monotonic clock.
+States of a read: waiting for its index, waiting until the index is applied at this node, done. Events: a
+call, an answer (``on_index``), applied entries (``on_applied``). Invariant: a read ends only after this node
+has applied all entries that were committed before the read began; times are of the monotonic clock.
 """
 
 import asyncio
@@ -17,41 +17,41 @@
 
 
 class ReadLink(Protocol):
-    """A member that takes part in the log."""
+    """Interface of a member that takes part in the log."""
 
     @property
     def applied(self) -> int:
-        """The index up to which the machines have applied the log."""
+        """Index up to which the machines have applied the log."""
 
     def read(self, token: int) -> None:
-        """Begin a read, answered by ``on_index``, or not at all."""
+        """Begin a read; ``on_index`` receives the answer, which may be lost."""
 
 
 @dataclass(frozen=True, slots=True)
 class AppliedWaiter:
-    """A read that waits until ``index`` is applied here."""
+    """A read that waits until this node has applied ``index``."""
 
     index: int
     done: asyncio.Future[int]
 
 
 class ReadClient:
-    """``link``: returns the member, None while this node takes no part."""
+    """Reads of this node. ``link``: returns the member, or None while this node takes no part."""
 
     def __init__(self, name: str, rules: Rules, link: Callable[[], ReadLink | None]) -> None:
         self._name = name
         self._rules = rules
         self._link = link
         self._next_token = 1
-        self._answers: dict[int, asyncio.Future[int]] = {}  # by token
+        self._answers: dict[int, asyncio.Future[int]] = {}  # awaited index of each read, by its token
         self._applied_waiters: list[AppliedWaiter] = []
 
     # --- for callers -----------------------------------------------------------------------------------
 
     async def settled(self, within_s: float) -> int:
-        """Wait until what is read here is not older than the call (a linearizable read); return the index.
+        """Wait until this node has applied all entries that were committed before the call; return the index.
 
-        Raises NoQuorumError.
+        A later read of a machine's state is linearizable. Raises NoQuorumError if this takes too long.
         """
         try:
             async with asyncio.timeout(within_s):
@@ -68,11 +68,11 @@
             raise NoQuorumError(
                 f"no read within {within_s} s",
                 where=f"agreed log at {self._name}",
-                do="come back once there is a leader",
+                do="retry once there is a leader",
             ) from None
 
     async def _read_index(self, link: ReadLink) -> int:
-        """Ask for an index to read at; 0: to be asked again."""
+        """Return the index that the read must wait for; 0 if the caller must ask again."""
         token = self._next_token
         self._next_token += 1
         answer: asyncio.Future[int] = asyncio.get_running_loop().create_future()
@@ -97,13 +97,13 @@
     # --- events ----------------------------------------------------------------------------------------
 
     def on_index(self, ready: ReadIndexReady) -> None:
-        """Give the read its index."""
+        """Pass the answer to the read that waits for it."""
         answer = self._answers.get(ready.token)
         if answer is not None and not answer.done():
             answer.set_result(ready.index)
 
     def on_applied(self, index: int) -> None:
-        """End the reads that wait for what is applied up to ``index``."""
+        """End all reads that wait for an index up to ``index``, as it is applied now."""
         for waiter in list(self._applied_waiters):
             if index >= waiter.index or waiter.done.done():
                 self._applied_waiters.remove(waiter)
--- a/beechrock/agree/replicated_log.py
+++ b/beechrock/agree/replicated_log.py
@@ -142,7 +142,7 @@
                 raise BrokenInvariantError(
                     f"applied up to {index}, and the leader applied something else",
                     where=f"agreed log of {self._context.name}",
-                    do="empty this node's folder and start it: it follows anew",
+                    do="empty this node's folder and start it: it then copies the log from the leader",
                 )
 
     # --- snapshots -------------------------------------------------------------------------------------
--- a/beechrock/agree/settings.py
+++ b/beechrock/agree/settings.py
@@ -60,7 +60,7 @@
         raise ConfigError(
             f"{voters!r}",
             where=f"{where}: voters",
-            wanted=f"1 to {MAX_VOTERS} different names of nodes; 3, 5 or 7 to bear a loss",
+            wanted=f"1 to {MAX_VOTERS} different names of nodes; 3, 5 or 7 to tolerate a lost node",
         )
     return tuple(voters)
 
--- a/beechrock/agree/voter_changes.py
+++ b/beechrock/agree/voter_changes.py
@@ -50,12 +50,12 @@
             raise VotersError("not the leader", where=self._where, do=do)
         if bool(add) == bool(remove):
             raise VotersError(
-                "one name comes or goes at a time", where=self._where, wanted="add=NAME or remove=NAME"
+                "a change adds or removes one name", where=self._where, wanted="add=NAME or remove=NAME"
             )
         # Two open changes could have majorities that do not overlap.
         if self._replicated.voters.index > self._replicated.commit and self._rules.on(Guard.SINGLE_CHANGE):
             raise VotersError(
-                "the change before is not committed yet", where=self._where, do="ask again in a second"
+                "the previous change is not committed yet", where=self._where, do="ask again in a second"
             )
 
     def _check_addition(self, add: str) -> None:
--- a/tests/agree/test_disk.py
+++ b/tests/agree/test_disk.py
@@ -156,7 +156,7 @@
         held_bytes = sum(map(len, disk.store.files.held.values()))
         tell(control, Faults(full_bytes=held_bytes + fitting * 1100))
         writing = asyncio.ensure_future(disk.run(synced.append))
-        while disk.failed_tries < 3:
+        while disk.failed_attempts < 3:
             await asyncio.sleep(0.001)
         assert not synced
         tell(control, Faults())
@@ -209,8 +209,8 @@
             tell(control, Faults(fails=fails, fails_as=kind))
             disk.put(Persist(number + 10, (HardState(number + 10, "b"),)))
             disk.put(Persist(number + 20, (HardState(number + 20, "b"),)))
-            failed_tries = disk.failed_tries
-            while disk.failed_tries < failed_tries + 3:
+            failed_attempts = disk.failed_attempts
+            while disk.failed_attempts < failed_attempts + 3:
                 assert not writing.done()
                 await asyncio.sleep(0.001)
             assert reported[-1] == number == durable(tmp_path).term
