--- a/tests/agree/test_core.py
+++ b/tests/agree/test_core.py
@@ -1,4 +1,4 @@
-"""Invariants and bounds of the agreed log, each by itself: the test gives the events to one member."""
+"""Invariants and bounds of the agreed log, tested one by one with events passed to a single member."""
 
 import pytest
 from simulated_log import await_leader
@@ -21,8 +21,8 @@
 from beechrock.lab.agree_sim import Process, Sim
 
 
-def elected(rules: Rules | None = None, learners: int = 0) -> tuple[Sim, Process, list[Process]]:
-    """A simulation of three voters, its leader, and the others."""
+def start_three_voters(rules: Rules | None = None, learners: int = 0) -> tuple[Sim, Process, list[Process]]:
+    """Return a simulation of three voters, its leader, and the other processes."""
     sim = Sim(5, 3, learners, rules or Rules(tick_s=0.1), drop=0.0, double=0.0)
     await_leader(sim)
     sim.run(1.0)
@@ -31,11 +31,11 @@
 
 
 def test_broken_invariants_are_detected_by_the_member_that_sees_them() -> None:
-    _, a, (b, c) = elected()
+    _, a, (b, c) = start_three_voters()
     core, term, last = b.core, a.core.term, b.core.log.last
     with pytest.raises(BrokenInvariantError, match="both lead"):
         core.terms.follow(term, c.name)
-    core.terms.follow(term, "")  # it has not heard from its leader for a while
+    core.terms.follow(term, "")  # as after some time without contact to its leader
     with pytest.raises(BrokenInvariantError, match="both lead"):
         core.receive(core.context.now_s, c.name, Append(term, 1, last, term, 0, c.core.epochs.own_mark()))
     with pytest.raises(BrokenInvariantError, match="vote"):
@@ -51,7 +51,7 @@
 
 def test_strict_member_is_never_proven_by_waiting_and_late_reports_do_not_count() -> None:
     for strict in (True, False):
-        sim, a, (b, c) = elected(Rules(tick_s=0.1, strict=strict))
+        sim, a, (b, c) = start_three_voters(Rules(tick_s=0.1, strict=strict))
         for process in (a, b, c):
             sim.crash(process.name)
         for process in (a, b):
@@ -61,7 +61,7 @@
     sim.crash(b.name)
     sim.cuts = {(x, y) for x in sim.names for y in sim.names}
     core = sim.start(b.name).core
-    for epoch in ("of before", core.epochs.current.id):
+    for epoch in ("former epoch", core.epochs.current.id):
         assert core.memory is MemoryStatus.UNPROVEN
         for name in (a.name, c.name):
             core.receive(
@@ -73,14 +73,14 @@
 
 
 def test_proposals_and_voters_beyond_the_bounds_are_refused() -> None:
-    sim, a, (*_, learner) = elected(Rules(tick_s=0.1, max_bytes=1000), learners=1)
+    sim, a, (*_, learner) = start_three_voters(Rules(tick_s=0.1, max_bytes=1000), learners=1)
     assert a.core.propose(a.clock(), b"x" * 900, "p", 1, 1, 1)
     assert not a.core.propose(a.clock(), b"x" * 900, "p", 1, 2, 1)
-    with pytest.raises(VotersError, match="caught up"):  # it has not what was just taken
+    with pytest.raises(VotersError, match="caught up"):  # the learner lacks the entry appended just before
         sim.cuts = {(a.name, learner.name)}
         sim.run(0.5)
         a.core.change_voters(a.clock(), add=learner.name)
-    roomy = elected()[1]
+    roomy = start_three_voters()[1]
     assert not roomy.core.propose(roomy.clock(), b"x" * (MAX_COMMAND_BYTES + 1), "p", 1, 1, 1)
     proposals = Proposals("p", 1, 0.3)
     for _ in range(MAX_OPEN_PROPOSALS):
@@ -90,7 +90,7 @@
 
 
 def test_read_reply_for_the_previous_process_is_dropped() -> None:
-    _, _, (b, _) = elected()
+    _, _, (b, _) = start_three_voters()
     life = b.core.epochs.current.count
     assert ReadIndexReady(7, 3) not in b.core.receive(
         b.core.context.now_s, "n0", ReadIndexReply(life - 1, 7, 3)
@@ -98,7 +98,7 @@
     assert ReadIndexReady(7, 3) in b.core.receive(b.core.context.now_s, "n0", ReadIndexReply(life, 7, 3))
 
 
-def test_past_life_has_no_effect_and_unhosted_state_is_passed_on() -> None:
+def test_command_of_a_past_life_has_no_effect_and_state_of_unhosted_machines_is_kept() -> None:
     counter = Counter()
     machines = StateMachines({"c": counter})
 
--- a/tests/agree/test_disk.py
+++ b/tests/agree/test_disk.py
@@ -1,6 +1,6 @@
-"""The journal and the messages as bytes: what is read back is what was written.
+"""Encoding of messages and records, and the journal on disk: what is read back is what was written.
 
-Also across snapshots, a full disk and a lost end.
+The journal is also tested with snapshots, a full disk and failing writes and syncs.
 """
 
 import asyncio
@@ -76,7 +76,7 @@
 
 
 def put_random_write(draw: random.Random, disk: Disk, number: int) -> None:
-    """An append that may replace the end, a snapshot of its own or from the leader, or other records."""
+    """Queue a random write: entries that may replace the log's end, a snapshot, or other records."""
     state = disk.mirror
     start = state.snapshot.index if state.snapshot else 0
     end = max([start, *(entry.index for entry in state.entries)])
@@ -105,7 +105,7 @@
 def test_reopened_journal_holds_what_was_written(
     tmp_path: Path, seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Writes of all kinds in drawn order, on a disk that is full now and then."""
+    """Make random writes of all kinds on a disk that is full now and then."""
     draw, number = random.Random(seed), 0
 
     async def write(disk: Disk) -> None:
@@ -117,7 +117,7 @@
             put_random_write(draw, disk, number)
             if draw.random() < 0.3:
                 await asyncio.sleep(0.001)
-            if draw.random() < 0.2:  # full in the middle of a write, and with space again
+            if draw.random() < 0.2:  # the disk becomes full in the middle of a write, or has room again
                 free_bytes = draw.choice((1 << 40, 200, 60))
                 tell(control, Faults(full_bytes=free_bytes + sum(map(len, disk.store.files.held.values()))))
         tell(control, Faults())
@@ -142,7 +142,7 @@
 def test_writes_that_fitted_on_a_full_disk_are_not_repeated(
     tmp_path: Path, fitting: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Five writes in one batch, of which the first few fit; the others once there is space again."""
+    """Of five writes in one batch the first few fit; the others are stored once there is room again."""
     monkeypatch.setattr("beechrock.agree.disk.FIRST_RETRY_S", 0.002)
     monkeypatch.setattr("beechrock.agree.disk.MAX_RETRY_S", 0.002)
     control, folder = tmp_path / "disk.json", tmp_path / "state"
@@ -172,8 +172,8 @@
     reopened.close()
 
 
-def durable(tmp_path: Path) -> RecoveredState:
-    """Return what a start finds after a kill, which takes all that was never written."""
+def recover_after_kill(tmp_path: Path) -> RecoveredState:
+    """Return the state that a start would recover if the process were killed now."""
     copy = tmp_path / "copy"
     shutil.rmtree(copy, ignore_errors=True)
     shutil.copytree(tmp_path / "state", copy)
@@ -205,7 +205,7 @@
                 disk.compact(Snapshot(1, 1, 0, ("a",), b"d" * 16, b"state"), number)
             while not reported or reported[-1] < number:
                 await asyncio.sleep(0.001)
-            assert durable(tmp_path).term == number
+            assert recover_after_kill(tmp_path).term == number
             tell(control, Faults(fails=fails, fails_as=kind))
             disk.put(Persist(number + 10, (HardState(number + 10, "b"),)))
             disk.put(Persist(number + 20, (HardState(number + 20, "b"),)))
@@ -213,11 +213,11 @@
             while disk.failed_attempts < failed_attempts + 3:
                 assert not writing.done()
                 await asyncio.sleep(0.001)
-            assert reported[-1] == number == durable(tmp_path).term
+            assert reported[-1] == number == recover_after_kill(tmp_path).term
             tell(control, Faults())
             while reported[-1] < number + 20:
                 await asyncio.sleep(0.001)
-            assert durable(tmp_path).term == number + 20
+            assert recover_after_kill(tmp_path).term == number + 20
         writing.cancel()
 
     asyncio.run(asyncio.wait_for(run(), 30))
--- a/tests/agree/test_elections.py
+++ b/tests/agree/test_elections.py
@@ -1,4 +1,4 @@
-"""Elections after a leader's crash: one candidate, and soon; on a driven clock."""
+"""Elections after a leader's crash, on a simulated clock: the next leader is elected soon, in one term."""
 
 import pytest
 from simulated_log import await_leader
@@ -7,10 +7,10 @@
 from beechrock.lab.agree_sim import Sim
 
 
-def after_a_crash(seed: int, timeouts_s: list[float]) -> tuple[float, int]:
-    """Crash the leader of five; the others would ask for votes after ``timeouts_s``.
+def measure_recovery(seed: int, timeouts_s: list[float]) -> tuple[float, int]:
+    """Crash the leader of five members; the others' election timeouts are then ``timeouts_s`` seconds.
 
-    Returns the seconds until one leads, and how many terms passed.
+    Return the seconds until another member leads, and the number of terms that passed.
     """
     sim = Sim(seed, 5, rules=Rules(tick_s=0.01), drop=0.0, double=0.0, delay_s=0.005)
     sim.sync_s = 0.05
@@ -27,9 +27,9 @@
 
 
 @pytest.mark.parametrize("timeouts_s", [[1.2] * 4, [1.2, 1.23, 1.23, 1.23]], ids=["at once", "one first"])
-def test_of_several_simultaneous_candidates_a_single_term_elects(timeouts_s: list[float]) -> None:
-    assert [after_a_crash(seed, timeouts_s)[1] for seed in range(12)] == [1] * 12
+def test_simultaneous_candidates_elect_a_leader_in_a_single_term(timeouts_s: list[float]) -> None:
+    assert [measure_recovery(seed, timeouts_s)[1] for seed in range(12)] == [1] * 12
 
 
 def test_refused_pre_vote_is_retried_soon() -> None:
-    assert max(after_a_crash(seed, [0.8, 5.0, 5.0, 5.0])[0] for seed in range(6)) < 2.0
+    assert max(measure_recovery(seed, [0.8, 5.0, 5.0, 5.0])[0] for seed in range(6)) < 2.0
--- a/tests/agree/test_guards.py
+++ b/tests/agree/test_guards.py
@@ -1,4 +1,4 @@
-"""Each guard of the agreed log: a scenario that holds with it, and breaks once it is taken out."""
+"""One scenario for each guard of the agreed log, which passes with the guard and fails without it."""
 
 from collections.abc import Callable
 from contextlib import suppress
@@ -63,7 +63,7 @@
     _, a, _ = with_leader(seed, rules)
     assert a.core.leading(a.clock())
     if a.core.leading(a.core.lease.last_tick_s + 0.6 * rules.lease_s):
-        raise Violation("acts right after a gap, before anything was received")
+        raise Violation("the leader may act right after a gap between ticks, before it received a message")
 
 
 def lease_promise(seed: int, rules: Rules) -> None:
@@ -80,7 +80,7 @@
     sim.cuts.clear()
     sim.run(3.0)
     if a.core.term != term or a.core.role is not Role.LEADER:
-        raise Violation("one that was cut off deposed the leader when it came back")
+        raise Violation("a member that was partitioned deposed the leader when it reconnected")
 
 
 def check_quorum(seed: int, rules: Rules) -> None:
@@ -88,11 +88,11 @@
     partition(sim, [a.name], others)
     sim.run(4 * rules.lease_s)
     if a.core.role is Role.LEADER:
-        raise Violation("cut off from all, and still takes proposals")
+        raise Violation("the leader is partitioned from all others and still accepts proposals")
 
 
 def own_term(seed: int, rules: Rules) -> None:
-    """Raft's figure 8: what a majority holds of an older term can still be replaced by one of a newer."""
+    """Figure 8 of the Raft paper: an entry of an older term that a majority holds can still be replaced."""
     sim = Sim(seed, 5, 0, rules, drop=0.0, double=0.0)
     old = [Entry(at, 2, EntryKind.COMMAND, b"\1c" + bytes([at])) for at in range(1, MAX_APPEND_ENTRIES + 8)]
     n = sim.names
@@ -103,7 +103,7 @@
     partition(sim, list(n[:4]), [n[4]])
 
     def only_first(sender: str, to: str, message: Message) -> bool:
-        """To the third, of the leader's log only entries of the older term; to the fourth none."""
+        """Pass only the first entries, all of the older term, to the third member, and none to the fourth."""
         if not isinstance(message, Append) or not message.entries:
             return True
         return to != n[3] and (to != n[2] or message.entries[-1].index <= MAX_APPEND_ENTRIES)
@@ -145,9 +145,7 @@
 
 
 def old_epoch(seed: int, rules: Rules) -> None:
-    """What a follower acknowledged and then forgot must not make up a majority with what others
-    acknowledge later.
-    """
+    """An acknowledgement that its follower has lost must not form a majority with later ones of others."""
     sim, a, (x, d, b, e) = with_leader(seed, rules, 5)
     sim.cuts = {(a.name, name) for name in (b, d, e)}
     copy = sim.disks[x].copy()
@@ -196,7 +194,7 @@
     sim.run(6.0)
 
 
-# Some are backed up by another guard, which is then out in both runs.
+# For each guard its scenario, and other guards that also protect it and so are disabled in both runs.
 SCENARIOS: dict[Guard, tuple[Scenario, set[Guard]]] = {
     Guard.PRE_VOTE: (pre_vote, set()),
     Guard.CHECK_QUORUM: (check_quorum, set()),
@@ -214,7 +212,7 @@
 }
 
 
-def breaks(scenario: Scenario, without: set[Guard]) -> list[str]:
+def find_violations(scenario: Scenario, without: set[Guard]) -> list[str]:
     violations = []
     for seed in SEEDS:
         try:
@@ -226,9 +224,9 @@
 
 @pytest.mark.parametrize("guard", Guard)
 def test_scenario_fails_without_the_guard_and_holds_with_it(guard: Guard) -> None:
-    scenario, out = SCENARIOS[guard]
-    assert not breaks(scenario, out)
-    assert breaks(scenario, out | {guard})
+    scenario, disabled = SCENARIOS[guard]
+    assert not find_violations(scenario, disabled)
+    assert find_violations(scenario, disabled | {guard})
 
 
 def test_diverged_follower_is_detected() -> None:
@@ -261,4 +259,4 @@
     sim.start(a.name)
     assert sim.within(20.0, lambda: sim.processes[a.name].core.memory is MemoryStatus.PROVEN)
     readmitted = [event.name for _, _, event in sim.events if isinstance(event, Readmitted)]
-    assert a.name in readmitted  # else it passed as the one it was
+    assert a.name in readmitted  # otherwise the older copy passed as up to date
--- a/tests/agree/test_histories.py
+++ b/tests/agree/test_histories.py
@@ -1,4 +1,4 @@
-"""Random histories of the agreed log on a driven clock; lab/agree_sim.py checks each claim at each step."""
+"""Random histories of the agreed log on a simulated clock; lab/agree_sim.py checks them at each step."""
 
 import pytest
 
@@ -10,7 +10,7 @@
 
 
 @pytest.mark.parametrize("first", range(0, 120, 10))
-def test_random_histories_with_disks_that_forget(first: int) -> None:
+def test_random_histories_with_disks_that_lose_writes(first: int) -> None:
     for seed in range(first, first + 10):
         history = History(seed, voters=5 if seed % 4 == 0 else 3)
         history.run(7.0)
@@ -18,7 +18,7 @@
 
 @pytest.mark.parametrize("first", range(1000, 1060, 10))
 def test_all_members_recover_once_faults_are_healed(first: int) -> None:
-    """Crashes and cuts, no disk that forgets: a leader again, and every node applies what it commits."""
+    """After crashes and partitions without disk loss, a leader is elected and all nodes apply its commits."""
     for seed in range(first, first + 10):
         history = History(seed, forget=False, rules=Rules(tick_s=0.1))
         history.run(6.0)
@@ -41,7 +41,7 @@
         sim.check_history()
 
 
-def test_checker_finds_a_stale_read_and_a_doubled_number() -> None:
+def test_checker_finds_a_stale_read_and_a_duplicate_write_number() -> None:
     write, read = Operation(True, 0.0, 1.0, 1), Operation(False, 2.0, 3.0, 0)
     assert "read" in linearizable([write, read])
     assert not linearizable([write, Operation(False, 0.5, 3.0, 0)])
@@ -49,7 +49,7 @@
 
 
 def test_a_barred_members_longer_log_does_not_keep_the_others_from_an_election() -> None:
-    """A voter that started anew waited for entries that a barred one alone held: nobody led any more."""
+    """Guards against a restarted voter that required entries which only a barred member held: no leader."""
     sim = Sim(7, 3, 0, Rules(tick_s=0.1, strict=True), drop=0.0, double=0.0)
     assert sim.within(15.0, lambda: sim.leader() is not None)
     leader = sim.leader()
@@ -60,7 +60,7 @@
     leader.write(b"held by all")
     sim.run(1.0)
     sim.crash(first)
-    sim.disks[first] = copy  # older than what the others know of it: barred
+    sim.disks[first] = copy  # an older copy than the others' marks of it, so the member becomes barred
     sim.cuts = {(leader.name, second), (second, leader.name), (first, second), (second, first)}
     sim.start(first)
     sim.run(1.0)
--- a/tests/agree/test_lone_voter.py
+++ b/tests/agree/test_lone_voter.py
@@ -1,4 +1,4 @@
-"""One or two voters whose disk forgets: what another node holds is not lost, and an honest disk is enough."""
+"""One or two voters: none leads after its disk lost entries that another node holds; intact disks recover."""
 
 import pytest
 
@@ -10,11 +10,11 @@
 
 LEADER_WITHIN_S = 30.0
 STRICT = Rules(tick_s=0.1, strict=True)
-SETS = [(1, 1), (1, 2), (2, 1), (2, 2)]  # voters and learners
+VOTERS_AND_LEARNERS = [(1, 1), (1, 2), (2, 1), (2, 2)]  # numbers of voters and learners
 
 
 def lone_voter(learners: int = 1) -> tuple[Sim, Process]:
-    """A simulation of one voter that leads, with 20 entries that all learners hold."""
+    """Return a simulation with one voter that leads, and 20 entries that all learners hold."""
     sim = Sim(7, 1, learners, STRICT, drop=0.0, double=0.0)
     assert sim.within(LEADER_WITHIN_S, lambda: sim.leader() is not None)
     voter = sim.processes["n0"]
@@ -24,9 +24,9 @@
     return sim, voter
 
 
-@pytest.mark.parametrize(("voters", "learners"), SETS)
-def test_no_committed_entry_is_lost_by_a_lone_voters_forgetful_disk(voters: int, learners: int) -> None:
-    """A lone voter with an older disk led at once, and wrote other entries under the old indices."""
+@pytest.mark.parametrize(("voters", "learners"), VOTERS_AND_LEARNERS)
+def test_no_committed_entry_is_lost_when_a_lone_voters_disk_loses_writes(voters: int, learners: int) -> None:
+    """Guards against a lone voter that led with an older disk and wrote other entries at used indices."""
     for seed in range(900, 960):
         history = History(seed, voters, learners, STRICT)
         history.run(10.0)
@@ -36,9 +36,9 @@
         history.sim.check_history()
 
 
-@pytest.mark.parametrize(("voters", "learners"), SETS)
+@pytest.mark.parametrize(("voters", "learners"), VOTERS_AND_LEARNERS)
 @pytest.mark.parametrize("strict", [False, True])
-def test_honest_disks_are_proved_again_once_all_nodes_hear_each_other(
+def test_voters_without_disk_loss_elect_a_leader_once_all_nodes_are_connected(
     voters: int, learners: int, strict: bool
 ) -> None:
     for seed in range(60):
@@ -53,7 +53,7 @@
 
 
 @pytest.mark.parametrize("kept", [0, 6])
-def test_a_lone_voter_whose_disk_forgot_waits_for_an_operators_word(kept: int) -> None:
+def test_a_lone_voter_whose_disk_lost_entries_waits_until_an_operator_trusts_it(kept: int) -> None:
     sim, voter = lone_voter()
     tail = voter.disk.tail
     sim.crash("n0")
@@ -62,7 +62,7 @@
     sim.run(10.0)
     assert sim.leader() is None and voter.core.memory is not MemoryStatus.PROVEN
     sim.crash("n1")
-    sim.disks["n1"] = Disk()  # the operator gives up what is missing, at all nodes
+    sim.disks["n1"] = Disk()  # the operator gives up the lost entries, so empties the learner as well
     sim.start("n1")
     sim.committed.clear()
     sim.committed_in.clear()
@@ -71,8 +71,8 @@
     assert sim.within(LEADER_WITHIN_S, lambda: sim.leader() is voter)
 
 
-def test_a_longer_log_shows_a_loss_that_no_mark_shows() -> None:
-    """A learner that started anew knows the voter's journal as it last wrote it down, and that is older."""
+def test_a_learners_longer_log_reveals_a_loss_that_its_mark_does_not_show() -> None:
+    """A restarted learner knows only the voter's mark that it last wrote, which does not show the loss."""
     sim, voter = lone_voter()
     tail = voter.disk.tail
     for name in sim.names:
@@ -93,8 +93,8 @@
         assert sim.within(10.0, lambda sim=sim: sim.leader() is not None) is leads, (strict, up)  # type: ignore[misc]
 
 
-def test_a_voter_that_was_left_alone_and_forgot_that_does_not_lead_with_the_removed_one() -> None:
-    """The removed voter knows the old voters only; a learner alone holds what was committed since."""
+def test_a_lone_voter_that_lost_the_removal_of_the_other_voter_is_not_elected_by_it() -> None:
+    """The removed voter knows only the old voter set; only a learner holds the entries committed since."""
     sim = Sim(7, 2, 1, STRICT, drop=0.0, double=0.0)
     assert sim.within(LEADER_WITHIN_S, lambda: sim.leader() is not None)
     leader = sim.leader()
@@ -120,7 +120,7 @@
 
 
 def test_a_lone_voter_sends_only_what_it_has_synced() -> None:
-    """Else a learner would hold more after an honest crash, and the voter would wait for an operator."""
+    """Else a learner could hold more entries after a crash without disk loss, and block the voter."""
     sim, voter = lone_voter()
     sim.sync_s = 1e9
     before = voter.core.log.last
@@ -135,7 +135,7 @@
 
 
 def test_a_leader_that_removed_itself_and_was_cut_off_hands_its_log_to_the_voter_that_is_left() -> None:
-    """It alone holds its removal: the other one needs its vote, and has the shorter log."""
+    """Only the leader's log holds its removal, so the other voter needs its vote but has the shorter log."""
     sim = Sim(7, 2, 1, Rules(tick_s=0.1), drop=0.0, double=0.0)
     assert sim.within(LEADER_WITHIN_S, lambda: sim.leader() is not None)
     leader = sim.leader()
