--- a/beechrock/agree/elections.py
+++ b/beechrock/agree/elections.py
@@ -116,7 +116,7 @@
         return end >= self._proof.min_log_end() or not self._rules.on(Guard.LOG_UP_TO_DATE)
 
     def on_pre_vote(self, sender: str, message: PreVote) -> None:
-        """Answer a member's question whether this member would vote for it."""
+        """Answer whether this member would vote for the sender."""
         granted = (
             self._proof.may_grant
             and message.term > self._terms.term
--- a/beechrock/agree/epochs.py
+++ b/beechrock/agree/epochs.py
@@ -49,7 +49,7 @@
         self._writer = writer
         self._opening = opening
         self._marks: dict[str, Mark] = dict(recovered.peer_marks)
-        self._reported_counts: dict[str, int] = {}  # newest epoch count of each member that answers reported
+        self._reported_counts: dict[str, int] = {}  # newest epoch count that answers reported of each member
         self.own: tuple[Epoch, ...] = recovered.epochs  # oldest first
 
     # --- the own journal -------------------------------------------------------------------------------
@@ -129,7 +129,7 @@
     def is_current(self, name: str, count: int) -> bool:
         """Return whether a vote or an acknowledgement given in this epoch counts.
 
-        It does not if a newer epoch is known: the restarted process may not remember it and act otherwise.
+        It does not if a newer epoch is known: the restarted process may have lost it and break its promise.
         """
         known = self._marks[name].count if name in self._marks and name != self._context.name else 0
         newest = max(known, self._reported_counts.get(name, 0))
--- a/beechrock/agree/journal_writer.py
+++ b/beechrock/agree/journal_writer.py
@@ -43,7 +43,7 @@
         self._log = log
         self.last_write = 0  # number of the newest write
         self.position = position  # number of records ever written
-        self.synced_position = position
+        self.synced_position = position  # number of records that are synced
         self.synced_index = log.last  # index of the last synced log entry
         self._synced_write = 0
         self._pending: deque[PendingWrite] = deque()
--- a/beechrock/agree/log.py
+++ b/beechrock/agree/log.py
@@ -48,7 +48,7 @@
         return LogEnd(self.last_term, self.last)
 
     def append(self, entry: Entry) -> None:
-        """Add the next entry. Raises BrokenInvariantError for a gap or a term that falls."""
+        """Append the next entry. Raises BrokenInvariantError for a gap or a lower term."""
         if entry.index != self.last + 1 or entry.term < self.last_term:
             raise BrokenInvariantError(
                 f"entry {entry.index} of term {entry.term} after {self.last} of {self.last_term}",
--- a/beechrock/agree/marks.py
+++ b/beechrock/agree/marks.py
@@ -5,7 +5,7 @@
 must have found all records that had been reported as synced. A restored copy that was opened twice can have a
 count as high as the original's; as the count alone would not expose it, the ids are compared.
 
-Marks detect most outdated journals; safety does not depend on them alone (memory_proof.py).
+Marks help to detect outdated journals; safety does not depend on them alone (memory_proof.py).
 """
 
 from collections.abc import Sequence
--- a/beechrock/agree/memory_proof.py
+++ b/beechrock/agree/memory_proof.py
@@ -80,9 +80,9 @@
         self.reports: dict[str, MemoryReport] = {}  # newest report of each other member
         self._recovered_barred = recovered.barred
         self._recovered_empty = recovered.empty
-        self._queried_s = float("-inf")
+        self._queried_s = float("-inf")  # time of the newest queries, in seconds
         self._started_s = context.now_s  # start of the current proof, in seconds
-        self._proved_s = context.now_s
+        self._proved_s = context.now_s  # end of the newest proof, in seconds
         self._required_end = LogEnd(0, 0)  # reported end that a candidate's log must reach to get a vote
         voters = replicated.voters
         self._newest_voters = VoterSet(voters.index, voters.names)
@@ -181,7 +181,7 @@
     def on_report(self, sender: str, message: MemoryReport) -> None:
         """Handle a report on this member's journal."""
         if message.epoch != self._epochs.current.id or not self._rules.on(Guard.OLD_DISK):
-            return  # a late report on an earlier epoch
+            return  # a late report on an earlier epoch, or no proof is required
         lost = message.verdict in LOST_MEMORY_VERDICTS
         if message.known_count >= self._epochs.current.count and lost:
             # The newest process must have the highest count: open a new epoch and ask for all reports again.
--- a/beechrock/agree/messages.py
+++ b/beechrock/agree/messages.py
@@ -82,7 +82,7 @@
     """Request to compare the sender's journal with what the receiver knows of it."""
 
     epochs: tuple[Epoch, ...]
-    empty: bool
+    empty: bool  # whether the sender found no term, snapshot or entry in its journal at the start
 
 
 @dataclass(frozen=True, slots=True)
@@ -214,7 +214,7 @@
 class ForwardedProposal:
     """A proposal sent to the leader, and sent again until its outcome is known."""
 
-    proposer: str  # identity of one start of a node: every start numbers its proposals from 1 on
+    proposer: str  # unique name of one start of a node, which numbers its proposals from 1 on
     life: int
     seq: int
     acked: int
@@ -358,7 +358,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeadershipChanged:
-    """Notice that this member began or ceased to lead; before each act ``leading`` must still be called."""
+    """Report that this member began or stopped leading; before each act ``leading`` must still be called."""
 
     leads: bool
     term: int
@@ -366,7 +366,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadIndexReady:
-    """Notice that this node's read ``token`` may end once ``index`` is applied; index 0 means: retry."""
+    """Report that this node's read ``token`` may end once ``index`` is applied; 0 means to retry it."""
 
     token: int
     index: int
@@ -374,7 +374,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Readmitted:
-    """Notice that the member may vote again, under its epoch with this count."""
+    """Report that a member may vote again, under its epoch with this count."""
 
     name: str
     count: int
--- a/beechrock/agree/replication.py
+++ b/beechrock/agree/replication.py
@@ -258,7 +258,7 @@
     # --- commit ----------------------------------------------------------------------------------------
 
     def _durable_match(self, name: str) -> int:
-        """Return the index up to which the member's log agrees and is synced; 0 if it may not vote."""
+        """Return the index up to which the member's log agrees and is synced; 0 if its memory is unproven."""
         if name == self._context.name:
             return self._writer.durable_index() if self._proof.may_vote else 0
         peer = self.peers[name]
--- a/beechrock/agree/rounds.py
+++ b/beechrock/agree/rounds.py
@@ -43,7 +43,7 @@
         self.answered.pop(name, None)
 
     def quorum_round(self, leader: str, voters: tuple[str, ...], quorum: int) -> int:
-        """Return the newest round that a quorum answered; a leader that is a voter counts for every round."""
+        """Return the newest round that a quorum answered; a leader that votes counts as answering each."""
         answered = sorted(
             (self.number if name == leader else self.answered.get(name, 0) for name in voters), reverse=True
         )
--- a/beechrock/agree/settings.py
+++ b/beechrock/agree/settings.py
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AgreeSettings:
-    """Checked table ``[agree]``; ``voters`` applies to the first start only; later the log sets them."""
+    """Checked table ``[agree]``. ``voters``: the voters at the first start; later the log holds them."""
 
     voters: tuple[str, ...]
     rules: Rules
--- a/beechrock/agree/term_state.py
+++ b/beechrock/agree/term_state.py
@@ -90,7 +90,7 @@
                 listener()
 
     def accept_leader(self, sender: str, term: int) -> bool:
-        """Follow the sender as leader of ``term``; return whether it is the first contact with it.
+        """Follow the sender as leader of ``term``; return whether it is the first contact in the term.
 
         ``term`` must not be older than this member's. Raises BrokenInvariantError for a second leader.
         """
--- a/tests/agree/test_processes.py
+++ b/tests/agree/test_processes.py
@@ -90,7 +90,7 @@
 async def wait_for_readmission(fleet: Fleet, name: str) -> None:
     await fleet.until(
         lambda: [e for e in fleet.events(event="agree.readmit") if e["member"] == name],
-        what="a readmission",
+        what="readmitted",
     )
     await wait_for_same_state(fleet)
 
