--- a/beechrock/members/__init__.py
+++ b/beechrock/members/__init__.py
@@ -1,5 +1,5 @@
-"""Membership and failure detection: advice for routing and for people, never a right.
+"""Membership and failure detection; the results are hints for routing and operators, and grant no rights.
 
-``detector`` decides, purely; ``codec`` turns its messages into bytes; ``actor`` has the sockets. Imports
-nothing of the node's other parts; off on the platform.
+``detector`` makes the decisions without I/O, ``codec`` encodes its messages, ``actor`` owns the sockets. The
+package imports none of the node's other parts, and is disabled on the platform.
 """
--- a/beechrock/members/actor.py
+++ b/beechrock/members/actor.py
@@ -1,4 +1,4 @@
-"""The thin actor round the failure detector: datagrams, ticks, exchanges of full states, and the view."""
+"""Actor that runs the failure detector: datagrams, ticks, exchanges of full states, the operators' view."""
 
 import asyncio
 from collections.abc import Callable
@@ -23,13 +23,13 @@
 from beechrock.net.listener import Listener, listen
 from beechrock.net.registration import RetriedReading, ignore_failure
 
-TICKS_PER_PERIOD = 10
-TIMEOUT_PERIODS = 0.3  # for the answer to a direct probe; the rest of the period is for helpers
-MAX_SERVED = 4  # exchanges of full states served at once; one more may be this node's own
-PORT_TRIES = 20  # where the system chooses the port
-SYNC_PERIODS = 2.0  # for a whole exchange: a stalled one costs no more than that of one task
-MAX_WAITING = 512  # datagrams received and not yet taken in; more are dropped, as a network may
-SIZE_BYTES = 2  # the length prefix of a part on a connection, big-endian
+TICKS_PER_PERIOD = 10  # Detector ticks per probe period
+PROBE_TIMEOUT_PERIODS = 0.3  # Wait for a direct answer, in probe periods; the rest is for helpers' probes
+MAX_SERVED_SYNCS = 4  # Maximum number of exchanges of full states served at once; the node's own one is extra
+PORT_TRIES = 20  # Attempts to find a port free for datagrams and connections, if the system chooses it
+SYNC_TIMEOUT_PERIODS = 2.0  # Time limit to connect, and of an exchange, in periods; frees a stalled task
+MAX_QUEUED_DATAGRAMS = 512  # Capacity of the queue of received datagrams; further ones are dropped
+SIZE_BYTES = 2  # Size of the big-endian length prefix of each part sent over a connection, in bytes
 
 
 class Datagram(NamedTuple):
@@ -40,20 +40,23 @@
 
 
 class LastChange(NamedTuple):
-    """When a member's status changed last, and why."""
+    """Time and reason of the last change of a member's status."""
 
     at_s: float
     reason: str
 
 
 def _host_and_port(address: str) -> tuple[str, int] | None:
-    """Return the parts of HOST:PORT; None for what is no address."""
+    """Return host and port of HOST:PORT; None if the text is not such an address."""
     host, _, port = address.rpartition(":")
     return (host.strip("[]"), int(port)) if port.isdigit() else None
 
 
 class MembersActor(asyncio.DatagramProtocol):
-    """Owns this node's membership; a slow reader of the view delays nothing, as it gets a copy."""
+    """Owner of this node's membership: its detector, sockets and counters.
+
+    Readers of the view get a copy, so that a slow reader delays nothing.
+    """
 
     def __init__(
         self,
@@ -71,19 +74,22 @@
         self.seed = seed
         self.clock = clock
         self.codec = Codec(settings.key, settings.fleet, name, life)
-        self.detector: FailureDetector | None = None  # from ``listen`` on, which knows the address
+        self.detector: FailureDetector | None = None  # Created by ``listen``, once the address is known
         self.last_changes: dict[str, LastChange] = {}
-        self.received_at_s: dict[str, float] = {}  # by member: the last datagram that it sent itself
-        self.waiting: asyncio.Queue[Datagram] = asyncio.Queue(MAX_WAITING)
+        self.received_at_s: dict[str, float] = {}  # Arrival of the last datagram from each member, by name
+        self.datagram_queue: asyncio.Queue[Datagram] = asyncio.Queue(MAX_QUEUED_DATAGRAMS)
         self.transport: asyncio.DatagramTransport | None = None
         self.server: Listener | None = None
-        self.serving = 0  # exchanges that others began
-        self.syncing = False  # an exchange that this node began
+        self.serving = 0  # Number of exchanges in progress that other members began
+        self.syncing = False  # Whether an exchange that this node began is in progress
 
-    # --- life of the actor
+    # --- start, run and leave
 
     async def listen(self) -> None:
-        """Listen for datagrams and connections; OSError where the address cannot be had."""
+        """Listen for datagrams and connections, and create the detector.
+
+        Raises OSError if the address cannot be bound.
+        """
         tries = PORT_TRIES if not self.settings.listen[1] else 1
         while self.server is None:
             tries -= 1
@@ -96,13 +102,17 @@
             self.seed,
             self.settings.seeds,
             self.settings.period_s,
-            TIMEOUT_PERIODS * self.settings.period_s,
+            PROBE_TIMEOUT_PERIODS * self.settings.period_s,
             self.settings.hall,
         )
         logs.event("members", member=self.name, address=address, life=self.life, fleet=self.settings.fleet)
 
     async def _listen_once(self, last_try: bool) -> str:
-        """Listen for both at one port. Seen: a port free for datagrams may be in use for connections."""
+        """Listen for datagrams and connections at one port; return HOST:PORT.
+
+        A port that is free for datagrams may be in use for connections: ``server`` then stays None, and on
+        the last try OSError is raised.
+        """
         loop = asyncio.get_running_loop()
         self.transport, _ = await loop.create_datagram_endpoint(lambda: self, local_addr=self.settings.listen)
         host, port = self.transport.get_extra_info("sockname")[:2]
@@ -115,33 +125,36 @@
         return f"{host}:{port}"
 
     async def run(self) -> None:
-        """Join, then take in datagrams and tick until cancelled."""
+        """Join the fleet, then process datagrams and ticks until cancelled."""
         assert self.detector is not None
         self._execute(self.detector.join())
         next_tick_s = self.clock()
         while True:
-            # What waits is taken in before a tick judges silence: after a pause the answers are there.
-            while not self.waiting.empty():
-                self._receive(self.waiting.get_nowait())
+            # Process queued datagrams before the tick: after a pause of this process they may hold answers
+            # that the tick would otherwise count as missing.
+            while not self.datagram_queue.empty():
+                self._receive(self.datagram_queue.get_nowait())
             now_s = self.clock()
             if now_s >= next_tick_s:
                 next_tick_s = now_s + self.settings.period_s / TICKS_PER_PERIOD
                 self._execute(self.detector.tick(now_s))
             try:
-                datagram = await asyncio.wait_for(self.waiting.get(), max(0.0, next_tick_s - self.clock()))
+                datagram = await asyncio.wait_for(
+                    self.datagram_queue.get(), max(0.0, next_tick_s - self.clock())
+                )
             except TimeoutError:
                 continue
             self._receive(datagram)
 
     def leave(self) -> None:
-        """Tell some of the others that this node leaves."""
+        """Announce to some members that this node leaves."""
         if self.detector is not None:
             self._execute(self.detector.leave(self.clock()))
 
     # --- the view for operators
 
     def view(self) -> dict[str, Any]:
-        """Return what ``/members`` shows: this node's own health, halls, counters and a row a member."""
+        """Return what ``/members`` shows: this node's own health, halls, counters and one row per member."""
         if self.detector is None:
             return {"members": []}
         detector = self.detector
@@ -173,7 +186,7 @@
         }
 
     def _member_rows(self, detector: FailureDetector) -> list[dict[str, Any]]:
-        """Return each member's status, since when (seconds ago) and who said so, by name."""
+        """Return one row per member, sorted by name; ``since_s`` and ``heard_s`` are seconds before now."""
         now_s = self.clock()
         rows: list[dict[str, Any]] = []
         for name, status in sorted(detector.statuses().items()):
@@ -200,7 +213,7 @@
         self.counters.spawn(self._serve(reader, writer), "members.exchange")
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if self.serving >= MAX_SERVED or self.detector is None:
+        if self.serving >= MAX_SERVED_SYNCS or self.detector is None:
             self.counters.add("members.exchanges_beyond_limit")
             writer.transport.abort()
             return
@@ -212,7 +225,7 @@
 
     async def _sync_with(self, host: str, port: int) -> None:
         try:
-            async with asyncio.timeout(SYNC_PERIODS * self.settings.period_s):
+            async with asyncio.timeout(SYNC_TIMEOUT_PERIODS * self.settings.period_s):
                 reader, writer = await asyncio.open_connection(host, port, limit=MAX_DATAGRAM_BYTES)
             await self._sync_over(reader, writer, caller=True)
         except (OSError, TimeoutError):
@@ -226,9 +239,9 @@
         writer: asyncio.StreamWriter,
         caller: bool,
     ) -> None:
-        """Run one side of an exchange; a stalled one, and one with an invalid part, is ended and counted."""
+        """Run one side of an exchange; end it, and count it, if it stalls or brings an invalid part."""
         try:
-            async with asyncio.timeout(SYNC_PERIODS * self.settings.period_s):
+            async with asyncio.timeout(SYNC_TIMEOUT_PERIODS * self.settings.period_s):
                 await (self._call(reader, writer) if caller else self._answer(reader, writer))
             self.counters.add("members.exchanges")
         except DroppedError as error:
@@ -253,7 +266,10 @@
             await self._receive_parts(reader)
 
     async def _receive_parts(self, reader: asyncio.StreamReader) -> FullState:
-        """Take in all parts up to the last; return the first. Raises DroppedError for an invalid part."""
+        """Receive and apply all parts of a full state; return the first.
+
+        Raises DroppedError for an invalid part.
+        """
         assert self.detector is not None
         first: FullState | None = None
         for _ in range(MAX_PARTS):
@@ -277,19 +293,20 @@
     # --- datagrams
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Register the socket of datagrams, until epoll takes it; called by the loop."""
-        # As a selector's transport it has what ``RetriedReading`` uses, though asyncio's types do not say so.
+        """Register the datagram socket, with retries while epoll refuses it; called by the event loop."""
+        # The selector loop's datagram transport has the methods that ``RetriedReading`` calls, but asyncio's
+        # type for it does not declare them.
         RetriedReading(cast("asyncio.ReadTransport", transport), ignore_failure).register()
 
     def datagram_received(self, data: bytes, addr: tuple[Any, ...]) -> None:
-        """Queue a datagram; called by the loop."""
+        """Queue a received datagram, or drop it if the queue is full; called by the event loop."""
         try:
-            self.waiting.put_nowait(Datagram(data, f"{addr[0]}:{addr[1]}"))
+            self.datagram_queue.put_nowait(Datagram(data, f"{addr[0]}:{addr[1]}"))
         except asyncio.QueueFull:
             self.counters.add("members.dropped_full")
 
     def error_received(self, exc: Exception) -> None:
-        """Count an address that refuses datagrams; called by the loop."""
+        """Count an error of the socket, such as a refused datagram; called by the event loop."""
         self.counters.add("members.unreachable")
 
     def _receive(self, datagram: Datagram) -> None:
@@ -326,11 +343,11 @@
                         at=address,
                         reason="a newer process has this name; this one is silent as a member",
                     )
-        self._forget_removed()
+        self._remove_forgotten()
 
     def _send(self, address: str, message: Message) -> None:
         target = _host_and_port(address)
-        # What is no address can only come from a holder of the key; it must not end the actor.
+        # Only a holder of the fleet's key can send an invalid address; it must not end the actor.
         if self.transport is None or target is None:
             self.counters.add("members.no_address")
             return
@@ -371,13 +388,13 @@
             dead=change.dead,
         )
 
-    def _forget_removed(self) -> None:
-        """Bound what is kept beside the detector: members that it forgot are removed here in turn."""
+    def _remove_forgotten(self) -> None:
+        """Bound the tables kept beside the detector by removing members that it has forgotten."""
         if self.detector is None:
             return
         known = self.detector.known
         limit = 2 * len(known) + 64
         if len(self.last_changes) > limit:
-            self.last_changes = {name: at for name, at in self.last_changes.items() if name in known}
+            self.last_changes = {name: change for name, change in self.last_changes.items() if name in known}
         if len(self.received_at_s) > limit:
-            self.received_at_s = {name: at for name, at in self.received_at_s.items() if name in known}
+            self.received_at_s = {name: at_s for name, at_s in self.received_at_s.items() if name in known}
--- a/beechrock/members/codec.py
+++ b/beechrock/members/codec.py
@@ -1,7 +1,8 @@
-"""Messages of the membership as datagrams: msgpack under a keyed BLAKE3 tag, with a counter against replay.
+"""Encoding of membership messages as datagrams: msgpack with a keyed BLAKE3 tag and a counter against replay.
 
-Pure. What is not valid is dropped with its reason; nothing of a datagram is parsed before its tag is right.
-A list may be longer than is known here: a newer version adds at the end, and both run together.
+Pure. An invalid datagram is dropped with a reason; no part of the body is parsed before its tag is verified.
+Elements at the end of a list that this version does not know are ignored: a newer version adds fields there,
+and both versions run in one fleet during an upgrade.
 """
 
 import hmac
@@ -29,19 +30,25 @@
     Update,
 )
 
-VERSION = 1  # of the form: another one is dropped; additions at the end do not change it
-TAG_BYTES = 16  # 128 bits of keyed BLAKE3
-MAX_DATAGRAM_BYTES = 1200  # no link cuts it into pieces
-MAX_NAME_BYTES = 64  # of a name, and of an address
-MIN_SECRET_BYTES = 16  # of the fleet's key file
-MAX_SENDERS = 4096  # whose counters are kept; the one not received from for longest is dropped first
-REPLAY_WINDOW = 256  # counters behind the greatest that are still accepted, each once
-MESSAGE_TYPES = (Ping, PingRequest, Ack, PingRequestAck, FullState)  # the position is the type's number
+VERSION = 1  # Format version; datagrams with another one are dropped. Fields added at the end keep it
+TAG_BYTES = 16  # Size of the authentication tag: 128 bits of keyed BLAKE3
+MAX_DATAGRAM_BYTES = 1200  # Small enough that no link fragments the datagram
+MAX_NAME_BYTES = 64  # Maximum length of a member's name, an address, a hall or a fleet's name
+MIN_SECRET_BYTES = 16  # Minimum length of the secret in the fleet's key file
+MAX_SENDERS = 4096  # Maximum number of lives with replay state; the least recently received from is evicted
+REPLAY_WINDOW = 256  # Replay window: a counter less than this far below the newest is accepted, once
+MESSAGE_TYPES = (
+    Ping,
+    PingRequest,
+    Ack,
+    PingRequestAck,
+    FullState,
+)  # A type's index is its number on the wire
 KEY_CONTEXT = "beechrock members 1"
 
 
 class DropReason(Enum):
-    """Why a datagram was dropped; the values are parts of counters."""
+    """Reasons to drop a datagram; the values are the ends of counter names."""
 
     SIZE = "size"
     TAG = "tag"
@@ -60,9 +67,9 @@
 
 
 def key_from(secret: bytes) -> bytes:
-    """Return the key of the tags, derived from the content of the fleet's key file.
+    """Return the key of the tags, derived from the secret in the fleet's key file.
 
-    Raises ShortKeyError where the secret has under 16 bytes.
+    Raises ShortKeyError if the secret is shorter than 16 bytes.
     """
     if len(secret) < MIN_SECRET_BYTES:
         raise ShortKeyError(
@@ -74,25 +81,26 @@
 
 
 class ReplayState(NamedTuple):
-    """Which counters of one sender's life were received."""
+    """Counters received from one life of a sender."""
 
-    newest: int
-    bitmap: int  # bit n: the counter n below the newest was received
+    newest: int  # Greatest counter received
+    bitmap: int  # Bit n is set if the counter n below ``newest`` was received
 
 
 class Codec:
-    """One member's end: its own counter, and the counters of those it receives from."""
+    """Encoder and decoder of one member: its own counter, and the replay states of all senders."""
 
     def __init__(self, key: bytes, fleet: str, name: str, life: int) -> None:
         self.key = key
         self.fleet = fleet
         self.name = name
         self.life = life
-        self.counter = 0
-        self.received: OrderedDict[tuple[str, int], ReplayState] = OrderedDict()  # by sender and its life
+        self.counter = 0  # Of the last datagram encoded
+        # Replay states by sender's name and life, least recently received from first.
+        self.received: OrderedDict[tuple[str, int], ReplayState] = OrderedDict()
 
     def encode(self, message: Message) -> bytes:
-        """Return one datagram. Updates that find no room are left out, the last first."""
+        """Return the message as one datagram; updates that do not fit are left out, the last ones first."""
         self.counter += 1
         updates = list(message.updates)
         while True:
@@ -118,10 +126,10 @@
         return blake3(body, key=self.key).digest(TAG_BYTES)
 
     def decode(self, data: bytes) -> tuple[str, Message]:
-        """Return the sender's name and its message. Raises DroppedError with the reason."""
+        """Return the sender's name and its message. Raises DroppedError, with the reason, if invalid."""
         fields = self._authenticated(data)
         try:
-            version, fleet, name, life, counter, kind, own, updates = fields[:8]
+            version, fleet, name, life, counter, kind, own_fields, updates = fields[:8]
         except (ValueError, TypeError):
             raise DroppedError(DropReason.FORM) from None
         if version != VERSION:
@@ -129,9 +137,9 @@
         if fleet != self.fleet:
             raise DroppedError(DropReason.FLEET)
         try:
-            sender = _name(name)
-            message = _message(kind, own, updates)
-            position = _count(life), _count(counter)
+            sender = _checked_name(name)
+            message = _parse_message(kind, own_fields, updates)
+            position = _checked_count(life), _checked_count(counter)
         except (ValueError, TypeError, IndexError):
             raise DroppedError(DropReason.FORM) from None
         if not self._is_new(sender, *position):
@@ -139,7 +147,7 @@
         return sender, message
 
     def _authenticated(self, data: bytes) -> Any:
-        """Return the unpacked body of a datagram whose size and tag are right."""
+        """Return the unpacked body after checking the size and the tag of the datagram."""
         if not TAG_BYTES < len(data) <= MAX_DATAGRAM_BYTES:
             raise DroppedError(DropReason.SIZE)
         body, tag = data[:-TAG_BYTES], data[-TAG_BYTES:]
@@ -151,7 +159,7 @@
             raise DroppedError(DropReason.FORM) from None
 
     def _is_new(self, name: str, life: int, counter: int) -> bool:
-        """Return whether the counter was not received before, and record it."""
+        """Record the counter; return whether it is new and not below the replay window."""
         newest, bitmap = self.received.pop((name, life), ReplayState(0, 0))
         if counter > newest:
             shift = counter - newest
@@ -185,49 +193,59 @@
     return [*fields, update.hall] if update.hall else fields
 
 
-def _count(value: Any) -> int:
+def _checked_count(value: Any) -> int:
     if type(value) is not int or not 0 <= value < 1 << 63:
         raise DroppedError(DropReason.FORM)
     return value
 
 
-def _parts_left(value: Any) -> int:
-    if _count(value) >= MAX_PARTS:
+def _checked_parts_left(value: Any) -> int:
+    if _checked_count(value) >= MAX_PARTS:
         raise DroppedError(DropReason.FORM)
     return int(value)
 
 
-def _digests(own: list[Any]) -> bytes:
-    """Return the digests; none of an earlier version, or of a part that is not the first."""
-    value = own[1] if len(own) > 1 else b""
+def _checked_digests(own_fields: list[Any]) -> bytes:
+    """Return the digests of a first part; empty for other parts and for senders of an earlier version."""
+    value = own_fields[1] if len(own_fields) > 1 else b""
     if not isinstance(value, bytes) or len(value) not in (0, BUCKETS * DIGEST_BYTES):
         raise DroppedError(DropReason.FORM)
     return value
 
 
-def _name(value: Any, min_bytes: int = 1) -> str:
+def _checked_name(value: Any, min_bytes: int = 1) -> str:
     if not isinstance(value, str) or not min_bytes <= len(value.encode()) <= MAX_NAME_BYTES:
         raise DroppedError(DropReason.FORM)
     return value
 
 
-def _update(fields: Any) -> Update:
-    name, address = _name(fields[0]), _name(fields[1])
-    status = Status(_count(fields[2]), _count(fields[3]), MemberState(_count(fields[4])))
-    return Update(name, address, status, _name(fields[5], 0), _name(fields[6], 0) if len(fields) > 6 else "")
+def _parse_update(fields: Any) -> Update:
+    name, address = _checked_name(fields[0]), _checked_name(fields[1])
+    status = Status(
+        _checked_count(fields[2]), _checked_count(fields[3]), MemberState(_checked_count(fields[4]))
+    )
+    return Update(
+        name,
+        address,
+        status,
+        _checked_name(fields[5], 0),
+        _checked_name(fields[6], 0) if len(fields) > 6 else "",
+    )
 
 
-def _message(kind: Any, own: Any, listed: Any) -> Message:
-    if not isinstance(listed, list) or len(listed) > MAX_UPDATES:
+def _parse_message(kind: Any, own_fields: Any, update_lists: Any) -> Message:
+    if not isinstance(update_lists, list) or len(update_lists) > MAX_UPDATES:
         raise DroppedError(DropReason.FORM)
-    updates = tuple(_update(fields) for fields in listed)
-    message_type = MESSAGE_TYPES[_count(kind)]
+    updates = tuple(_parse_update(fields) for fields in update_lists)
+    message_type = MESSAGE_TYPES[_checked_count(kind)]
     if message_type is Ping:
-        return Ping(_count(own[0]), _name(own[1], 0), updates)
+        return Ping(_checked_count(own_fields[0]), _checked_name(own_fields[1], 0), updates)
     if message_type is PingRequest:
-        return PingRequest(_count(own[0]), _name(own[1]), _name(own[2]), updates)
+        return PingRequest(
+            _checked_count(own_fields[0]), _checked_name(own_fields[1]), _checked_name(own_fields[2]), updates
+        )
     if message_type is Ack:
-        return Ack(_count(own[0]), _name(own[1], 0), updates)
+        return Ack(_checked_count(own_fields[0]), _checked_name(own_fields[1], 0), updates)
     if message_type is PingRequestAck:
-        return PingRequestAck(_count(own[0]), updates)
-    return FullState(_parts_left(own[0]), updates, _digests(own))
+        return PingRequestAck(_checked_count(own_fields[0]), updates)
+    return FullState(_checked_parts_left(own_fields[0]), updates, _checked_digests(own_fields))
--- a/beechrock/members/detector.py
+++ b/beechrock/members/detector.py
@@ -1,17 +1,18 @@
 """Failure detection by SWIM with local health (Lifeguard); pure.
 
-``tick`` and ``receive`` return what to send and what changed. States of another member: ALIVE, SUSPECT, DEAD,
-LEFT, in this order; a status is (life, incarnation, state). Events: a tick with the time, a message with its
-sender. Times are seconds of a clock that does not go back.
-
-Invariants, whatever is lost, doubled, delayed or reordered:
-- what is known of a member only ever grows by (life, incarnation, state), until the dead are forgotten;
-- only a process itself raises its incarnation, and only a greater life replaces a process;
-- the own status is ALIVE, or LEFT once it has left, at a life that never changes;
-- a message carries at most ``MAX_UPDATES`` updates; at most one probe is open;
-- a member that was declared dead refutes only after ``REFUTE_ANSWERS`` of its last ``REFUTE_PROBES`` probes
-  were answered by the probed member itself, and answers that served one return do not serve the next: a
-  member that most cannot reach is out for all, and does not come and go with what few pass on for it.
+``tick`` and ``receive`` return actions: messages to send and changes to report. States of another member:
+ALIVE, SUSPECT, DEAD, LEFT, in this order; a status is (life, incarnation, state). Events: a tick with the
+time, a message with its sender. Times are seconds of a monotonic clock.
+
+Invariants, even if messages are lost, duplicated, delayed or reordered:
+- the known status of a member never decreases in the order (life, incarnation, state) until the member is
+  forgotten;
+- only a process itself raises its incarnation, and only a process with a greater life replaces it;
+- a member's own status is ALIVE, or LEFT once it has left; its life never changes;
+- a message carries at most ``MAX_UPDATES`` updates; at most one regular probe is open;
+- a member that was declared dead refutes this only after ``REFUTE_ANSWERS`` of its last ``REFUTE_PROBES``
+  probes were answered by the probed member itself, and answers used for one refutation do not count for the
+  next. So a member that most others cannot reach stays dead to all, and does not flap on what a few relay.
 """
 
 from collections.abc import Iterable
@@ -33,35 +34,38 @@
 from beechrock.members.state_sync import SOON_ROUNDS, StateSync
 from beechrock.members.view import HELPERS, MAX_LOCAL_HEALTH
 
-ISOLATED_PROBES = 3  # in a row without a message from anybody, after which a member counts as isolated
-MAX_TICK_DELAY = 0.5  # of a period; a tick that comes later counts as a pause of this process
-DEAD_PROBE_ROUNDS = 5  # every so many rounds one of the dead, and the seeds, are probed as well
-SYNC_ROUNDS = 30  # from one exchange of full states to the next
+ISOLATED_PROBES = 3  # Consecutive probes without any message received, after which a member is isolated
+MAX_TICK_GAP_PERIODS = 0.5  # A longer time between two ticks, in periods, counts as a pause of this process
+DEAD_PROBE_ROUNDS = 5  # Rounds from one probe of a dead member, and of the seeds, to the next
+SYNC_ROUNDS = 30  # Rounds from one exchange of full states to the next
 
 
 @dataclass(slots=True)
 class Probe:
-    """The probe of this period: direct first, then through helpers."""
+    """The open probe of this round: sent directly first, then through helpers."""
 
     number: int
     target: str
-    indirect_at_s: float  # when helpers are asked
-    helpers: int = 0  # asked
-    helper_acks: int = 0  # of the helpers, those that said that they have the request
-    indirect: bool = False
+    indirect_at_s: float  # Time at which helpers are asked, if no answer has come
+    helpers: int = 0  # Number of helpers asked
+    helper_acks: int = 0  # Number of helpers that acknowledged the request
+    indirect: bool = False  # Whether helpers have been asked
 
 
 @dataclass(frozen=True, slots=True)
 class RelayedProbe:
-    """A probe made for another member, which gets the answer under its own number."""
+    """A probe sent on behalf of another member; the answer is relayed under the requester's number."""
 
     requester_address: str
     requester_number: int
-    ends_at_s: float
+    ends_at_s: float  # Time after which an answer is no longer relayed
 
 
 class FailureDetector(StateSync):
-    """One member's view and probes. ``life``: greater for each new process of the name."""
+    """One member's view of the fleet, and its probes.
+
+    ``life`` is greater for each new process of the name.
+    """
 
     def __init__(
         self,
@@ -79,22 +83,22 @@
         self.timeout_s = timeout_s
         self.seeds = [seed for seed in seeds if seed != address]
         self.rounds = 0
-        self.syncs = 0
+        self.syncs = 0  # Number of exchanges of full states that this member scheduled and began
         self.sync_at_round = SOON_ROUNDS
         self.large_syncs_in_row = 0
-        self.silent_probes = 0  # in a row without a message from anybody
+        self.silent_probes = 0  # Consecutive probes without any message received
         self.next_probe_at_s = now_s
         self.probe: Probe | None = None
-        self.relayed: dict[int, RelayedProbe] = {}  # by the own number
-        self.probe_order: list[str] = []  # the rest of this pass over the living
+        self.relayed: dict[int, RelayedProbe] = {}  # By the number of this member's own probe
+        self.probe_order: list[str] = []  # Members still to be probed in this pass, the next one last
 
     # --- events
 
     def tick(self, now_s: float) -> list[Action]:
-        """Advance the time; to be called at least ten times a period."""
+        """Advance the time; must be called at least ten times per period."""
         if self.displaced:
             return []
-        delay_s = now_s - self.last_tick_s - MAX_TICK_DELAY * self.period_s
+        delay_s = now_s - self.last_tick_s - MAX_TICK_GAP_PERIODS * self.period_s
         if delay_s > 0 and self.last_tick_s < now_s:
             self._on_pause(now_s - self.last_tick_s)
         self.last_tick_s = now_s
@@ -111,13 +115,14 @@
         return self._take_actions()
 
     def receive(self, sender: str, address: str, message: Message, now_s: float) -> list[Action]:
-        """Take in a message from ``sender`` at ``address``; the codec has proved that it is the sender's."""
+        """Process a message received from ``address``; the codec has authenticated its ``sender``."""
         if self.displaced or sender == self.name:
             return []
         self.silent_probes = 0
-        # Joined, or a seed answered that stood on the other side of a long split: all is learnt at once.
-        met_anew = isinstance(message, Ack) and sender not in self.known
-        if met_anew or (not self.known and not isinstance(message, FullState)):
+        # This member has just joined, or a member unknown to it answered, such as a seed after a long
+        # partition. An exchange of full states brings everything at once.
+        unknown_answered = isinstance(message, Ack) and sender not in self.known
+        if unknown_answered or (not self.known and not isinstance(message, FullState)):
             self._actions.append(StartSync(address))
         for update in message.updates:
             self._apply_received(sender, message, update, now_s)
@@ -134,23 +139,24 @@
         return self._take_actions()
 
     def join(self) -> list[Action]:
-        """Probe the seeds, all of which may be down; repeated by ``tick`` as long as nobody is known."""
+        """Probe the seeds, all of which may be down; ``tick`` repeats this until a member is found alive."""
         self._probe_seeds()
         return self._take_actions()
 
     @property
     def isolated(self) -> bool:
-        """Whether no message comes from anybody: the view stands still, and proves nothing of the others."""
+        """Whether this member receives no messages; its view is then stale and proves nothing."""
         return self.silent_probes >= ISOLATED_PROBES
 
     # --- messages
 
     def _apply_received(self, sender: str, message: Message, update: Update, now_s: float) -> None:
         full_state = isinstance(message, FullState)
-        # Whoever forgets the dead first would learn of them again from the others, and so without end.
+        # Members forget the dead at different times. Without this check, one that forgot them first would
+        # learn of them again from a full state, and so on without end.
         if full_state and update.status.state >= MemberState.DEAD and update.name not in self.known:
             return
-        self._apply(update, now_s, f"told by {sender}", gossip=not full_state)
+        self._apply(update, now_s, f"reported by {sender}", gossip=not full_state)
 
     def _respond(self, sender: str, address: str, message: Message, now_s: float) -> None:
         match message:
@@ -181,11 +187,12 @@
 
     def _start_round(self, now_s: float) -> None:
         self.rounds += 1
-        # Who has to show that it reaches others accuses nobody, so it need not be slow. Seen: cut from all,
-        # it was back after 13 to 27 s, as its local health was the worst.
+        # A member with an accusation to refute accuses nobody, so its local health need not slow its probes.
+        # Slowed down, a member that had been cut off from all needed 13 to 27 s to return.
         slowdown = self.local_health if self.accusation is None else 0
         self.next_probe_at_s = now_s + self.period_s * (1 + slowdown)
-        # Seen: two halves apart for longer than the dead are kept had forgotten each other, and never met.
+        # Halves of a fleet that are split for longer than the dead are kept forget each other; only probes of
+        # the seeds bring them together again.
         if not self.living or self.rounds % DEAD_PROBE_ROUNDS == 0:
             self._probe_seeds()
         if self.rounds >= self.sync_at_round:
@@ -196,17 +203,18 @@
     def _start_sync(self) -> None:
         self.sync_at_round = self.rounds + SYNC_ROUNDS
         self.syncs += 1
-        # The dead too, one time in two: after a split it is they who know the rest.
+        # Every second exchange is with a dead member: after a partition it knows the other side.
         with_dead = self.dead and self.syncs % 2 == 0
         for name in (self.dead if with_dead else self.living).sample(self.random, 1):
             self._actions.append(StartSync(self.known[name].update.address))
 
     def _probe_dead(self, now_s: float) -> None:
-        """Probe one of the dead every few rounds, and several while the fleet heals.
+        """Probe one dead member every few rounds, and several per round while the fleet heals.
 
-        After a split nobody else brings the two sides together. Once one of the dead is back, more may be.
-        Seen in the benchmark: 40 members took 18 s to heal, 7 s now. To gossip their deaths took 23 to 33 s,
-        as the other side then heard, of its own, what was said here.
+        After a partition these probes bring the two sides together, and when one dead member is back, others
+        may be back too. In the benchmark 40 members heal in 7 s, and took 18 s with one probe at a
+        time. Gossiping the deaths instead took 23 to 33 s, because the other side then received this side's
+        claims about its own members.
         """
         healing = now_s < self.healing_until_s
         if healing or self.rounds % DEAD_PROBE_ROUNDS == 0:
@@ -215,7 +223,7 @@
                 self._send(update.address, Ping(self._next_number(), updates=(update,)))
 
     def _probe_next(self, now_s: float) -> None:
-        """Probe the next living member, in an order that visits each once before any again."""
+        """Probe the next living member; all are probed once, in random order, before any is probed again."""
         while self.probe_order and self.probe_order[-1] not in self.living:
             self.probe_order.pop()
         if not self.probe_order:
@@ -227,19 +235,19 @@
         indirect_at_s = now_s + self.timeout_s * (1 + self.local_health)
         self.probe = Probe(self._next_number(), target, indirect_at_s)
         update = self.known[target].update
-        # A suspect hears of its suspicion in the probe itself, so that it can refute at once.
+        # The probe of a suspect carries the suspicion, so that the suspect can refute it at once.
         suspicion = (update,) if update.status.state is MemberState.SUSPECT else ()
         self._send(update.address, Ping(self.probe.number, updates=suspicion))
 
     def _probe_seeds(self) -> None:
-        """Probe the seeds that are not known to live."""
+        """Probe each seed whose address is not that of a member known to live."""
         living = {self.known[name].update.address for name in self.living}
         for address in self.seeds:
             if address not in living:
                 self._send(address, Ping(self._next_number()))
 
     def _start_indirect_probe(self, now_s: float) -> None:
-        """Ask helpers to probe the target, once, where it has not answered in time."""
+        """Ask helpers to probe the target, once, if it has not answered in time."""
         probe = self.probe
         if probe is None or probe.indirect or now_s < probe.indirect_at_s or probe.target not in self.known:
             return
@@ -251,16 +259,16 @@
             self._send(self.known[name].update.address, request)
 
     def _end_probe(self, now_s: float) -> None:
-        """Judge the target that has not answered by the end of the period."""
+        """Close the open probe; suspect its target unless all helpers stayed silent."""
         probe, self.probe = self.probe, None
         if probe is None or probe.target not in self.known:
             return
-        # Helpers that stay silent too show that the fault may be this member's own.
+        # Each silent helper is a sign that the fault may be this member's own.
         silent_helpers = probe.helpers - probe.helper_acks if probe.helpers else 1
         self.local_health = min(MAX_LOCAL_HEALTH, self.local_health + silent_helpers)
         if probe.helpers and not probe.helper_acks:
-            self.silent_probes += 1  # the fault is rather this member's own link: it accuses nobody
-            if not self.isolated:  # isolated, it learns nothing of whom it could reach
+            self.silent_probes += 1  # Probably this member's own link fails, so it accuses nobody
+            if not self.isolated:  # An isolated member learns nothing about whom it can reach
                 self._record_answer(direct=False)
             return
         self._record_answer(direct=False)
@@ -294,9 +302,9 @@
     def _on_pause(self, gap_s: float) -> None:
         """Drop the open probe and postpone all deadlines by the pause.
 
-        This process lost time, not the others: what came due meanwhile proves nothing. The next probe is sent
-        at once. To put it off by the pause too changed no step of twelve random histories with pauses to 8 s,
-        as it is due by then either way.
+        Only this process was paused: deadlines that passed meanwhile prove nothing about the others. The next
+        probe is sent at once. Postponing it by the pause as well changed no step of twelve random histories
+        with pauses of up to 8 s, as the probe is due by then either way.
         """
         self.probe = None
         self.local_health = min(MAX_LOCAL_HEALTH, self.local_health + 1)
--- a/beechrock/members/halls.py
+++ b/beechrock/members/halls.py
@@ -1,13 +1,13 @@
-"""Which halls are present and which are lost, judged by the members in them; pure.
+"""States of the halls, derived from the states of the members in them; pure.
 
-States of a hall: WHOLE (all members alive), PART (some are), DOUBTED (none for sure, some are suspected
-only), LOST (all are dead). Events: the state of a member of it changed, or the member was forgotten. Members
-that left do not count.
+States of a hall: WHOLE (all members are alive), PART (some are), DOUBTED (none is known to be alive, but some
+are only suspected), LOST (all are dead). Events: a member's state changed, or the member was forgotten.
+Members that left do not count.
 
 Invariants:
-- a hall in which one member is alive is not LOST, and a LOST one stays so until one is alive again, even if
-  its dead are forgotten meanwhile;
-- the counts of a hall are those of the members known in it; at most ``MAX_HALLS`` halls are remembered.
+- a hall with a member that is alive is not LOST; a LOST hall stays LOST until one of its members is alive
+  again, even if its dead members are forgotten meanwhile;
+- the counts of a hall are those of the members known in it; at most ``MAX_HALLS`` halls are tracked.
 """
 
 import random
@@ -18,7 +18,7 @@
 from beechrock.members.messages import HallChanged, MemberState
 from beechrock.members.name_pool import NamePool
 
-MAX_HALLS = 64  # members of any further hall count as of no hall
+MAX_HALLS = 64  # Maximum number of halls tracked; members of further ones count as without a hall
 
 
 class HallState(Enum):
@@ -32,17 +32,19 @@
 
 @dataclass(slots=True)
 class HallStatus:
-    """The counts of one hall's members by state."""
+    """Number of one hall's members in each state."""
 
     alive: int = 0
     suspect: int = 0
     dead: int = 0
-    lost: bool = False
-    living: NamePool = field(default_factory=NamePool)  # alive and suspect, to draw helpers from
+    lost: bool = False  # Whether all members died and none is alive again
+    living: NamePool = field(
+        default_factory=NamePool
+    )  # Alive or suspected members, from which helpers are drawn
 
     @property
     def state(self) -> HallState:
-        """The hall's state, by its counts and by whether it was lost."""
+        """The hall's state, derived from ``lost`` and the counts."""
         if self.lost:
             return HallState.LOST
         if not self.alive:
@@ -51,33 +53,33 @@
 
 
 class CountedAs(NamedTuple):
-    """Where a member is counted now."""
+    """Hall and state in which a member is currently counted."""
 
     hall: str
     state: MemberState
 
 
 class HallTable:
-    """All halls, by the members known in them; this node's own member counts as alive in its hall."""
+    """Table of all halls and their members; this node itself counts as alive in its own hall."""
 
     def __init__(self, own_hall: str) -> None:
         self.own_hall = own_hall
         self.halls: dict[str, HallStatus] = {}
         if own_hall:
             self.halls[own_hall] = HallStatus(alive=1)
-        self.counted: dict[str, CountedAs] = {}  # by member
+        self.counted: dict[str, CountedAs] = {}  # By member's name
 
     def update(self, name: str, hall: str, state: MemberState | None) -> HallChanged | None:
-        """Count the member in this hall and state (None: forgotten); return what changed for the hall."""
+        """Count the member in this hall and state (None if forgotten); return the hall's loss or return."""
         previous = self.counted.pop(name, None)
         if previous is not None:
             self._count(name, previous, -1)
         if state is not None and hall and (hall in self.halls or len(self.halls) < MAX_HALLS):
             self.counted[name] = CountedAs(hall, state)
             self._count(name, self.counted[name], 1)
-        changed = self._judge(hall) if hall in self.halls else None
+        changed = self._update_lost(hall) if hall in self.halls else None
         if previous is not None and previous.hall != hall:
-            self._judge(previous.hall)
+            self._update_lost(previous.hall)
         return changed
 
     def _count(self, name: str, counted: CountedAs, change: int) -> None:
@@ -91,8 +93,8 @@
                 status.dead += change
         status.living.set_member(name, change > 0 and counted.state < MemberState.DEAD)
 
-    def _judge(self, hall: str) -> HallChanged | None:
-        """Set whether the hall is lost, and forget it once nobody is counted in it."""
+    def _update_lost(self, hall: str) -> HallChanged | None:
+        """Update whether the hall is lost; remove it once no member is counted in it, unless it is lost."""
         status = self.halls[hall]
         if status.lost and status.alive:
             status.lost = False
@@ -101,7 +103,7 @@
             status.lost = True
             return HallChanged(hall, True, 0, status.dead)
         if not status.lost and not status.alive and not status.suspect and not status.dead:
-            del self.halls[hall]  # all left, or were forgotten one by one
+            del self.halls[hall]  # All members left or were forgotten one by one
         return None
 
     def choose_helpers(
@@ -111,10 +113,10 @@
         target: str,
         limit: int,
     ) -> list[str]:
-        """Return who is to probe ``target``: one of a third hall, one of its own hall, the rest from all.
+        """Return the helpers that are to probe ``target``: one in a third hall, one in its own, the rest any.
 
-        With the link between two of three halls cut, a probe across it whose helpers all stand in these two
-        gets no answer; where helpers are drawn from all, that is one probe in nine.
+        With the link between two of three halls cut, a probe across it gets no answer if all its helpers are
+        in these two halls. That would be one probe in nine if helpers were drawn from all members.
         """
         target_hall = self.counted[target].hall if target in self.counted else ""
         third_halls = [
--- a/beechrock/members/known.py
+++ b/beechrock/members/known.py
@@ -1,8 +1,9 @@
-"""What is known of one other member, and the two queues over all of them: gossip and deadlines; pure.
+"""Records of the other members, and the two queues over them: gossip and deadlines; pure.
 
-Both queues are heaps in which an entry that was replaced is not removed but passed over, so that no step
-takes longer in a larger fleet. Seen before them: of 1,000 members each step went through all, and a simulated
-second took minutes; in a split of 300 each message went through 157 updates, over a third of all time.
+Both queues are heaps. A replaced entry is not removed, but skipped when it comes up, so that the cost of a
+step hardly grows with the fleet. Scans were too slow: with 1,000 members each step visited all of them, and a
+simulated second took minutes; in a partition of 300 members each message scanned 157 updates, which was over
+a third of the running time.
 """
 
 import heapq
@@ -15,42 +16,42 @@
 
 
 class BucketDigest(NamedTuple):
-    """A member's share of the digests of a view: its bucket, and what it adds there by exclusive or."""
+    """A member's bucket in the digests of a view, and the digest that it adds there by exclusive or."""
 
     bucket: int
     digest: int
 
 
 class PendingGossip(NamedTuple):
-    """An update that is still to be passed on; ordered by most times left, then by turn."""
+    """Entry of the gossip queue: an update to pass on; sorted by most times left, then by turn."""
 
     negated_times_left: int
-    turn: int
+    turn: int  # Grows with each update added to the queue
     member: "KnownMember"
 
 
 @dataclass(slots=True)
 class KnownMember:
-    """What this member knows of another one. Times are seconds of the detector's clock."""
+    """Record of another member. Times are seconds of the detector's clock."""
 
     update: Update
-    since_s: float
-    accusers: set[str] = field(default_factory=set)
-    ends_at_s: float = math.inf  # end of its suspicion, or when it is forgotten
-    digest: BucketDigest | None = None  # computed when first asked for
-    checked_at_s: float = math.inf  # when its deadline entry comes up next, never after ``ends_at_s``
-    pending_gossip: PendingGossip | None = None  # the valid entry of the gossip queue
+    since_s: float  # Time at which the status was first received
+    accusers: set[str] = field(default_factory=set)  # Of its suspicion: members that got no answer
+    ends_at_s: float = math.inf  # Deadline: the end of its suspicion, or the time at which it is forgotten
+    digest: BucketDigest | None = None  # Computed on first use
+    next_check_at_s: float = math.inf  # Time of its valid deadline entry, never after ``ends_at_s``
+    pending_gossip: PendingGossip | None = None  # Its valid entry in the gossip queue
 
 
 class GossipQueue:
-    """The updates that are still to be passed on, those passed on least often first."""
+    """Queue of the updates that are still to be passed on, those with the most times left first."""
 
     def __init__(self) -> None:
         self.heap: list[PendingGossip] = []
         self._turns = 0
 
     def add(self, member: KnownMember, times: int, known_count: int) -> None:
-        """Pass the member's update on ``times`` times from now on; one that waits already keeps its turn."""
+        """Queue the member's update to be passed on ``times`` times; one already queued keeps its turn."""
         self._turns += 1
         turn = member.pending_gossip.turn if member.pending_gossip is not None else self._turns
         member.pending_gossip = PendingGossip(-times, turn, member)
@@ -60,7 +61,7 @@
             heapq.heapify(self.heap)
 
     def fill(self, updates: list[Update], limit: int) -> None:
-        """Append the next updates until there are ``limit``; none is of a member that is there already."""
+        """Append queued updates until there are ``limit``; skip members that are in the list already."""
         present = {update.name for update in updates}
         requeued: list[PendingGossip] = []
         while self.heap and len(updates) < limit:
@@ -81,23 +82,23 @@
 
 
 class Deadline(NamedTuple):
-    """When a member is to be checked."""
+    """Entry of the deadline queue: the time at which a member's deadline is checked."""
 
     at_s: float
     name: str
 
 
 class DeadlineQueue:
-    """The ends of suspicions, and of the time for which the dead and those that left are kept."""
+    """Queue of the times at which suspicions end, and dead members and those that left are forgotten."""
 
     def __init__(self) -> None:
         self._heap: list[Deadline] = []
 
     def set(self, member: KnownMember, ends_at_s: float) -> None:
-        """Set the member's deadline in place of the one before."""
+        """Set the member's deadline, replacing the previous one."""
         member.ends_at_s = ends_at_s
-        if ends_at_s < member.checked_at_s:
-            member.checked_at_s = ends_at_s
+        if ends_at_s < member.next_check_at_s:
+            member.next_check_at_s = ends_at_s
             heapq.heappush(self._heap, Deadline(ends_at_s, member.update.name))
 
     def expired(self, now_s: float, known: Mapping[str, KnownMember]) -> list[str]:
@@ -106,11 +107,11 @@
         while self._heap and self._heap[0].at_s <= now_s:
             deadline = heapq.heappop(self._heap)
             member = known.get(deadline.name)
-            if member is None or member.checked_at_s != deadline.at_s:
+            if member is None or member.next_check_at_s != deadline.at_s:
                 continue
-            member.checked_at_s = math.inf
+            member.next_check_at_s = math.inf
             if member.ends_at_s <= now_s:
                 expired.append(deadline.name)
             else:
-                self.set(member, member.ends_at_s)  # it was put off meanwhile
+                self.set(member, member.ends_at_s)  # The deadline was postponed meanwhile
         return expired
--- a/beechrock/members/messages.py
+++ b/beechrock/members/messages.py
@@ -1,19 +1,19 @@
-"""Data of the membership: statuses, updates, messages, and the actions of the failure detector.
+"""Data types of the membership: statuses, updates, messages, and the actions of the failure detector.
 
-The lists that ``codec`` writes follow the order of the fields here, not their names.
+``codec`` encodes fields by their position here, not by their names.
 """
 
 from dataclasses import dataclass
 from enum import IntEnum
 
-MAX_UPDATES = 8  # a message: with names of 64 bytes they fit a datagram of 1,200 bytes
-BUCKETS = 64  # of names, in a sync: of 1,000 members one change makes some 16 updates be sent
-DIGEST_BYTES = 8  # of one bucket
-MAX_PARTS = 128  # of a full state: 150 KB at most, and inside the codec's replay window
+MAX_UPDATES = 8  # Maximum updates per message; with names of 64 bytes they fit a datagram of 1,200 bytes
+BUCKETS = 64  # Number of buckets of names; among 1,000 members one change makes about 16 updates be sent
+DIGEST_BYTES = 8  # Size of one bucket's digest
+MAX_PARTS = 128  # Maximum parts of a full state: 150 KB in all, and fewer than the codec's replay window
 
 
 class MemberState(IntEnum):
-    """States of a member; in statuses of equal life and incarnation the later one wins."""
+    """States of a member; of two statuses with equal life and incarnation, the greater state wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Status:
-    """The status of a member. Of two, the greater one wins.
+    """Status of a member; the greater of two statuses wins.
 
     ``life`` is greater for each new process of a name; ``incarnation`` is raised by the process itself, to
     refute a suspicion or its death.
@@ -38,9 +38,9 @@
 class Update:
     """A member's status as it is gossiped.
 
-    ``accuser``: of a suspicion, the member that got no answer; one that only passes it on confirms nothing.
-    ``hall``: where the member stands; empty where it has not said so, or where a member of an earlier
-    version passed the update on.
+    ``accuser`` is, in a suspicion, the member that got no answer; members that pass the suspicion on do not
+    confirm it. ``hall`` is the member's hall; empty if the member has none configured, or if a member of an
+    earlier version passed the update on.
     """
 
     name: str
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ping:
-    """A probe. ``indirect_target``: of a probe on another member's behalf, whom it probes; else empty."""
+    """A probe. ``indirect_target`` names its target if it is sent for another member, else is empty."""
 
     number: int
     indirect_target: str = ""
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PingRequest:
-    """Asks a helper to probe ``target`` at ``address``; answered at once by ``PingRequestAck``."""
+    """Request to a helper to probe ``target`` at ``address``; acknowledged at once by ``PingRequestAck``."""
 
     number: int
     target: str
@@ -71,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ack:
-    """The answer to a probe. ``indirect_target``: of one that a helper passes on, who answered."""
+    """The answer to a probe. ``indirect_target`` names who answered if a helper probed, else is empty."""
 
     number: int
     indirect_target: str = ""
@@ -80,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PingRequestAck:
-    """A helper is alive, so that silence of the probed member is not the fault of the prober's own link."""
+    """Acknowledgement of a ``PingRequest``; it shows the prober that its own link to the helper works."""
 
     number: int
     updates: tuple[Update, ...] = ()
@@ -88,9 +88,10 @@
 
 @dataclass(frozen=True, slots=True)
 class FullState:
-    """A part of all that a member knows; ``parts_left`` come after it. Sent over connections only.
+    """One part of a member's full state; ``parts_left`` more follow. Sent over connections only.
 
-    ``digests``: of the sender's whole view, one for each bucket of names; empty in all parts but a first one.
+    ``digests`` holds the digests of the sender's whole view, one per bucket of names, in the first part of an
+    opening or an answer; else it is empty.
     """
 
     parts_left: int
@@ -111,7 +112,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StatusChanged:
-    """The status of a member, which may be this one, has changed; ``reason`` is for people."""
+    """The status of a member, which may be this one, has changed; ``reason`` is a text for operators."""
 
     update: Update
     previous: MemberState | None
@@ -120,7 +121,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HallChanged:
-    """No member of a hall is alive any more (``lost``), or one is again."""
+    """A hall has no living member any more (``lost``), or one of its members is alive again."""
 
     hall: str
     lost: bool
--- a/beechrock/members/name_pool.py
+++ b/beechrock/members/name_pool.py
@@ -1,4 +1,4 @@
-"""A set of names that can be sampled at a cost that does not grow with it; pure."""
+"""A set of names whose sampling cost does not grow with its size; pure."""
 
 import random
 from collections.abc import Iterator
@@ -21,7 +21,7 @@
         return iter(self.names)
 
     def set_member(self, name: str, member: bool) -> None:
-        """Add the name, or remove it; does nothing where it is so already."""
+        """Add the name if ``member`` is true, else remove it; do nothing if that is already the case."""
         if member and name not in self.positions:
             self.positions[name] = len(self.names)
             self.names.append(name)
--- a/beechrock/members/settings.py
+++ b/beechrock/members/settings.py
@@ -16,20 +16,20 @@
 
 @dataclass(frozen=True, slots=True)
 class MembersSettings:
-    """This node as a member, where the operator's file turns the membership on."""
+    """Settings of this node's membership, if the operator's file enables it."""
 
-    listen: Address  # of datagrams and connections
+    listen: Address  # Host and port for datagrams and connections
     fleet: str
-    key: bytes = field(repr=False)  # derived from the fleet's key file
-    seeds: tuple[str, ...] = ()  # HOST:PORT of some others; all may be down at the start
-    period_s: float = DEFAULT_PERIOD_S  # from one probe to the next
-    state: Path | None = None  # folder of the life number
-    advertise: str = ""  # HOST:PORT where the others reach this node, if not where it listens
-    hall: str = ""  # where it stands; empty: not given
+    key: bytes = field(repr=False)  # Derived from the fleet's key file
+    seeds: tuple[str, ...] = ()  # HOST:PORT of some members to join through; all may be down at the start
+    period_s: float = DEFAULT_PERIOD_S  # Seconds from one probe to the next
+    state: Path | None = None  # Folder of the file with the life number; None: not kept on disk
+    advertise: str = ""  # HOST:PORT at which other members reach this node, if it is not ``listen``
+    hall: str = ""  # Hall of this node; empty if not configured
 
 
 def read(table: Mapping[str, Any], where: str, root: Path) -> MembersSettings:
-    """Return the checked table; relative paths are taken from ``root``.
+    """Return the checked settings from the table; relative paths are resolved from ``root``.
 
     Raises ConfigError, which names file, table (both in ``where``) and key.
     """
--- a/beechrock/members/told.py
+++ b/beechrock/members/told.py
@@ -1,4 +1,4 @@
-"""The former name of ``settings``, for ``program``, which is not converted yet (docs/glossary.md)."""
+"""The former name of the module ``settings`` and of its class (docs/glossary.md)."""
 
 from beechrock.members.settings import MembersSettings as Members
 
