--- a/beechrock/members/detector.py
+++ b/beechrock/members/detector.py
@@ -31,7 +31,7 @@
     Status,
     Update,
 )
-from beechrock.members.state_sync import SOON_ROUNDS, StateSync
+from beechrock.members.state_sync import EARLY_SYNC_ROUNDS, StateSync
 from beechrock.members.view import HELPERS, MAX_LOCAL_HEALTH
 
 ISOLATED_PROBES = 3  # Consecutive probes without any message received, after which a member is isolated
@@ -84,7 +84,7 @@
         self.seeds = [seed for seed in seeds if seed != address]
         self.rounds = 0
         self.syncs = 0  # Number of exchanges of full states that this member scheduled and began
-        self.sync_at_round = SOON_ROUNDS
+        self.sync_at_round = EARLY_SYNC_ROUNDS
         self.large_syncs_in_row = 0
         self.silent_probes = 0  # Consecutive probes without any message received
         self.next_probe_at_s = now_s
--- a/beechrock/members/state_sync.py
+++ b/beechrock/members/state_sync.py
@@ -1,11 +1,12 @@
-"""Exchange of full states between two members (anti-entropy); only digests are sent of views that are equal.
+"""Exchange of full states between two members (anti-entropy); members with equal views send only digests.
 
-The flow of one exchange: the caller's ``opening`` has a digest for each bucket of names. The called member's
-``answer`` has its own digests, and all that it knows in the buckets that differ; the caller's ``remainder``
-is what it knows there. A caller of an earlier version opens with all that it knows, and is answered so.
+The flow of one exchange: the caller's ``opening`` holds a digest for each bucket of names. The called
+member's ``answer`` holds its own digests and its updates of the members in the buckets that differ; the
+caller's ``remainder`` holds the caller's updates of those. A caller of an earlier version opens with its full
+state, and is answered with the full state.
 
-Invariants: at most ``MAX_PARTS`` parts are sent in each direction; a member begins at most one exchange a
-round, and of those in a row in which much differed only the first ``MAX_FAST_SYNCS`` so soon.
+Invariants: at most ``MAX_PARTS`` parts are sent in each direction; a member schedules at most one exchange
+per round, and after ``MAX_FAST_SYNCS`` in a row with large differences only one per ``EARLY_SYNC_ROUNDS``.
 """
 
 import hashlib
@@ -23,9 +24,11 @@
 )
 from beechrock.members.view import MembershipView
 
-SOON_ROUNDS = 3  # to the first exchange after a start, and to the next where much goes on to differ
-MAX_FAST_SYNCS = 10  # of those in a row follow round by round: seven bring an update to 1,000 members
-MUCH_BUCKETS = 4  # differing buckets, or dead members: a death or two change fewer
+EARLY_SYNC_ROUNDS = 3  # Rounds to the first exchange after a start, and to one that is brought forward
+# Exchanges in a row with large differences that may follow each other round by round; seven rounds bring an
+# update to 1,000 members.
+MAX_FAST_SYNCS = 10
+LARGE_DIFFERENCE = 4  # Differing buckets, or dead members, that count as many; one or two deaths change fewer
 
 
 def bucket_of(name: str) -> int:
@@ -36,8 +39,8 @@
 def digest_of(update: Update) -> int:
     """Return the digest of a living member's name and status, the same in all processes.
 
-    0 for the others, which are not compared: each member forgets the dead at a time of its own, and views
-    would differ without end.
+    0 for members that are dead or left. They are not compared, as each member forgets them at a time of its
+    own: views would differ without end.
     """
     status = update.status
     if status.state >= MemberState.DEAD:
@@ -56,68 +59,71 @@
 
 
 class StateSync(MembershipView):
-    """What is sent over a connection. With whom to sync and when is decided in ``detector``."""
+    """Content of the exchanges of full states; ``detector`` decides with whom and when to exchange."""
 
-    rounds: int  # probe rounds since the start
-    sync_at_round: int  # the round of the next exchange
-    large_syncs_in_row: int  # exchanges in which much differed, since the last one in which little did
+    rounds: int  # Probe rounds since the start
+    sync_at_round: int  # Round of the next exchange
+    large_syncs_in_row: int  # Consecutive exchanges begun by this member that found large differences
 
     def full_state(self) -> list[FullState]:
-        """Return all that is known, the own status first.
+        """Return the updates of all known members in parts, this member's own update first.
 
-        Of more members than fit, as many as do, drawn anew each time.
+        If not all fit, a random sample of them is drawn on each call.
         """
         return self._parts(self.known)
 
     def opening(self) -> FullState:
-        """Return what the caller sends first."""
+        """Return the first part that the caller sends."""
         return FullState(0, (self.me,), self.digests())
 
     def answer(self, opening: FullState) -> tuple[list[FullState], bool]:
-        """Return what to send to the caller, and whether it will send a remainder."""
+        """Return the parts to send to the caller, and whether the caller will send a remainder."""
         if not opening.digests:
             return self.full_state(), False
         own = self.digests()
         buckets = differing_buckets(own, opening.digests)
-        if len(buckets) > MUCH_BUCKETS:
+        if len(buckets) > LARGE_DIFFERENCE:
             self._sync_soon()
         parts = self._parts(self._names_in(buckets)) if buckets else []
         return [FullState(len(parts), (self.me,), own), *parts], bool(buckets)
 
     def remainder(self, opening: FullState, answer: FullState) -> list[FullState]:
-        """Return what the called member lacks, by the first part of its answer; empty without differences."""
+        """Return the caller's parts for the differing buckets; ``answer`` is the first part received."""
         buckets = differing_buckets(opening.digests, answer.digests) if answer.digests else set()
-        if len(buckets) > MUCH_BUCKETS:
-            # Seen: of 100 members started at once some knew all only at the next exchange, after 32 s.
+        if len(buckets) > LARGE_DIFFERENCE:
+            # Without this, of 100 members started at once some knew all others only at the next regular
+            # exchange, after 32 s.
             self.large_syncs_in_row += 1
             self._sync_soon()
         elif self.large_syncs_in_row:
-            # Seen: of 300 and of 1,000 started at once one lacked a name, which all who knew it had by an
-            # exchange and gossiped no more; so did the one it had called, and nothing differed: 30 rounds.
-            self.sync_at_round = min(self.sync_at_round, self.rounds + SOON_ROUNDS)
+            # One more exchange soon. Of 300 and of 1,000 members started at once, one lacked a name for 30
+            # rounds: the others had the name from exchanges and did not gossip it, and the member that it
+            # called lacked it too, so that nothing differed.
+            self.sync_at_round = min(self.sync_at_round, self.rounds + EARLY_SYNC_ROUNDS)
             self.large_syncs_in_row = 0
         return self._parts(self._names_in(buckets)) if buckets else []
 
     def _on_return(self) -> None:
-        # Others may be back as well, and of many the updates come slowly, a few in each message.
-        if len(self.dead) >= MUCH_BUCKETS:
+        # Other dead members may be back as well, and gossip brings many updates slowly, a few per message.
+        if len(self.dead) >= LARGE_DIFFERENCE:
             self._sync_soon()
 
     def _sync_soon(self) -> None:
         """Bring the next exchange forward.
 
-        An exchange triples at most who knows an update: the caller, the one called, and who called it. Seen
-        as two halves met again: all had heard of their own death and refuted within 2 s, and the updates of
-        it took 10 s more among 300 and 15 among 1,000, as each step waited three rounds. Views that go on to
-        differ, in a fleet that comes and goes, are not worth a full state each round.
+        One round of exchanges at most triples the number of members that know an update: each passes it to
+        the member that it calls and to the one that calls it. When two halves of a fleet met again, all
+        members had refuted their deaths within 2 s, but the refutations took 10 s more to reach 300 members
+        and 15 s more to reach 1,000, as each step waited three rounds. If views keep differing, because
+        members come and go, a full state each round is not worth its cost.
         """
-        rounds = 1 if self.large_syncs_in_row < MAX_FAST_SYNCS else SOON_ROUNDS
+        rounds = 1 if self.large_syncs_in_row < MAX_FAST_SYNCS else EARLY_SYNC_ROUNDS
         self.sync_at_round = min(self.sync_at_round, self.rounds + rounds)
 
     def digests(self) -> bytes:
-        """Return the digests of all buckets; views with the same living statuses have the same.
+        """Return the digests of all buckets, which are equal for views with the same living statuses.
 
-        The digest of a bucket is the exclusive or of those of its members.
+        The digest of a bucket is the exclusive or of its members' digests.
         """
         totals = [0] * BUCKETS
         totals[bucket_of(self.name)] = digest_of(self.me)
@@ -128,7 +134,7 @@
         return b"".join(total.to_bytes(DIGEST_BYTES, "big") for total in totals)
 
     def _names_in(self, buckets: set[int]) -> list[str]:
-        """Return the known names in these buckets; only those met since ``digests`` are hashed here."""
+        """Return the known names in these buckets; only names stored since ``digests`` are hashed here."""
         return [
             name
             for name, known in self.known.items()
--- a/beechrock/members/view.py
+++ b/beechrock/members/view.py
@@ -1,7 +1,7 @@
-"""What a member knows of itself and of all others, and how updates change it; pure.
+"""A member's view of itself and of all others, and how updates change it; pure.
 
-The greater status wins. States of a member, events and invariants are described in ``detector``, whose
-``FailureDetector`` adds the probes.
+Of two statuses the greater one wins. ``detector`` describes a member's states, the events and the invariants;
+its class ``FailureDetector`` adds the probes.
 """
 
 import math
@@ -28,22 +28,22 @@
 )
 from beechrock.members.name_pool import NamePool
 
-GOSSIP_FACTOR = 4.0  # an update is passed on this many times log2(n + 2): then all have it, but for luck
-HELPERS = 3  # members that are asked to probe one that did not answer
-MAX_LOCAL_HEALTH = 7  # waits are up to 1 + this many times as long
-MIN_SUSPICION_PERIODS = 4.0  # of a confirmed suspicion: this times log10(n)
-MAX_SUSPICION_FACTOR = 6.0  # of a suspicion with one accuser: this times the shortest
-HEALING_PERIODS = 10  # after the return of a dead member, in which several of the dead are probed each time
-FORGET_PERIODS = 300  # for which the dead and those that left are kept
-REFUTE_ANSWERS = 4  # direct answers needed for a refutation after a death, among the last REFUTE_PROBES:
-REFUTE_PROBES = 8  # half, as at three tenths lost each way 0.49 of the probes are answered
-PROVING_PERIODS = 300  # after a death: as long as the others keep it
+GOSSIP_FACTOR = 4.0  # Times log2(n + 2): how often an update is passed on, so that nearly surely all get it
+HELPERS = 3  # Number of members that are asked to probe one that did not answer
+MAX_LOCAL_HEALTH = 7  # Worst score of the own health; timeouts are at most 1 + this many times as long
+MIN_SUSPICION_PERIODS = 4.0  # Times log10(n): length of a suspicion with the most accusers, in periods
+MAX_SUSPICION_FACTOR = 6.0  # Length of a suspicion with one accuser, as a multiple of the shortest
+HEALING_PERIODS = 10  # Periods after a dead member's return in which each round probes several dead ones
+FORGET_PERIODS = 300  # Periods for which dead members and those that left are kept
+REFUTE_ANSWERS = 4  # Direct answers to the last REFUTE_PROBES probes needed to refute a reported death
+REFUTE_PROBES = 8  # Twice the answers needed, as with 30% loss each way 0.49 of the probes are answered
+PROVING_PERIODS = 300  # Periods after a reported death in which direct answers are needed to refute one
 
 
 class MembershipView:
-    """One member's own status, and what it knows of the others.
+    """One member's own status and its records of the others.
 
-    ``life`` is greater for each new process of the name. Times are seconds of a clock that does not go back.
+    ``life`` is greater for each new process of the name. Times are seconds of a monotonic clock.
     """
 
     def __init__(
@@ -61,16 +61,17 @@
         self.me = Update(name, address, Status(life, 0, MemberState.ALIVE), hall=hall)
         self.known: dict[str, KnownMember] = {}
         self.local_health = 0  # 0 is best (Lifeguard's local health multiplier)
-        self.generation = 0  # grows with each change of the view
-        self.displaced = False
-        self.accusation: Status | None = None  # what this member has not refuted yet
-        self.healing_until_s = now_s
-        self.proving_until_s = now_s  # declared dead not long ago: it must show that it reaches others
-        self.direct_answers: deque[bool] = deque(maxlen=REFUTE_PROBES)  # of the last probes, newest last
+        self.generation = 0  # Grows with each change of the view
+        self.displaced = False  # Whether a newer process has this member's name
+        self.accusation: Status | None = None  # Suspicion or death of this member that it has not refuted yet
+        self.healing_until_s = now_s  # End of the time in which several dead members are probed each round
+        self.proving_until_s = now_s  # Until then a refutation needs enough direct answers
+        # Whether each of the last probes was answered by the probed member itself, newest last.
+        self.direct_answers: deque[bool] = deque(maxlen=REFUTE_PROBES)
         self.random = random.Random(seed)
         self.last_tick_s = now_s
-        # Kept beside ``known``, so that no step but a look at all of it takes longer in a larger fleet.
-        self.living = NamePool()  # alive and suspect
+        # Indexes of ``known``, so that a step need not scan all members of a large fleet.
+        self.living = NamePool()  # Alive or suspected members
         self.dead = NamePool()
         self.halls = HallTable(hall)
         self.gossip_queue = GossipQueue()
@@ -86,7 +87,7 @@
     # --- updates
 
     def _apply(self, update: Update, now_s: float, reason: str, gossip: bool = True) -> None:
-        """Take an update in. ``gossip``: it may be new to others too, and is passed on."""
+        """Apply an update. ``gossip``: pass it on even if the member was not known here before."""
         if update.name == self.name:
             self._apply_to_self(update)
             return
@@ -101,14 +102,15 @@
         if status == known_status and status.state is MemberState.SUSPECT and update.accuser:
             self._confirm_suspicion(known, update.accuser, now_s)
         if update.hall and not known.update.hall and status.life == known_status.life:
-            # Whoever passed the first update on did not pass on the hall.
+            # The first update came without the hall, through a member of an earlier version.
             known.update = replace(known.update, hall=update.hall)
             self._set_hall(update.name, update.hall, known_status.state)
-        # It still sends, and has not refuted. Seen after 300 periods of a cut: forgotten as one long dead, it
-        # was met alive the next moment by its old status.
+        # The dead member still sends, but has not refuted its death. If it were forgotten after 300 periods of
+        # a cut, its old status would make it a new living member at once.
         if known_status.state is MemberState.DEAD and status.state is MemberState.ALIVE:
             self.deadlines.set(known, now_s + FORGET_PERIODS * self.period_s)
-        # Some had it dead before its answer came: it hears of that, and so proves itself the next time.
+        # Some members declared the member dead before its refutation reached them. Notify it, so that its
+        # next refutation needs direct answers.
         died = status.state is MemberState.DEAD and known_status.state < MemberState.DEAD
         if died and status.life == known_status.life:
             self._notify_subject(known.update.address, update)
@@ -127,8 +129,9 @@
             reason = f"{reason}, never met alive"
         if known is not None and not update.hall and update.status.life == known.update.status.life:
             update = replace(update, hall=known.update.hall)
-        # Whom a full state brings is known to its sender, and to others. Seen: 100 members that had all met
-        # so gossiped about each other for half an hour, at three times the cost of a calm fleet.
+        # A new member in a full state is known to the sender and to others, so it is not gossiped. Otherwise
+        # 100 members that had met by full states gossiped about each other for half an hour, at three times
+        # the cost of a calm fleet.
         self._store(known, update, now_s, gossip or known is not None)
         self.generation += 1
         self._on_status(update)
@@ -137,13 +140,13 @@
         if previous is MemberState.DEAD and state is MemberState.ALIVE:
             self.healing_until_s = now_s + HEALING_PERIODS * self.period_s
             self._on_return()
-        # Some of all who learn of it notify the suspect. Seen at a tenth lost and pauses: with probes alone
-        # it heard of its suspicion, or the accuser of its refutation, too late.
+        # Some of the members that learn of a suspicion notify the suspect. With probes alone, at 10% loss and
+        # with pauses, the suspect learnt of its suspicion, or the accuser of the refutation, too late.
         if state is MemberState.SUSPECT:
             self._notify_subject(update.address, update)
 
     def _store(self, known: KnownMember | None, update: Update, now_s: float, gossip: bool) -> None:
-        """Replace what is known of the member, queue its gossip and set its deadline."""
+        """Replace the member's record, queue its gossip and set its deadline."""
         name, state = update.name, update.status.state
         fresh = KnownMember(update, now_s)
         times = self._gossip_times()
@@ -166,22 +169,23 @@
             self._actions.append(changed)
 
     def _on_return(self) -> None:
-        """Do nothing; overridden to act when one of the dead is alive again."""
+        """Do nothing; overridden to act when a dead member is alive again."""
 
     def _on_status(self, update: Update) -> None:
         """Do nothing; overridden to act on each new status, which may make an open probe pointless."""
 
     def _notify_subject(self, address: str, update: Update) -> None:
-        """Send the update to its own member; of all who learn of it some ``HELPERS`` do so."""
+        """Send the update to the member that it is about; of all that learn of it about ``HELPERS`` do so."""
         if self.random.random() < HELPERS / max(1, len(self.living)):
             self._send(address, Ping(self._next_number(), updates=(update,)))
 
     # --- suspicion of others
 
     def _confirm_suspicion(self, known: KnownMember, accuser: str, now_s: float) -> None:
-        """Shorten the suspicion for a further accuser.
+        """Shorten the suspicion if the accuser is a further one, for at most ``HELPERS`` further ones.
 
-        Seen at three tenths lost: with all who passed it on counted, each suspicion was the shortest.
+        Members that only pass a suspicion on are no accusers: when they counted, at 30% loss, each suspicion
+        had the shortest length.
         """
         if accuser not in known.accusers and len(known.accusers) <= HELPERS:
             known.accusers.add(accuser)
@@ -193,8 +197,8 @@
     def _suspicion_s(self, accusers: int) -> float:
         """Return how long a suspicion lasts, in seconds.
 
-        Longest with one accuser, shortest once as many confirm it as there are helpers; longer while this
-        member itself is late (its local health).
+        It is longest with one accuser and shortest once ``HELPERS`` others confirm it. It grows with the
+        local health score, as this member may itself be too slow to receive answers in time.
         """
         fleet_factor = max(1.0, math.log10(len(self.known) + 1))
         shortest_s = MIN_SUSPICION_PERIODS * fleet_factor * self.period_s * (1 + self.local_health)
@@ -224,7 +228,8 @@
             return
         if theirs.life < own.life or own.state is not MemberState.ALIVE:
             return
-        if theirs.state is MemberState.DEAD:  # of an earlier incarnation as well: it came too late to some
+        # Also for the death of an earlier incarnation: that refutation reached some members too late.
+        if theirs.state is MemberState.DEAD:
             self.proving_until_s = self.last_tick_s + PROVING_PERIODS * self.period_s
         if theirs > own:
             self.accusation = max(theirs, self.accusation or theirs)
@@ -236,10 +241,11 @@
         self._refute_if_reachable()
 
     def _refute_if_reachable(self) -> None:
-        """Refute at once; after a death only while half of the last probes were answered directly.
+        """Refute at once; after a reported death only if enough of the last probes were answered directly.
 
-        Seen in the simulator: nine members, one cut from all but one of them. That one brought it the updates
-        of its deaths, and to the others its answers: they had it dead and back 7 to 41 times in 300 s.
+        Otherwise a member cut off from all others but one flaps, as that one relays the reports of its death
+        to it and its refutations to the others. In the simulator, among nine members, the others saw it die
+        and return 7 to 41 times in 300 s.
         """
         proving = self.last_tick_s < self.proving_until_s
         if self.accusation is None or (proving and sum(self.direct_answers) < REFUTE_ANSWERS):
@@ -250,15 +256,16 @@
         self._refute(refuted)
 
     def _refute(self, refuted: Status) -> None:
-        """Raise the incarnation.
+        """Raise the incarnation above the refuted one.
 
-        Reported before the new status is sent, so that a history has each incarnation by its own process.
+        The change is reported before the new status is sent, so that in a history the process itself is the
+        first to report each of its incarnations.
         """
         status = Status(refuted.life, refuted.incarnation + 1, MemberState.ALIVE)
         self.me = replace(self.me, status=status)
         self.local_health = min(MAX_LOCAL_HEALTH, self.local_health + 1)
         self.generation += 1
-        reason = f"lives, though {refuted.state.name.lower()} to others"
+        reason = f"alive, although {refuted.state.name.lower()} to others"
         self._actions.append(StatusChanged(self.me, MemberState.ALIVE, reason))
 
     # --- sending
@@ -266,14 +273,14 @@
     def _gossip_times(self) -> int:
         return math.ceil(GOSSIP_FACTOR * math.log2(len(self.known) + 2))
 
-    def _updates_to_send(self, first: tuple[Update, ...]) -> tuple[Update, ...]:
+    def _updates_to_send(self, preferred: tuple[Update, ...]) -> tuple[Update, ...]:
         """Return the updates for one message.
 
-        The own one is always the first, so that a restart is known at once; then ``first``, then those passed
-        on least often.
+        This member's own update is always the first, so that its restart is known at once. The ``preferred``
+        ones follow, then those with the most gossip times left.
         """
-        updates = [update for update in first if update.name != self.name]
-        if self.gossip_queue.heap:  # empty nearly always, in calm
+        updates = [update for update in preferred if update.name != self.name]
+        if self.gossip_queue.heap:  # Nearly always empty while no status changes
             self.gossip_queue.fill(updates, MAX_UPDATES - 1)
         return (self.me, *updates)
 
--- a/tests/members/test_state_sync.py
+++ b/tests/members/test_state_sync.py
@@ -8,7 +8,7 @@
 from beechrock.members import messages
 from beechrock.members.detector import FailureDetector
 from beechrock.members.messages import Ack, FullState, MemberState, Ping, Send, StartSync, Status, Update
-from beechrock.members.state_sync import MAX_FAST_SYNCS, MUCH_BUCKETS, SOON_ROUNDS
+from beechrock.members.state_sync import EARLY_SYNC_ROUNDS, LARGE_DIFFERENCE, MAX_FAST_SYNCS
 
 any_status = st.builds(Status, st.integers(1, 3), st.integers(0, 3), st.sampled_from(MemberState))
 
@@ -106,7 +106,7 @@
 
 def test_return_of_one_of_many_dead_brings_the_next_exchange_forward() -> None:
     """Of halves of 100 that meet again each has fifty to learn of, and a message carries seven updates."""
-    for dead, soon in ((MUCH_BUCKETS + 1, True), (MUCH_BUCKETS - 1, False)):
+    for dead, soon in ((LARGE_DIFFERENCE + 1, True), (LARGE_DIFFERENCE - 1, False)):
         member = knowing(
             "n1",
             {f"m{n}": Status(1, 0, MemberState.DEAD if n < dead else MemberState.ALIVE) for n in range(30)},
@@ -128,10 +128,10 @@
         waits.append(caller.sync_at_round)
         for name in list(caller.known):
             caller._forget(name)
-    assert waits == [1] * (MAX_FAST_SYNCS - 1) + [SOON_ROUNDS] * 2
+    assert waits == [1] * (MAX_FAST_SYNCS - 1) + [EARLY_SYNC_ROUNDS] * 2
     exchange(caller, called)
     assert called.sync_at_round == 1  # who is called by one that differs much has as much to learn
-    for wait in (SOON_ROUNDS, 30):  # the other may have lacked the same
+    for wait in (EARLY_SYNC_ROUNDS, 30):  # the other may have lacked the same
         caller.sync_at_round = 30
         exchange(caller, called)
         assert caller.sync_at_round == wait
