--- a/beechrock/members/codec.py
+++ b/beechrock/members/codec.py
@@ -95,7 +95,7 @@
         self.fleet = fleet
         self.name = name
         self.life = life
-        self.counter = 0  # Of the last datagram encoded
+        self.counter = 0  # Counter of the last datagram encoded
         # Replay states by sender's name and life, least recently received from first.
         self.received: OrderedDict[tuple[str, int], ReplayState] = OrderedDict()
 
--- a/beechrock/members/known.py
+++ b/beechrock/members/known.py
@@ -36,7 +36,7 @@
 
     update: Update
     since_s: float  # Time at which the status was first received
-    accusers: set[str] = field(default_factory=set)  # Of its suspicion: members that got no answer
+    accusers: set[str] = field(default_factory=set)  # Members that suspect it as they got no answer
     ends_at_s: float = math.inf  # Deadline: the end of its suspicion, or the time at which it is forgotten
     digest: BucketDigest | None = None  # Computed on first use
     next_check_at_s: float = math.inf  # Time of its valid deadline entry, never after ``ends_at_s``
--- a/beechrock/members/view.py
+++ b/beechrock/members/view.py
@@ -28,10 +28,10 @@
 )
 from beechrock.members.name_pool import NamePool
 
-GOSSIP_FACTOR = 4.0  # Times log2(n + 2): how often an update is passed on, so that nearly surely all get it
+GOSSIP_FACTOR = 4.0  # An update is sent this times log2(n + 2) times; nearly surely all get it
 HELPERS = 3  # Number of members that are asked to probe one that did not answer
 MAX_LOCAL_HEALTH = 7  # Worst score of the own health; timeouts are at most 1 + this many times as long
-MIN_SUSPICION_PERIODS = 4.0  # Times log10(n): length of a suspicion with the most accusers, in periods
+MIN_SUSPICION_PERIODS = 4.0  # Shortest suspicion, in periods, divided by log10 of the number of members
 MAX_SUSPICION_FACTOR = 6.0  # Length of a suspicion with one accuser, as a multiple of the shortest
 HEALING_PERIODS = 10  # Periods after a dead member's return in which each round probes several dead ones
 FORGET_PERIODS = 300  # Periods for which dead members and those that left are kept
@@ -105,8 +105,8 @@
             # The first update came without the hall, through a member of an earlier version.
             known.update = replace(known.update, hall=update.hall)
             self._set_hall(update.name, update.hall, known_status.state)
-        # The dead member still sends, but has not refuted its death. If it were forgotten after 300 periods of
-        # a cut, its old status would make it a new living member at once.
+        # The dead member still sends, but has not refuted its death. If it were forgotten after 300 periods
+        # of a cut, its old status would make it a new living member at once.
         if known_status.state is MemberState.DEAD and status.state is MemberState.ALIVE:
             self.deadlines.set(known, now_s + FORGET_PERIODS * self.period_s)
         # Some members declared the member dead before its refutation reached them. Notify it, so that its
--- a/beechrock/talk/frames.py
+++ b/beechrock/talk/frames.py
@@ -3,7 +3,7 @@
 A connection carries frames in one direction. The receiver opens it with a *challenge*: random bytes, new for
 each connection. The tag of each frame covers the challenge, the receiver's name and the body, so a frame is
 valid on one connection and at one node only.
-Invariant: of one sender, (life, counter) only grows; a frame that breaks this is dropped.
+Invariant: (life, counter) of the frames received from one sender only grows; other frames are dropped.
 """
 
 import hmac
@@ -16,26 +16,26 @@
 
 VERSION = 1
 KEY_CONTEXT = "beechrock talk 1"
-HEAD_BYTES = 4  # the length prefix, big-endian
-TAG_BYTES = 16  # 128 bits of keyed BLAKE3
-CHALLENGE_BYTES = 16  # never repeats by chance among any number of connections
-MAX_NAME_BYTES = 64  # of a node's name or a channel
+HEAD_BYTES = 4  # Size of the big-endian length prefix
+TAG_BYTES = 16  # Size of the authentication tag: 128 bits of keyed BLAKE3
+CHALLENGE_BYTES = 16  # 128 random bits, so that no challenge repeats by chance
+MAX_NAME_BYTES = 64  # Maximum length of a node's name, a hall or a hardware class
 MAX_MESSAGE_BYTES = 1 << 20
-MAX_BODY_BYTES = MAX_MESSAGE_BYTES + 512  # room for names, life and counter
+MAX_BODY_BYTES = MAX_MESSAGE_BYTES + 512  # Leaves room for names, life and counter beside the message
 
 
 class DropReason(Enum):
-    """Why a received frame, or a message to be sent, went no further. The values are shown to operators."""
+    """Reasons to drop a received frame or a message to be sent. The values are shown to operators."""
 
-    TAG = "tag"  # not of this fleet, or not for this connection
-    FORM = "form"  # not a valid frame; the connection is closed
-    UNKNOWN = "unknown"  # the sender is not a configured peer
-    OLD_LIFE = "old_life"  # sent by a process that a newer one of the same name has replaced
-    REPLAYED = "replayed"  # this frame, or a later one, was received before
-    CHANNEL = "channel"  # no part handles this channel
-    FULL = "full"  # the queue to the peer is full
-    LATE = "late"  # waited in the queue for too long
-    LOST = "lost"  # unsent bytes of a connection that ended; the peer may have received it
+    TAG = "tag"  # The frame is of another fleet, or for another connection; the connection is closed
+    FORM = "form"  # The frame is malformed; the connection is closed
+    UNKNOWN = "unknown"  # The sender is not a configured peer
+    OLD_LIFE = "old_life"  # The sending process has been replaced by a newer one of the same name
+    REPLAYED = "replayed"  # This frame, or a later one of the same sender, was received before
+    CHANNEL = "channel"  # No part has registered a handler for the channel
+    FULL = "full"  # The queue to the peer is full
+    LATE = "late"  # The message waited in the queue for too long
+    LOST = "lost"  # A connection ended with unsent bytes (counted once); the peer may have received them
 
 
 class DroppedError(Exception):
@@ -68,7 +68,7 @@
 
 
 def key_from(secret: bytes) -> bytes:
-    """Return the key of the tags, derived from the content of the fleet's key file."""
+    """Return the key of the tags, derived from the secret in the fleet's key file."""
     return blake3(secret, derive_key_context=KEY_CONTEXT).digest()
 
 
@@ -78,7 +78,7 @@
 
 
 def encode(key: bytes, challenge: bytes, receiver: str, frame: Frame) -> bytes:
-    """Return the frame's bytes: the length of what follows, the body, the tag."""
+    """Return the encoded frame: the length prefix, the body, the tag."""
     body: bytes = msgpack.packb(
         (VERSION, frame.sender, frame.life, frame.counter, frame.channel, frame.message)
     )
@@ -107,7 +107,9 @@
         raise DroppedError(DropReason.TAG)
     try:
         fields = msgpack.unpackb(body)
-        version, sender, life, counter, channel, message = fields[:6]  # a newer version may add at the end
+        version, sender, life, counter, channel, message = fields[
+            :6
+        ]  # A newer version may add fields at the end
     except Exception:
         raise DroppedError(DropReason.FORM) from None
     types = ((version, int), (sender, str), (life, int), (counter, int), (channel, str), (message, bytes))
@@ -118,7 +120,10 @@
 
 @dataclass(slots=True)
 class ReplayFilter:
-    """The newest position of each sender; bounded by the number of peers, as no others get this far."""
+    """The newest position received from each sender.
+
+    The table is bounded by the number of peers, as only frames of configured peers are checked here.
+    """
 
     last: dict[str, Position] = field(default_factory=dict)
 
@@ -130,7 +135,7 @@
         life, counter = self.last.get(frame.sender, BEFORE_ALL_FRAMES)
         if frame.life < life:
             raise DroppedError(DropReason.OLD_LIFE)
-        # A proxy that sends twice, or an old connection that drains after a new one began.
+        # A proxy may send a frame twice, or an old connection may deliver frames after a new one has begun.
         if frame.life == life and frame.counter <= counter:
             raise DroppedError(DropReason.REPLAYED)
         self.last[frame.sender] = Position(frame.life, frame.counter)
--- a/beechrock/talk/link.py
+++ b/beechrock/talk/link.py
@@ -1,7 +1,7 @@
-"""The outbound link to one peer: a bounded queue, and the connection that it is sent over.
+"""Outbound link to one peer: a bounded queue of messages, and the connection over which they are sent.
 
-The connection is made again, with backoff, for as long as the task of ``run`` lives. Messages wait in the
-queue meanwhile, and are dropped there once they are too old: their senders send again what still matters.
+``run`` reconnects, with backoff, until its task ends. Messages wait in the queue meanwhile, and are dropped
+once they are too old: the parts send again those that still matter.
 """
 
 import asyncio
@@ -15,20 +15,20 @@
 from beechrock.core.counters import Counters
 from beechrock.talk.frames import CHALLENGE_BYTES, DropReason, Frame, encode
 
-MAX_QUEUED_BYTES = 4 << 20  # waiting for one peer
-MAX_QUEUED_MESSAGES = 65_536  # waiting for one peer: many small ones cost more than their bytes
-MIN_ACCOUNTED_BYTES = 64  # what even an empty message counts for in the queue
-MAX_QUEUE_AGE_S = 5.0  # an older message is dropped: its sender sends again what matters
-CONNECT_TIMEOUT_S = 2.0  # up to the challenge; the kernel of a stopped process accepts, and no more
-WRITE_TIMEOUT_S = 5.0  # a connection that takes no byte for so long is closed
-MIN_BACKOFF_S = 0.05  # between two attempts to connect, doubled with each failure
+MAX_QUEUED_BYTES = 4 << 20  # Maximum size of the queue to one peer
+MAX_QUEUED_MESSAGES = 65_536  # Maximum length of that queue: many small messages cost more than their bytes
+MIN_ACCOUNTED_BYTES = 64  # Size that is accounted for even an empty message in the queue
+MAX_QUEUE_AGE_S = 5.0  # Age beyond which a queued message is dropped; its sender repeats what matters
+CONNECT_TIMEOUT_S = 2.0  # Time limit up to the challenge: the kernel accepts for a stopped process too
+WRITE_TIMEOUT_S = 5.0  # A connection that accepts no bytes for this long is closed
+MIN_BACKOFF_S = 0.05  # Delay between two attempts to connect, doubled with each failure
 MAX_BACKOFF_S = 1.0
-BUFFER_BYTES = 1 << 16  # in flight on a connection; the rest stays in the queue, where it can expire
+BUFFER_BYTES = 1 << 16  # Limit of a connection's write buffer; the rest stays queued, where it can expire
 
 
 @dataclass(frozen=True, slots=True)
 class Sender:
-    """What each link needs of its node."""
+    """The sending node, as its links see it."""
 
     name: str
     life: int
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QueuedMessage:
-    """A message that waits to be sent."""
+    """A message in the queue of a link."""
 
     queued_at_s: float
     channel: str
@@ -47,12 +47,12 @@
 
 
 def accounted_bytes(message: bytes) -> int:
-    """Return what the message counts for against a limit of queued bytes."""
+    """Return the size with which the message counts against a limit of queued bytes."""
     return max(MIN_ACCOUNTED_BYTES, len(message))
 
 
 class OutboundLink:
-    """The queue, the connection and the counters of all that goes to one peer."""
+    """Queue, connection and counters of the messages to one peer."""
 
     def __init__(self, sender: Sender, peer: str, address: tuple[str, int]) -> None:
         self.sender = sender
@@ -60,15 +60,15 @@
         self.address = address
         self.queue: deque[QueuedMessage] = deque()
         self.queued_bytes = 0
-        self.sent = 0  # frames, over all connections
+        self.sent = 0  # Number of frames sent, over all connections
         self.dropped: Counter[DropReason] = Counter()
         self.connected = False
-        self.changed_at_s = sender.clock()  # when ``connected`` changed last
+        self.changed_at_s = sender.clock()  # Time of the last change of ``connected``
         self._random = secrets.SystemRandom()
-        self._wakeup = asyncio.Event()  # set by a new message, and by the end of the connection
+        self._wakeup = asyncio.Event()  # Set by a new message, and by the end of the connection
 
     def enqueue(self, channel: str, message: bytes) -> bool:
-        """Add the message to the queue; False where it is full even after expired messages are dropped."""
+        """Add the message to the queue; return False if it is full even without expired messages."""
         size = accounted_bytes(message)
         if not self._has_room(size):
             self._drop_expired()
@@ -89,7 +89,7 @@
         return queued
 
     def _drop_expired(self) -> None:
-        # Without it, a peer that is back after an hour first receives four megabytes of outdated messages.
+        # Otherwise a peer that is back after an hour would first receive four megabytes of outdated messages.
         while self.queue and self.sender.clock() - self.queue[0].queued_at_s > MAX_QUEUE_AGE_S:
             self._dequeue()
             self.dropped[DropReason.LATE] += 1
@@ -123,8 +123,8 @@
     ) -> None:
         """Send from the queue until the connection fails; always ends with an error.
 
-        Raises EOFError where the receiver closes or sends a byte (after the challenge it has nothing to say),
-        TimeoutError where it takes nothing for WRITE_TIMEOUT_S, and OSError as the socket gives it.
+        Raises EOFError if the receiver closes the connection or sends a byte (it sends nothing after the
+        challenge), TimeoutError if it accepts nothing for WRITE_TIMEOUT_S, and OSError if the socket fails.
         """
         _limit_buffers(writer)
         closed = asyncio.ensure_future(reader.read(1))
@@ -143,7 +143,7 @@
             if writer.transport.get_write_buffer_size():
                 self.dropped[DropReason.LOST] += 1
             if closed.done() and not closed.cancelled():
-                closed.exception()  # retrieved, or asyncio logs it as lost
+                closed.exception()  # Retrieve the exception, or asyncio logs it as never retrieved
             closed.cancel()
 
     async def _wait_for_message(self, closed: "asyncio.Future[bytes]") -> None:
@@ -169,9 +169,9 @@
 
 
 def _limit_buffers(writer: asyncio.StreamWriter) -> None:
-    """Bound what lies in asyncio and in the kernel, where it can neither expire nor be taken back."""
+    """Limit the bytes buffered by asyncio and the kernel, where messages cannot expire or be withdrawn."""
     writer.transport.set_write_buffer_limits(high=BUFFER_BYTES)
     raw = writer.get_extra_info("socket")
     raw.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4 * BUFFER_BYTES)
-    # Else unacknowledged bytes keep a connection over a cut link for minutes.
+    # Otherwise a connection over a cut link stays open for minutes, with its bytes unacknowledged.
     raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(1000 * WRITE_TIMEOUT_S))
--- a/beechrock/talk/part.py
+++ b/beechrock/talk/part.py
@@ -1,4 +1,4 @@
-"""The thin actor of ``[fleet]``: accepts connections, delivers messages to the parts, owns all links."""
+"""Actor of the ``[fleet]`` table: accepts connections, delivers messages to the parts, owns all links."""
 
 import asyncio
 import secrets
@@ -27,15 +27,15 @@
 from beechrock.talk.link import MAX_QUEUED_BYTES, OutboundLink, Sender, accounted_bytes
 from beechrock.talk.settings import FleetSettings
 
-MAX_INBOUND_PER_PEER = 4  # connections; beyond it the oldest is closed, and its peer connects again
-LIFE_FILE = "talk.life"  # in the state folder: the last life number in use
-UNKNOWN_SENDER = ""  # of a connection before its first valid frame
+MAX_INBOUND_PER_PEER = 4  # Average connections per peer; beyond it the oldest is closed; its peer reconnects
+LIFE_FILE = "talk.life"  # File in the state folder that holds the last life number used
+UNKNOWN_SENDER = ""  # Stands for unconfigured senders, and for a connection's before its first valid frame
 
-MessageHandler = Callable[[str, int, bytes], None]  # sender, its life number, message
+MessageHandler = Callable[[str, int, bytes], None]  # Arguments: sender, its life number, message
 
 
 class PeerTransport:
-    """This node among its peers. A message is delivered at most once, and in order of sending."""
+    """Exchange of messages with the peers; each is delivered at most once, and in order of sending."""
 
     def __init__(
         self,
@@ -57,17 +57,17 @@
             peer: self.link_to(peer, address) for peer, address in settings.peers.items() if peer != name
         }
         self.peers = tuple(sorted(self.links))
-        self.handlers: dict[str, MessageHandler] = {}  # by channel
+        self.handlers: dict[str, MessageHandler] = {}  # Handler of each channel
         self.replay_filter = ReplayFilter()
-        self.received_at_s: dict[str, float] = {}  # by peer: when its last valid frame came
-        self.dropped: Counter[tuple[str, DropReason]] = Counter()  # by sender, or UNKNOWN_SENDER
+        self.received_at_s: dict[str, float] = {}  # Arrival of the last valid frame, by peer
+        self.dropped: Counter[tuple[str, DropReason]] = Counter()  # Dropped frames by sender and reason
         self.server: Listener | None = None
-        # By age; the value is the sender of the connection's frames, once it is known.
+        # Sender of each inbound connection, UNKNOWN_SENDER before its first valid frame; the oldest one first.
         self.inbound: dict[asyncio.StreamWriter, str] = {}
-        self.self_queued_bytes = 0
-        self.address = ""
+        self.self_queued_bytes = 0  # Bytes of messages from this node to itself that wait for delivery
+        self.address = ""  # HOST:PORT at which this node listens
 
-    # Names of before, for parts that are not converted yet (docs/glossary.md).
+    # Former names, for parts that still use them (docs/glossary.md).
     @property
     def told(self) -> FleetSettings:
         """The former name of ``settings``."""
@@ -81,14 +81,15 @@
     # --- for the other parts
 
     def link_to(self, peer: str, address: tuple[str, int]) -> OutboundLink:
-        """Return a new link from this node to ``peer``; nothing is sent before its ``run``."""
+        """Return a new link from this node to ``peer``; it sends nothing before ``run`` is called on it."""
         sender = Sender(self.name, self.life, self.key, self.counters, self.clock)
         return OutboundLink(sender, peer, address)
 
     def send(self, to: str, channel: str, message: bytes) -> bool:
         """Queue the message for the node ``to``, which may be this one.
 
-        False: no peer has this name, the message is too long, or the queue is full. True promises nothing.
+        Returns False if no peer has this name, the message is too long, or the queue is full. True does not
+        mean that the message will be delivered.
         """
         if len(message) > MAX_MESSAGE_BYTES:
             return False
@@ -100,14 +101,15 @@
     def on(self, channel: str, handler: MessageHandler) -> None:
         """Register ``handler(sender, life, message)`` for a channel; it must not block.
 
-        It is called in order of sending. Raises TalkChannelError where the channel has a handler already.
+        Messages are delivered to it in order of sending. Raises TalkChannelError if the channel already has a
+        handler.
         """
         if channel in self.handlers:
             raise TalkChannelError(f"the channel {channel} is taken", where=self.name)
         self.handlers[channel] = handler
 
     def _send_to_self(self, channel: str, message: bytes) -> bool:
-        """Deliver in a later turn of the loop, as a message from a peer would be."""
+        """Deliver the message in a later iteration of the event loop, as one from a peer would be."""
         size = accounted_bytes(message)
         if self.self_queued_bytes + size > MAX_QUEUED_BYTES:
             return False
@@ -123,7 +125,7 @@
     # --- as a part of its node
 
     async def listen(self) -> None:
-        """Listen at the address of the settings; OSError where it cannot be had."""
+        """Listen at the address of the settings. Raises OSError if it cannot be bound."""
         self.server = await listen(self._accepted, *self.settings.listen, self.counters, "talk")
         self.address = "{}:{}".format(*self.server.sockets[0].getsockname()[:2])
         logs.event(
@@ -144,7 +146,7 @@
             await asyncio.Event().wait()
 
     async def leave(self) -> None:
-        """Do nothing: the links stay up, as the other parts take leave over them."""
+        """Do nothing: the links stay up, because the other parts announce over them that they leave."""
 
     def close(self) -> None:
         """Stop listening and close the inbound connections."""
@@ -166,7 +168,7 @@
         }
 
     def _peer_view(self, name: str, link: OutboundLink) -> dict[str, Any]:
-        """Return one peer's row; times are seconds ago, ``heard_s`` None where nothing was ever received."""
+        """Return one peer's row; times are seconds before now, ``heard_s`` is None if no frame came."""
         now_s = self.clock()
         received_at_s = self.received_at_s.get(name)
         dropped = {f"to_{reason.value}": count for reason, count in link.dropped.items()}
@@ -204,9 +206,9 @@
                 frame = decode(self.key, challenge, self.name, await reader.readexactly(size))
                 self.inbound[writer] = frame.sender
                 self._receive(frame)
-        except DroppedError as error:  # an invalid frame: nothing after it can be trusted
+        except DroppedError as error:  # An invalid frame: no later bytes of the connection can be trusted
             self._count_drop(self.inbound[writer], error.reason)
-        except (OSError, EOFError, asyncio.CancelledError):  # cancelled, asyncio would log a fault
+        except (OSError, EOFError, asyncio.CancelledError):  # asyncio logs uncaught cancellation
             pass
         finally:
             del self.inbound[writer]
@@ -231,7 +233,7 @@
             return
         try:
             handler(sender, life, message)
-        except Exception as error:  # of one part; the others' messages come over the same link
+        except Exception as error:  # A failing part must not stop the others' messages on the same link
             self.counters.record_error(f"talk.{channel}", error)
 
     def _count_drop(self, sender: str, reason: DropReason) -> None:
@@ -239,13 +241,13 @@
         self.counters.add(f"talk.dropped_{reason.value}")
 
 
-Talk = PeerTransport  # the name of before, for parts that are not converted yet (docs/glossary.md)
+Talk = PeerTransport  # Former name, for parts that still use it (docs/glossary.md)
 
 
 def begin(settings: object, context: Context) -> PeerTransport:
-    """Make the actor under the next life number, and show its view at ``/fleet``.
+    """Create the actor with the next life number, and publish its view at ``/fleet``.
 
-    Raises TalkStateError where the state folder cannot be used, LifeError where its life number is damaged.
+    Raises TalkStateError if the state folder cannot be used, LifeError if its life number is damaged.
     """
     assert isinstance(settings, FleetSettings)
     try:
--- a/beechrock/talk/settings.py
+++ b/beechrock/talk/settings.py
@@ -10,25 +10,25 @@
 from beechrock.talk.frames import MAX_NAME_BYTES, key_from
 
 KEYS = {"listen", "peers", "key_file", "state", "hall", "hardware"}
-MAX_PEERS = 64  # each costs a task, a connection each way and a queue
+MAX_PEERS = 64  # Maximum number of peers; each costs a task, a connection each way and a queue
 DEFAULT_HALL = "hall"
 DEFAULT_HARDWARE = "common"
 
 
 @dataclass(frozen=True, slots=True)
 class FleetSettings:
-    """This node as one of a fleet, and the addresses of the others."""
+    """Settings of this node in its fleet, and the addresses of its peers."""
 
     listen: Address
-    peers: Mapping[str, Address]  # by name; this node itself may be among them
+    peers: Mapping[str, Address]  # Addresses by peer's name; this node itself may be among them
     key: bytes = field(repr=False)
-    state: Path  # the folder of all state that this node keeps on disk
+    state: Path  # Folder of all state that this node keeps on disk
     hall: str = DEFAULT_HALL
     hardware: str = DEFAULT_HARDWARE
 
 
 def read(table: Mapping[str, Any], where: str, root: Path) -> FleetSettings:
-    """Return the checked table; relative paths are taken from ``root``.
+    """Return the checked settings from the table; relative paths are resolved from ``root``.
 
     Raises ConfigError, which names file, table (both in ``where``) and key.
     """
