--- a/beechrock/members/codec.py
+++ b/beechrock/members/codec.py
@@ -37,13 +37,7 @@
 MIN_SECRET_BYTES = 16  # Minimum length of the secret in the fleet's key file
 MAX_SENDERS = 4096  # Maximum number of lives with replay state; the least recently received from is evicted
 REPLAY_WINDOW = 256  # Replay window: a counter less than this far below the newest is accepted, once
-MESSAGE_TYPES = (
-    Ping,
-    PingRequest,
-    Ack,
-    PingRequestAck,
-    FullState,
-)  # A type's index is its number on the wire
+MESSAGE_TYPES = (Ping, PingRequest, Ack, PingRequestAck, FullState)  # A type's number is its index here
 KEY_CONTEXT = "beechrock members 1"
 
 
--- a/beechrock/members/view.py
+++ b/beechrock/members/view.py
@@ -28,16 +28,18 @@
 )
 from beechrock.members.name_pool import NamePool
 
-GOSSIP_FACTOR = 4.0  # An update is sent this times log2(n + 2) times; nearly surely all get it
+# An update is passed on this many times log2(n + 2) times, so that all members get it with high probability.
+GOSSIP_FACTOR = 4.0
 HELPERS = 3  # Number of members that are asked to probe one that did not answer
 MAX_LOCAL_HEALTH = 7  # Worst score of the own health; timeouts are at most 1 + this many times as long
-MIN_SUSPICION_PERIODS = 4.0  # Shortest suspicion, in periods, divided by log10 of the number of members
+MIN_SUSPICION_PERIODS = 4.0  # Length of the shortest suspicion, in periods: this times log10(members)
 MAX_SUSPICION_FACTOR = 6.0  # Length of a suspicion with one accuser, as a multiple of the shortest
 HEALING_PERIODS = 10  # Periods after a dead member's return in which each round probes several dead ones
 FORGET_PERIODS = 300  # Periods for which dead members and those that left are kept
 REFUTE_ANSWERS = 4  # Direct answers to the last REFUTE_PROBES probes needed to refute a reported death
 REFUTE_PROBES = 8  # Twice the answers needed, as with 30% loss each way 0.49 of the probes are answered
-PROVING_PERIODS = 300  # Periods after a reported death in which direct answers are needed to refute one
+# Periods after a reported death in which a refutation needs direct answers: as long as others remember it.
+PROVING_PERIODS = 300
 
 
 class MembershipView:
--- a/beechrock/talk/part.py
+++ b/beechrock/talk/part.py
@@ -62,7 +62,7 @@
         self.received_at_s: dict[str, float] = {}  # Arrival of the last valid frame, by peer
         self.dropped: Counter[tuple[str, DropReason]] = Counter()  # Dropped frames by sender and reason
         self.server: Listener | None = None
-        # Sender of each inbound connection, UNKNOWN_SENDER before its first valid frame; the oldest one first.
+        # Sender of each inbound connection (UNKNOWN_SENDER before its first valid frame), oldest first.
         self.inbound: dict[asyncio.StreamWriter, str] = {}
         self.self_queued_bytes = 0  # Bytes of messages from this node to itself that wait for delivery
         self.address = ""  # HOST:PORT at which this node listens
--- a/tests/members/fleet_processes.py
+++ b/tests/members/fleet_processes.py
@@ -1,4 +1,4 @@
-"""Five real processes of the program as one fleet, with links between them, for all scenarios of a worker."""
+"""A fleet of five real processes, joined by links with faults; one fleet serves all scenarios of a worker."""
 
 import asyncio
 import http.client
@@ -28,7 +28,7 @@
 
 
 class Process:
-    """One node with the membership on, at ports of its own choice; ``n0``, ``n3`` ... are in hall h0."""
+    """A process of a node with the membership enabled and free ports; ``n0``, ``n3`` ... are in hall h0."""
 
     def __init__(self, folder: Path, name: str, seeds: list[str], advertise: str = "") -> None:
         self.name, self.folder = name, folder / name
@@ -55,9 +55,9 @@
                 [sys.executable, "-m", "beechrock"], stderr=out, env=environment, cwd=ROOT
             )
         self.address = self.admin = ""
-        self.log_start = 0  # bytes of the log that belong to earlier scenarios
+        self.log_start = 0  # Size of the log of earlier scenarios, in bytes
 
-    async def up(self) -> "Process":
+    async def wait_until_ready(self) -> "Process":
         await until(lambda: self.log.read_text().count('"members"') > 0 or self.popen.poll() is not None)
         text = self.log.read_text()
         assert self.popen.poll() is None, text
@@ -71,7 +71,7 @@
         return [event for event in found if event["event"] == name]
 
     def view(self) -> dict[str, Any]:
-        """What the process shows at /members."""
+        """Return what the process shows at ``/members``."""
         host, _, port = self.admin.partition(":")
         link = http.client.HTTPConnection(host, int(port), timeout=30.0)
         link.request("GET", "/members")
@@ -85,16 +85,16 @@
     def halls(self) -> dict[str, str]:
         return {row["hall"]: row["state"] for row in self.view()["halls"]}
 
-    def heard(self, name: str) -> float:
-        """Seconds since this process received a datagram of that one; 0 for itself."""
+    def received_ago_s(self, name: str) -> float:
+        """Return the seconds since this process received a datagram from ``name``; 0 for itself."""
         return next(float(row["heard_s"] or 0.0) for row in self.view()["members"] if row["name"] == name)
 
-    def counted(self, *names: str) -> dict[str, float]:
+    def counters(self, *names: str) -> dict[str, float]:
         counters = self.view()["counters"]
         return {name: counters.get(f"members.{name}", 0.0) for name in names}
 
-    def dead(self) -> list[str]:
-        """Whom this process declared dead, or heard of as dead, in this scenario."""
+    def reported_dead(self) -> list[str]:
+        """Return the members that became dead to this process during this scenario."""
         return [event["member"] for event in self.events("member") if event["state"] == "dead"]
 
     def send_signal(self, number: signal.Signals = signal.SIGKILL) -> None:
@@ -110,7 +110,7 @@
 async def until(condition: Callable[[], bool], seconds: float = 60.0) -> None:
     end = time.monotonic() + seconds
     while not condition():
-        assert time.monotonic() < end, "never came"
+        assert time.monotonic() < end, "condition not met in time"
         await asyncio.sleep(0.1)
 
 
@@ -120,28 +120,30 @@
 
 
 class Fleet:
-    """Five processes and the links between them: datagrams, and a proxy for the connections to each."""
+    """Five processes, the links for their datagrams, and a proxy for the connections to each of them."""
 
     def __init__(self, folder: Path) -> None:
         self.folder, self.links, self.processes = folder, Links(1), list[Process]()
         self.proxies: dict[str, ConnectionProxy] = {}
-        self.extra: list[Process] = []  # of one scenario
+        self.extra: list[Process] = []  # Further processes of the current scenario
 
     async def start(self, name: str, seed: str, link: str = "") -> Process:
-        """``link``: its end of the links, if not that of its name."""
+        """Start a process; ``link`` names its end of the links, if it differs from its own name."""
         link = link or name
         at = self.folder / link
         at.mkdir(exist_ok=True)
-        advertised = await self.open(link)
+        advertised = await self.open_link(link)
         process = Process(at, name, [await self.links.advertised(seed)] if seed else [], advertised)
-        await process.up()
+        await process.wait_until_ready()
         self.links.attach(link, process.address)
         self.proxies[link].target = process.address
         return process
 
-    async def open(self, link: str) -> str:
-        """Datagrams and connections at one port. Seen beside much load: one that is free for the one kind is
-        in use by the other."""
+    async def open_link(self, link: str) -> str:
+        """Open the link's end and its proxy at one port; return their address.
+
+        Under load, a port that is free for datagrams may be in use for connections: another one is tried.
+        """
         for _ in range(PORT_TRIES):
             advertised = await self.links.advertised(link)
             try:
@@ -153,8 +155,8 @@
         raise AssertionError(f"no port for {link}")
 
     async def start_all(self) -> None:
-        for n in range(5):  # before any of them is given as a seed
-            await self.open(f"n{n}")
+        for n in range(5):  # All links are open before any of them is used as a seed's address
+            await self.open_link(f"n{n}")
         self.processes = list(
             await asyncio.gather(*(self.start(f"n{n}", "n0" if n else "") for n in range(5)))
         )
@@ -176,7 +178,7 @@
             for process in self.processes:
                 assert "Traceback" not in process.log.read_text()
         finally:
-            for process in self.extra:  # they leave, so that none is found dead in a later scenario
+            for process in self.extra:  # They leave, so that no later scenario finds them dead
                 process.send_signal(signal.SIGTERM)
             self.extra.clear()
 
@@ -191,11 +193,11 @@
 
 
 class ConnectionProxy:
-    """Connections to one member; ``fault``: pass, stall (receives and is silent), garble, cut."""
+    """Proxy for connections to one member; ``fault`` is pass, stall (read and discard), garble or cut."""
 
     def __init__(self, links: Links, name: str) -> None:
         self.links, self.name = links, name
-        self.target, self.fault, self.faulted = "", "pass", 0
+        self.target, self.fault, self.faulty_connections = "", "pass", 0
 
     async def open(self, advertised: str) -> "ConnectionProxy":
         host, _, port = advertised.rpartition(":")
@@ -205,7 +207,7 @@
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         host, _, port = self.target.rpartition(":")
         try:
-            # The caller names itself in its first part; a cut of either direction lets no connection through.
+            # The caller's name is in its first part. A cut in either direction blocks the connection.
             head = await reader.readexactly(2)
             part = await reader.readexactly(int.from_bytes(head, "big"))
             caller = str(msgpack.unpackb(part[:-16])[2])
@@ -215,7 +217,7 @@
             ):
                 raise ConnectionResetError
             onward = await asyncio.open_connection(host, int(port))
-            self.faulted += self.fault != "pass"
+            self.faulty_connections += self.fault != "pass"
             first = asyncio.StreamReader()
             first.feed_data(head + part)
             first.feed_eof()
@@ -246,7 +248,7 @@
 
 
 class ScenarioRunner:
-    """The fleet with its event loop, which stands still between scenarios."""
+    """The fleet with its event loop, which runs only during scenarios."""
 
     def __init__(self, folder: Path) -> None:
         self.loop, self.fleet = asyncio.Runner(), Fleet(folder)
--- a/tests/members/test_codec.py
+++ b/tests/members/test_codec.py
@@ -1,4 +1,4 @@
-"""Datagrams of the membership: round trips, other fleets, replays, cuts at every byte; the life number."""
+"""Datagrams of the membership: round trips, other fleets, replays, truncation at each byte; life numbers."""
 
 from dataclasses import replace
 from pathlib import Path
@@ -46,9 +46,9 @@
 MESSAGE = PingRequest(7, "n2", "127.0.0.1:9", (SUSPICION,))
 
 
-def codecs(**of_the_receiver: object) -> tuple[Codec, Codec]:
-    """A sender and a receiver."""
-    options = {"key": KEY, "fleet": "east", "name": "n2", "life": 1, **of_the_receiver}
+def codecs(**receiver_options: object) -> tuple[Codec, Codec]:
+    """Return a sender and a receiver; keyword arguments override the receiver's options."""
+    options = {"key": KEY, "fleet": "east", "name": "n2", "life": 1, **receiver_options}
     return Codec(KEY, "east", "n1", 5), Codec(**options)  # type: ignore[arg-type]
 
 
@@ -69,7 +69,7 @@
     assert decoded.updates == message.updates[: len(decoded.updates)]
 
 
-def test_datagram_of_a_stranger_is_dropped_with_its_reason() -> None:
+def test_datagram_with_another_key_fleet_version_or_size_is_dropped_with_its_reason() -> None:
     sender, receiver = codecs()
     stranger = codecs(key=key_from(b"another fleet's secret"))[1]
     assert drop_reason(stranger, sender.encode(MESSAGE)) is DropReason.TAG
@@ -115,19 +115,19 @@
     assert drop_reason(receiver, body + sender._tag(body)) is DropReason.FORM
 
 
-def test_a_newer_version_may_add_at_the_end() -> None:
+def test_fields_that_a_newer_version_adds_at_the_end_are_ignored() -> None:
     sender, receiver = codecs()
     fields = ["a", "b", 1, 1, 0, "", "h1", "new"]
     body = msgpack.packb([1, "east", "n1", 5, 1, 0, [3, "", "new"], [fields], {"new": 1}])
     updates = (Update("a", "b", Status(1, 1, MemberState.ALIVE), hall="h1"),)
     assert receiver.decode(body + sender._tag(body)) == ("n1", Ping(3, "", updates))
-    # A version without halls sends none, and finds the first six fields of each update as they were.
+    # An older version sends no halls, and finds the first six fields of each update unchanged.
     body = msgpack.packb([1, "east", "n1", 5, 2, 0, [3, ""], [fields[:6]]])
     assert receiver.decode(body + sender._tag(body))[1].updates == (replace(updates[0], hall=""),)
     assert msgpack.unpackb(sender.encode(Ping(1, updates=updates))[: -codec.TAG_BYTES])[7] == [fields[:7]]
 
 
-def test_each_counter_is_accepted_once_within_the_window_and_a_new_life_starts_anew() -> None:
+def test_each_counter_is_accepted_once_within_the_window_and_a_new_life_has_its_own_window() -> None:
     sender, receiver = codecs()
     sent = [sender.encode(PingRequestAck(n)) for n in range(codec.REPLAY_WINDOW + 2)]
     for data in (sent[3], sent[1], sent[2], sent[-1]):
@@ -154,7 +154,7 @@
         accepted.add(n)
 
 
-def test_the_counters_of_senders_are_bounded() -> None:
+def test_number_of_senders_with_replay_state_is_bounded() -> None:
     _, receiver = codecs()
     for n in range(codec.MAX_SENDERS + 10):
         receiver.decode(Codec(KEY, "east", "n1", n).encode(PingRequestAck(1)))
@@ -185,7 +185,7 @@
 
 def test_interrupted_write_of_the_life_file_leaves_the_old_number(tmp_path: Path) -> None:
     first = next_life(tmp_path, 1000.0)
-    (tmp_path / LIFE_FILE).with_suffix(".new").write_text("9")  # cut in the middle of the write
+    (tmp_path / LIFE_FILE).with_suffix(".new").write_text("9")  # As left by a write that was interrupted
     assert next_life(tmp_path, 10.0) == first + 1
 
 
--- a/tests/members/test_detector.py
+++ b/tests/members/test_detector.py
@@ -1,6 +1,6 @@
-"""The membership's state machine, many of them under a driven clock with faults between them.
+"""Failure detectors of many members in the simulator, with network faults between them.
 
-What is asserted holds over the whole history, checked after every step; a failure prints its seed.
+The simulator checks the invariants after every step of a history; a failure prints its seed.
 """
 
 from itertools import pairwise
@@ -30,7 +30,7 @@
     assert states == {MemberState.ALIVE}
 
 
-def test_simulation_forgets_what_it_saw_of_members_that_were_forgotten() -> None:
+def test_simulation_drops_its_record_of_members_that_were_forgotten() -> None:
     fleet = Fleet(4, check_s=1000.0)
     assert fleet.within(10.0, fleet.agree)
     for name in ("n2", "n3"):
@@ -63,7 +63,7 @@
 @pytest.mark.parametrize("seconds", [0.5, 2.0, 5.0, 10.0])
 @pytest.mark.parametrize("who", [["n1"], ["n1", "n2", "n3"], [f"n{n}" for n in range(1, 9)]])
 def test_paused_member_declares_nobody_dead_and_recovers(seconds: float, who: list[str]) -> None:
-    """A process that is stopped and goes on finds all that it waited for overdue; that proves nothing."""
+    """After a pause all of a process's deadlines have passed, which proves nothing about the others."""
     fleet = joined(9, seed=3)
     for name in who:
         fleet.pause(name, seconds)
@@ -104,14 +104,14 @@
     for name, member in fleet.members.items():
         living = {n for n, status in member.statuses().items() if status.state is MemberState.ALIVE}
         assert living == {n for n in side if side[n] == side[name]}
-    fleet.start("late", seeds=("n0",))  # who joins while the split lasts is known to all after it
+    fleet.start("late", seeds=("n0",))  # A member that joins during the partition is known to all later
     side["late"] = 0
     fleet.run(5.0)
     fleet.cut = lambda source, target: 0.0
     assert fleet.within(30.0, fleet.agree)
 
 
-def test_restart_within_one_probe_is_a_new_life_and_the_old_status_does_not_count() -> None:
+def test_restart_between_two_probes_has_a_new_life_and_updates_of_the_old_life_are_ignored() -> None:
     fleet = joined(5)
     fleet.kill("n3")
     fleet.start("n3", life=2)
@@ -191,7 +191,7 @@
 
 @pytest.mark.parametrize("seed", range(30))
 def test_random_histories_keep_the_invariants_and_end_in_agreement(seed: int) -> None:
-    """Loss, pauses, deaths, returns and cuts at random moments; the invariants are checked at each step."""
+    """Loss, pauses, deaths, restarts and cuts occur at random; the invariants are checked after each step."""
     fleet = Fleet(7, seed, loss=0.05, most_delay_s=0.4)
     lives = dict.fromkeys(fleet.members, 1)
     for _ in range(25):
@@ -231,7 +231,7 @@
 
 
 def test_passing_a_suspicion_on_does_not_confirm_it() -> None:
-    """Seen at three tenths lost: ten of twelve histories had a false death; with accusers named none has."""
+    """At 30% loss ten of twelve histories had a false death; none has since suspicions name their accuser."""
     member = joined(6).members["n0"]
     now, status = member.last_tick_s, Status(1, 0, MemberState.SUSPECT)
     for relay in ("n1", "n2", "n4", "n5"):
@@ -246,7 +246,7 @@
 @pytest.mark.parametrize("way", ["out", "in", "both"])
 @pytest.mark.parametrize("seed", [31, 32])
 def test_member_that_most_cannot_reach_does_not_flap(seed: int, way: str) -> None:
-    """Cut from all but one of nine. Before the rule some had it back up to 11 times in these plays."""
+    """One of nine members is cut off from all but one. Without the rule it returned up to 11 times here."""
     fleet = joined(9, seed)
     fleet.cut = lambda source, target: float(
         (source == "n8" and target != "n0" and way != "in")
@@ -291,12 +291,12 @@
     assert fleet.within(5.0, fleet.agree)
 
 
-def test_dead_member_that_still_sends_is_not_forgotten_and_met_anew() -> None:
-    """Seen in the simulator: after 300 periods of a cut the old word of one long dead raised it."""
+def test_dead_member_is_not_forgotten_while_it_still_sends() -> None:
+    """Otherwise, after 300 periods of a cut, an old update of a dead member made it alive again."""
     member, old = FailureDetector("n1", "n1", 1, 0.0, 1), Update("n2", "n2", Status(1, 0, MemberState.ALIVE))
     member.receive("n2", "n2", Ping(1, updates=(old,)), 0.0)
     member.receive("n3", "n3", Ping(1, updates=(Update("n2", "n2", Status(1, 0, MemberState.DEAD)),)), 0.0)
-    for step in range(1, 2500):  # of 0.4 periods
+    for step in range(1, 2500):  # Steps of 0.4 periods
         member.tick(0.4 * step)
         if step % 250 == 0:
             member.receive("n2", "n2", Ping(step, updates=(old,)), 0.4 * step)
@@ -306,14 +306,14 @@
     assert "n2" not in member.statuses()
 
 
-def test_own_pause_postpones_each_deadline_by_as_much() -> None:
+def test_pause_of_a_member_postpones_each_of_its_deadlines_by_its_length() -> None:
     member = joined(6).members["n0"]
     now = member.last_tick_s
     suspicion = Update("n3", "n3", Status(1, 0, MemberState.SUSPECT), "n1")
     member.receive("n1", "n1", Ping(1, updates=(suspicion,)), now)
     rest = member.known["n3"].ends_at_s - now
     now += 600.0
-    actions = member.tick(now)  # the refutation may wait in the socket, behind this tick
+    actions = member.tick(now)  # The refutation may still be unread in the socket
     assert member.statuses()["n3"].state is MemberState.SUSPECT
     assert not [a for a in actions if isinstance(a, StatusChanged)]
     for _ in range(round(rest / 0.1) + 1):
@@ -323,7 +323,7 @@
 
 
 def test_repeated_accusation_is_not_gossiped_more_often() -> None:
-    """A suspicion is told so many times for each accuser, however often it is heard."""
+    """A suspicion is passed on a fixed number of times per accuser, however often it is received."""
     member = joined(6).members["n0"]
     accused = Update("n3", "n3", Status(1, 0, MemberState.SUSPECT), "n1")
     sent = 0
@@ -339,7 +339,7 @@
 
 
 def test_gossip_queue_stays_bounded_when_updates_are_replaced_before_they_are_sent() -> None:
-    """Of a member that refutes again and again while nothing is sent, the heap keeps some lines, not all."""
+    """The heap drops most replaced entries of a member that refutes again and again while nothing is sent."""
     member = joined(6).members["n0"]
     for n in range(1, 500):
         member._apply(Update("n3", "n3", Status(1, n, MemberState.ALIVE)), member.last_tick_s, "told")
--- a/tests/members/test_halls.py
+++ b/tests/members/test_halls.py
@@ -1,4 +1,4 @@
-"""Halls under a driven clock: helpers in other halls, a lost hall reported once, updates without a hall."""
+"""Halls in the simulator: helpers in other halls, a lost hall reported once, updates without a hall."""
 
 import pytest
 
@@ -10,7 +10,7 @@
 
 
 def test_cut_between_two_of_three_halls_is_bridged_by_the_third_without_suspicions() -> None:
-    """Of the three helpers one stands in a third hall; drawn from all, none does at times."""
+    """One helper is always in the third hall; if helpers were drawn from all members, none might be there."""
     for seed in range(3):
         fleet = Fleet(9, seed, halls=3)
         assert fleet.within(10.0, fleet.agree)
@@ -30,7 +30,7 @@
         fleet.kill(name)
     rest = set(fleet.members)
     assert fleet.within(30.0, lambda: all(m.halls.halls["h1"].lost for m in fleet.members.values()))
-    fleet.run(FORGET_PERIODS + 60.0)  # forgotten as members; lost as a hall
+    fleet.run(FORGET_PERIODS + 60.0)  # The members are forgotten; their hall stays lost
     assert all("n1" not in m.statuses() and m.halls.halls["h1"].lost for m in fleet.members.values())
     for n in (1, 4):
         fleet.start(f"n{n}", life=2)
@@ -66,7 +66,7 @@
 
 
 def test_hall_missing_from_an_update_is_learnt_later_and_kept() -> None:
-    """A member of an earlier version passes updates on without it."""
+    """A member of an earlier version passes updates on without their hall."""
     member, status = FailureDetector("n1", "n1", 1, 0.0, 1, hall="h0"), Status(1, 0, MemberState.ALIVE)
     for update in (
         Update("n2", "n2", status),
@@ -77,6 +77,6 @@
         member.receive("n3", "n3", Ping(1, updates=(update,)), 0.0)
     assert member.known["n2"].update == Update("n2", "n2", Status(1, 2, MemberState.ALIVE), hall="h1")
     assert member.halls.halls["h1"].alive == 1
-    for n in range(100):  # as many halls as the bound allows
+    for n in range(100):  # More halls than the bound allows
         member.receive("n3", "n3", Ping(1, updates=(Update(f"m{n}", "m", status, hall=f"x{n}"),)), 0.0)
     assert len(member.halls.halls) == MAX_HALLS and len(member.living) == 101
--- a/tests/members/test_processes.py
+++ b/tests/members/test_processes.py
@@ -1,8 +1,8 @@
-"""Real processes of the program as members of one fleet: stopped, killed, cut off, joined, asked to leave.
+"""Members as real processes in one fleet: stopped, killed, cut off, joining, and asked to leave.
 
-One fleet of five serves all scenarios (one a worker, where pytest-xdist spreads them): each begins with all
-alive to all, and is judged by what the processes logged since. Safety is asserted over the whole of that log;
-times are only waited for, ten times as long as they take.
+One fleet of five processes serves all scenarios (one fleet per worker of pytest-xdist). Each scenario starts
+when all members are alive to all, and checks the events that the processes have logged since. Safety is
+asserted over this whole log; expected changes are only waited for, ten times as long as they usually take.
 """
 
 import asyncio
@@ -32,14 +32,16 @@
         runner.loop.close()
 
 
-def test_killed_process_is_detected_by_all_and_its_successor_is_a_new_life(runner: ScenarioRunner) -> None:
+def test_killed_process_is_detected_by_all_and_its_successor_has_a_greater_life(
+    runner: ScenarioRunner,
+) -> None:
     async def scenario(processes: list[Process], links: Links) -> None:
         killed = processes[3]
         killed.send_signal()
         rest = [p for p in processes if p is not killed]
         await until(lambda: all(p.states()["n3"] == "dead" for p in rest))
-        assert all(set(p.dead()) == {"n3"} for p in rest)
-        processes[3] = await runner.fleet.start("n3", "n1")  # any of them is a seed
+        assert all(set(p.reported_dead()) == {"n3"} for p in rest)
+        processes[3] = await runner.fleet.start("n3", "n1")  # Any member can serve as the seed
         await until(lambda: all_alive(processes))
         lives = [event["life"] for event in rest[0].events("member") if event["member"] == "n3"]
         assert lives[-1] > lives[0] and lives == sorted(lives)
@@ -48,7 +50,7 @@
 
 
 @pytest.mark.parametrize("who", [[1], [1, 2, 3, 4]])
-def test_stopped_process_accuses_nobody_when_it_goes_on_and_recovers(
+def test_stopped_process_accuses_nobody_when_it_continues_and_recovers(
     runner: ScenarioRunner, who: list[int]
 ) -> None:
     async def scenario(processes: list[Process], links: Links) -> None:
@@ -60,7 +62,7 @@
         await until(lambda: all_alive(processes))
         stopped = {f"n{n}" for n in who}
         for process in (processes[n] for n in who):
-            assert set(process.dead()) <= stopped, process.dead()
+            assert set(process.reported_dead()) <= stopped, process.reported_dead()
 
     runner(scenario)
 
@@ -70,7 +72,7 @@
         processes[2].send_signal(signal.SIGTERM)
         rest = [p for p in processes if p is not processes[2]]
         await until(lambda: all(p.states()["n2"] == "left" for p in rest))
-        assert all(p.dead() == [] for p in rest)
+        assert all(p.reported_dead() == [] for p in rest)
         processes[2] = await runner.fleet.start("n2", "n1")
 
     runner(scenario)
@@ -79,7 +81,7 @@
 def test_older_of_two_processes_with_one_name_reports_that_it_is_displaced(runner: ScenarioRunner) -> None:
     async def scenario(processes: list[Process], links: Links) -> None:
         old, twin = processes[4], await runner.fleet.start("n4", "n0", link="n6")
-        runner.fleet.extra += [old, twin]  # a new one takes their place as the next scenario begins
+        runner.fleet.extra += [old, twin]  # The next scenario starts a new process in their place
         await until(lambda: old.events("member displaced") != [])
         newest = twin.events("members")[0]["life"]
 
@@ -103,12 +105,13 @@
         await until(
             lambda: all({n for n, s in p.states().items() if s == "alive"} == side[p.name] for p in groups)
         )
-        assert all(set(p.dead()).isdisjoint(side[p.name]) for p in groups)  # nobody of one's own side
-        # Seen: one that is alone cannot tell its own link from the others' end. It reports that, and accuses
-        # nobody.
+        # Nobody reports a member of its own side dead.
+        assert all(set(p.reported_dead()).isdisjoint(side[p.name]) for p in groups)
+        # A member that is alone cannot tell a failure of its own link from the death of the others. It
+        # reports that it is isolated, and accuses nobody.
         for lone in (p for p in processes if p not in groups):
             await until(lambda p=lone: bool(p.view()["isolated"]))  # type: ignore[misc]
-            assert lone.dead() == []
+            assert lone.reported_dead() == []
         links.heal()
         await until(lambda: all_alive(processes))
 
@@ -121,17 +124,17 @@
         links.cut({"n1"}, {"n2"})
         if back:
             links.cut({"n2"}, {"n1"})
-        await asyncio.sleep(8.0)  # forty periods: each asks each of the others some ten times
+        await asyncio.sleep(8.0)  # 40 periods, in which each member probes each other one about ten times
         assert links.lost > 0
-        assert all(p.dead() == [] for p in processes), [p.dead() for p in processes]
-        # The matrix shows the cut: n2 receives nothing from n1 itself, though it knows it to live.
+        assert all(p.reported_dead() == [] for p in processes), [p.reported_dead() for p in processes]
+        # The matrix shows the cut: n2 knows that n1 is alive, but receives nothing from n1 directly.
         run = CliRunner().invoke(main, ["members", *(part for p in processes for part in ("--at", p.admin))])
         rows = [line.split() for line in run.output.splitlines()]
         assert rows[0] == ["hears", "n0", "n1", "n2", "n3", "n4"]
         assert rows[3][0] == "n2" and rows[3][2] != "dead"
-        await until(lambda: processes[2].heard("n1") > processes[2].heard("n0") + 3.0)
+        await until(lambda: processes[2].received_ago_s("n1") > processes[2].received_ago_s("n0") + 3.0)
         links.heal()
-        await until(lambda: all_alive(processes) and processes[2].heard("n1") < 3.0)
+        await until(lambda: all_alive(processes) and processes[2].received_ago_s("n1") < 3.0)
 
     runner(scenario)
 
@@ -139,11 +142,11 @@
 def test_lost_doubled_truncated_and_reordered_datagrams_cause_no_false_death(runner: ScenarioRunner) -> None:
     async def scenario(processes: list[Process], links: Links) -> None:
         links.every = Faults(loss=0.05, double=0.1, short=0.05, delay_s=0.03)
-        lost, before = links.lost, [p.counted("dropped_replayed", "dropped_tag") for p in processes]
+        lost, before = links.lost, [p.counters("dropped_replayed", "dropped_tag") for p in processes]
         await asyncio.sleep(8.0)
         assert links.lost > lost
-        assert all(p.dead() == [] for p in processes), [p.dead() for p in processes]
-        now = [p.counted("dropped_replayed", "dropped_tag") for p in processes]
+        assert all(p.reported_dead() == [] for p in processes), [p.reported_dead() for p in processes]
+        now = [p.counters("dropped_replayed", "dropped_tag") for p in processes]
         assert all(sum(n[k] for n in now) > sum(b[k] for b in before) for k in now[0])
         links.every = Faults()
         await until(lambda: all_alive(processes))
@@ -174,11 +177,11 @@
         others = {"n0", "n1", "n2", "n3"}
         links.cut(*(({"n4"}, others) if way == "its messages are lost" else (others, {"n4"})))
         await until(lambda: all(p.states().get("n4") == "dead" for p in processes[:4]))
-        await asyncio.sleep(4.0)  # twenty periods in which it could come and go
+        await asyncio.sleep(4.0)  # 20 periods in which it could flap
         for process in processes[:4]:
-            assert set(process.dead()) == {"n4"}
+            assert set(process.reported_dead()) == {"n4"}
             assert not [e for e in process.events("member") if (e["before"], e["state"]) == ("dead", "alive")]
-        assert processes[4].dead() == []  # the fault is its own, and it accuses nobody
+        assert processes[4].reported_dead() == []  # Its own link is at fault, so it accuses nobody
         links.heal()
         await until(lambda: all_alive(processes))
 
@@ -190,59 +193,61 @@
 ) -> None:
     async def scenario(processes: list[Process], links: Links) -> None:
         host, _, port = processes[0].address.rpartition(":")
-        bad, before = [], processes[0].counted("exchanges_failed", "dropped_tag")
+        bad, before = [], processes[0].counters("exchanges_failed", "dropped_tag")
         for sent in (b"", b"\x04", b"\x00\x10" + b"x" * 16, b"\xff\xff" + b"y" * 4000, b"\x04\xb0half", b""):
             _, writer = await asyncio.open_connection(host, int(port))
             writer.write(sent)
             bad.append(writer)
-        # With every place taken by silent callers the protocol goes on: a death is detected all the same.
+        # While silent callers occupy all places for exchanges, the protocol continues and detects a death.
         processes[4].send_signal()
         await until(lambda: all(p.states().get("n4") == "dead" for p in processes[:4]))
         for process in processes[:4]:
-            assert set(process.dead()) == {"n4"}
+            assert set(process.reported_dead()) == {"n4"}
         for writer in bad:
             writer.close()
-        now = processes[0].counted(*before)
+        now = processes[0].counters(*before)
         assert all(now[counter] > before[counter] for counter in before), (before, now)
         processes[4] = await runner.fleet.start("n4", "n1")
         await until(lambda: all_alive(processes))
-        assert all(p.counted("exchanges")["exchanges"] > 0 for p in processes)
+        assert all(p.counters("exchanges")["exchanges"] > 0 for p in processes)
 
     runner(scenario)
 
 
 @pytest.mark.parametrize("fault", ["stall", "garble", "cut"])
-def test_link_that_breaks_connections_costs_full_states_and_nothing_else(
+def test_link_that_breaks_connections_stops_only_the_exchange_of_full_states(
     runner: ScenarioRunner, fault: str
 ) -> None:
     async def scenario(processes: list[Process], links: Links) -> None:
         failed = {"stall": "exchanges_failed", "garble": "dropped_tag", "cut": "exchanges_failed"}[fault]
-        before = sum(p.counted(failed)[failed] for p in processes)
+        before = sum(p.counters(failed)[failed] for p in processes)
         proxies = runner.fleet.proxies.values()
         for proxy in proxies:
-            proxy.fault, proxy.faulted = fault, 0
-        # Each calls one of the others at least each thirty periods, and a death is detected meanwhile.
+            proxy.fault, proxy.faulty_connections = fault, 0
+        # Each process calls another one at least every 30 periods; a death is detected meanwhile.
         processes[4].send_signal()
         await until(lambda: all(p.states().get("n4") == "dead" for p in processes[:4]))
         await until(
             lambda: (
-                sum(proxy.faulted for proxy in proxies) > 2
-                and sum(p.counted(failed)[failed] for p in processes[:4]) > before
+                sum(proxy.faulty_connections for proxy in proxies) > 2
+                and sum(p.counters(failed)[failed] for p in processes[:4]) > before
             )
         )
-        assert all(set(p.dead()) == {"n4"} for p in processes[:4])
-        # A process that starts meanwhile learns of all by gossip alone, and by full states again afterwards.
+        assert all(set(p.reported_dead()) == {"n4"} for p in processes[:4])
+        # A process that starts meanwhile learns of all members by gossip alone; afterwards exchanges succeed.
         processes[4] = await runner.fleet.start("n4", "n1")
         await until(lambda: all_alive(processes))
-        done = sum(p.counted("exchanges")["exchanges"] for p in processes)
+        done = sum(p.counters("exchanges")["exchanges"] for p in processes)
         for proxy in proxies:
             proxy.fault = "pass"
-        await until(lambda: sum(p.counted("exchanges")["exchanges"] for p in processes) > done)
+        await until(lambda: sum(p.counters("exchanges")["exchanges"] for p in processes) > done)
 
     runner(scenario)
 
 
-def test_lost_hall_is_reported_by_all_and_back_with_its_first_member(runner: ScenarioRunner) -> None:
+def test_lost_hall_is_reported_by_all_and_returns_with_its_first_living_member(
+    runner: ScenarioRunner,
+) -> None:
     async def scenario(processes: list[Process], links: Links) -> None:
         for n in (1, 4):
             processes[n].send_signal()
--- a/tests/members/test_state_sync.py
+++ b/tests/members/test_state_sync.py
@@ -1,4 +1,4 @@
-"""Exchange of full states: digests, parts in any order, earlier versions; under a driven clock."""
+"""Exchanges of full states: digests, parts in any order, earlier versions, and when they are scheduled."""
 
 from hypothesis import given
 from hypothesis import settings as test_settings
@@ -13,7 +13,7 @@
 any_status = st.builds(Status, st.integers(1, 3), st.integers(0, 3), st.sampled_from(MemberState))
 
 
-def test_full_states_bring_what_is_gossiped_no_more_but_revive_none_of_the_forgotten_dead() -> None:
+def test_full_states_bring_members_no_longer_gossiped_but_not_the_forgotten_dead() -> None:
     knows, new = FailureDetector("n0", "n0", 1, 0.0, 1), FailureDetector("n1", "n1", 1, 0.0, 2)
     for n in range(2, 30):
         status = Status(1, n, MemberState.DEAD if n % 7 == 0 else MemberState.ALIVE)
@@ -21,18 +21,18 @@
     parts = knows.full_state()
     assert [part.parts_left for part in parts] == [3, 2, 1, 0]
     assert all(len(part.updates) <= messages.MAX_UPDATES for part in parts)
-    for part in reversed(parts):  # in any order
+    for part in reversed(parts):  # The parts may arrive in any order
         new.receive("n0", "", part, 0.0)
     living = {name: status for name, status in knows.statuses().items() if status.state is MemberState.ALIVE}
     assert new.statuses() == {"n1": new.me.status, **living}
-    # A member that is known to live is learnt to be dead this way too.
+    # Full states also bring the death of a member that is known to be alive.
     knows.receive("n2", "n2", Ping(99, updates=(Update("n3", "n3", Status(1, 3, MemberState.DEAD)),)), 0.0)
     for part in knows.full_state():
         new.receive("n0", "", part, 0.0)
     assert new.statuses()["n3"].state is MemberState.DEAD
 
 
-def test_of_more_members_than_a_full_state_holds_a_random_sample_is_sent() -> None:
+def test_full_state_holds_a_random_sample_if_there_are_too_many_members() -> None:
     member = FailureDetector("n0", "n0", 1, 0.0, 1)
     for n in range(1, 1200):
         alive = Update(f"n{n}", f"n{n}", Status(1, 0, MemberState.ALIVE))
@@ -77,7 +77,9 @@
     exchange(caller, called)
     for name in caller.statuses().keys() & called.statuses().keys() - {"n1", "n2"}:
         known = [lives[name] for lives in (one, other) if name in lives]
-        if min(status.state for status in known) < MemberState.DEAD:  # dead and left are not compared
+        if (
+            min(status.state for status in known) < MemberState.DEAD
+        ):  # Digests leave out dead members and those that left
             assert caller.statuses()[name] == called.statuses()[name] == max(known)
     assert caller.digests() == called.digests()
     assert exchange(caller, called) == 2
@@ -90,7 +92,7 @@
     caller.receive("n2", "n2", Ping(1, updates=(called.me,)), 0.0)
     caller.sync_at_round = 30
     assert exchange(caller, called) < 12 and caller.statuses()["m7"].incarnation == 3
-    assert caller.sync_at_round == 30  # little differed: no sooner than it would have
+    assert caller.sync_at_round == 30  # A small difference does not bring the next exchange forward
     exchange(caller, knowing("n3", {}))
     assert caller.sync_at_round < 10
 
@@ -99,13 +101,13 @@
     called = knowing("n2", {f"m{n}": Status(1, 0, MemberState.ALIVE) for n in range(30)})
     parts, remainder_follows = called.answer(FullState(0, ()))
     assert sum(len(part.updates) for part in parts) == 31 and not remainder_follows
-    # A called member of an earlier version answers with its full state, without digests.
+    # If the called member is of an earlier version, its answer has no digests, and the remainder is empty.
     caller = knowing("n1", {})
     assert caller.remainder(caller.opening(), parts[0]) == []
 
 
 def test_return_of_one_of_many_dead_brings_the_next_exchange_forward() -> None:
-    """Of halves of 100 that meet again each has fifty to learn of, and a message carries seven updates."""
+    """When halves of 100 members meet again, each learns of 50 members, and a message carries 7 updates."""
     for dead, soon in ((LARGE_DIFFERENCE + 1, True), (LARGE_DIFFERENCE - 1, False)):
         member = knowing(
             "n1",
@@ -117,7 +119,7 @@
         assert (member.sync_at_round < 30) == soon
 
 
-def test_large_differences_are_exchanged_each_round_for_a_time_and_end_with_one_more_exchange() -> None:
+def test_large_differences_bring_an_exchange_each_round_up_to_a_limit_and_one_more_at_the_end() -> None:
     lives = {f"m{n}": Status(1, 0, MemberState.ALIVE) for n in range(30)}
     caller, called = knowing("n1", {}), knowing("n2", lives)
     called.sync_at_round = 30
@@ -130,8 +132,11 @@
             caller._forget(name)
     assert waits == [1] * (MAX_FAST_SYNCS - 1) + [EARLY_SYNC_ROUNDS] * 2
     exchange(caller, called)
-    assert called.sync_at_round == 1  # who is called by one that differs much has as much to learn
-    for wait in (EARLY_SYNC_ROUNDS, 30):  # the other may have lacked the same
+    assert called.sync_at_round == 1  # The called member finds the large difference too
+    for wait in (
+        EARLY_SYNC_ROUNDS,
+        30,
+    ):  # One more early exchange: the called member may have lacked the same names
         caller.sync_at_round = 30
         exchange(caller, called)
         assert caller.sync_at_round == wait
@@ -148,7 +153,7 @@
     assert fleet.within(30.0, fleet.agree)
 
 
-def test_member_met_anew_by_its_answer_is_asked_for_its_full_state() -> None:
+def test_unknown_member_that_answers_a_probe_is_asked_for_its_full_state() -> None:
     member = knowing("n1", {"m0": Status(1, 0, MemberState.ALIVE)})
     seed = Update("s", "s", Status(1, 0, MemberState.ALIVE))
     assert StartSync("s") in member.receive("s", "s", Ack(9, updates=(seed,)), 0.0)
--- a/tests/talk/test_talk.py
+++ b/tests/talk/test_talk.py
@@ -1,4 +1,4 @@
-"""Links between nodes over real sockets: order, bounds, and peers that stall, restart or are strangers."""
+"""Links between nodes over real sockets: order, bounds, and peers that stall, restart or are unknown."""
 
 import asyncio
 import socket
@@ -44,7 +44,7 @@
         with pytest.raises(DroppedError) as caught:
             decode(key, challenge, receiver, data[4:])
         assert caught.value.reason is DropReason.TAG
-    for n in range(4, len(data)):  # every byte of body and tag counts
+    for n in range(4, len(data)):  # A change of any byte of body or tag is detected
         with pytest.raises(DroppedError):
             decode(KEY, CHALLENGE, "b", data[4:n] + bytes([data[n] ^ 1]) + data[n + 1 :])
     for size in (0, 16, 2 << 20, 0xFFFFFFFF):
@@ -63,12 +63,12 @@
         with pytest.raises(DroppedError) as caught:
             replay_filter.admit(Frame("a", life, counter, "c", b""))
         assert caught.value.reason is reason
-    replay_filter.admit(Frame("a", 8, 1, "c", b""))  # a new life counts anew
+    replay_filter.admit(Frame("a", 8, 1, "c", b""))  # Counters of a new life start again
     replay_filter.admit(Frame("b", 1, 1, "c", b""))
 
 
 class Node:
-    """A transport of its own and what it received on the channel ``c``."""
+    """A transport, and the messages that it received on the channel ``c``."""
 
     def __init__(
         self,
@@ -101,7 +101,7 @@
 async def until(condition: Callable[[], bool], seconds: float = 20.0) -> None:
     end = time.monotonic() + seconds
     while not condition():
-        assert time.monotonic() < end, "never came"
+        assert time.monotonic() < end, "condition not met in time"
         await asyncio.sleep(0.01)
 
 
@@ -112,7 +112,7 @@
     asyncio.run(with_timeout())
 
 
-def test_messages_arrive_in_order_and_messages_to_itself_in_a_later_turn() -> None:
+def test_messages_arrive_in_order_and_those_to_the_own_node_in_a_later_loop_iteration() -> None:
     async def scenario() -> None:
         a, b = Node("a"), Node("b", 3)
         await a.transport.listen()
@@ -165,7 +165,7 @@
         for n in range(200):
             assert a.transport.send("b", "c", b"%d" % n)
         await until(lambda: len(b.received) == 200)
-        # Closed and connected anew; what waited too long is not sent over the new connection.
+        # The link reconnects, and does not send messages that waited too long over the new connection.
         await until(lambda: len(held) > 1 and not a.transport.links["s"].queue)
         dropped = a.transport.view()["peers"]["s"]["dropped"]
         assert dropped["to_full"] == 2 and dropped["to_late"] >= 1 and dropped["to_lost"] >= 1
@@ -179,7 +179,7 @@
     run(scenario)
 
 
-def test_frames_with_another_key_of_a_stranger_or_of_an_older_life_are_not_delivered() -> None:
+def test_frames_with_another_key_or_from_an_unknown_sender_or_an_older_life_are_not_delivered() -> None:
     async def scenario() -> None:
         b = Node("b", peers={"a": ("127.0.0.1", 9)})
         await b.transport.listen()
@@ -216,7 +216,7 @@
         host, port = b.transport.address.split(":")
         b.stop()
         await until(lambda: not a.transport.links["b"].connected)
-        assert a.transport.send("b", "c", b"2")  # waits for it
+        assert a.transport.send("b", "c", b"2")  # Waits in the queue until the peer is back
         restarted = Node("b", 2, {"a": ("127.0.0.1", 9)}, listen=(host, int(port)))
         await restarted.transport.listen()
         await restarted.start()
@@ -252,5 +252,5 @@
         with pytest.raises(ConfigError, match=f"f: fleet: {key}"):
             read({**good, key: wrong}, "f: fleet", tmp_path)
     first = lives.next_life(tmp_path / "s", 1000.0, LIFE_FILE)
-    assert lives.next_life(tmp_path / "s", 5.0, LIFE_FILE) == first + 1  # though the clock jumped back
+    assert lives.next_life(tmp_path / "s", 5.0, LIFE_FILE) == first + 1  # Even though the clock was set back
     assert (tmp_path / "s" / "talk.life").exists()
