--- a/beechrock/members/detector.py
+++ b/beechrock/members/detector.py
@@ -259,7 +259,7 @@
             self._send(self.known[name].update.address, request)
 
     def _end_probe(self, now_s: float) -> None:
-        """Close the open probe; suspect its target unless all helpers stayed silent."""
+        """Close the open probe; suspect its target unless all helpers were silent or this one is accused."""
         probe, self.probe = self.probe, None
         if probe is None or probe.target not in self.known:
             return
--- a/beechrock/members/halls.py
+++ b/beechrock/members/halls.py
@@ -38,9 +38,7 @@
     suspect: int = 0
     dead: int = 0
     lost: bool = False  # Whether all members died and none is alive again
-    living: NamePool = field(
-        default_factory=NamePool
-    )  # Alive or suspected members, from which helpers are drawn
+    living: NamePool = field(default_factory=NamePool)  # Alive or suspected members, candidates for helpers
 
     @property
     def state(self) -> HallState:
--- a/beechrock/members/state_sync.py
+++ b/beechrock/members/state_sync.py
@@ -24,11 +24,13 @@
 )
 from beechrock.members.view import MembershipView
 
-EARLY_SYNC_ROUNDS = 3  # Rounds to the first exchange after a start, and to one that is brought forward
+EARLY_SYNC_ROUNDS = 3  # Rounds to the first exchange after a start, and to an early one if not each round
 # Exchanges in a row with large differences that may follow each other round by round; seven rounds bring an
 # update to 1,000 members.
 MAX_FAST_SYNCS = 10
-LARGE_DIFFERENCE = 4  # Differing buckets, or dead members, that count as many; one or two deaths change fewer
+# More differing buckets than this, or at least as many dead members, are a large difference; one or two
+# deaths change fewer buckets.
+LARGE_DIFFERENCE = 4
 
 
 def bucket_of(name: str) -> int:
--- a/beechrock/members/view.py
+++ b/beechrock/members/view.py
@@ -31,7 +31,7 @@
 # An update is passed on this many times log2(n + 2) times, so that all members get it with high probability.
 GOSSIP_FACTOR = 4.0
 HELPERS = 3  # Number of members that are asked to probe one that did not answer
-MAX_LOCAL_HEALTH = 7  # Worst score of the own health; timeouts are at most 1 + this many times as long
+MAX_LOCAL_HEALTH = 7  # Worst local health score; timeouts are at most 1 + this many times as long
 MIN_SUSPICION_PERIODS = 4.0  # Length of the shortest suspicion, in periods: this times log10(members)
 MAX_SUSPICION_FACTOR = 6.0  # Length of a suspicion with one accuser, as a multiple of the shortest
 HEALING_PERIODS = 10  # Periods after a dead member's return in which each round probes several dead ones
--- a/beechrock/talk/frames.py
+++ b/beechrock/talk/frames.py
@@ -107,9 +107,8 @@
         raise DroppedError(DropReason.TAG)
     try:
         fields = msgpack.unpackb(body)
-        version, sender, life, counter, channel, message = fields[
-            :6
-        ]  # A newer version may add fields at the end
+        # A newer version may add fields at the end.
+        version, sender, life, counter, channel, message = fields[:6]
     except Exception:
         raise DroppedError(DropReason.FORM) from None
     types = ((version, int), (sender, str), (life, int), (counter, int), (channel, str), (message, bytes))
--- a/beechrock/talk/link.py
+++ b/beechrock/talk/link.py
@@ -17,9 +17,9 @@
 
 MAX_QUEUED_BYTES = 4 << 20  # Maximum size of the queue to one peer
 MAX_QUEUED_MESSAGES = 65_536  # Maximum length of that queue: many small messages cost more than their bytes
-MIN_ACCOUNTED_BYTES = 64  # Size that is accounted for even an empty message in the queue
+MIN_ACCOUNTED_BYTES = 64  # Minimum size that a queued message is accounted for
 MAX_QUEUE_AGE_S = 5.0  # Age beyond which a queued message is dropped; its sender repeats what matters
-CONNECT_TIMEOUT_S = 2.0  # Time limit up to the challenge: the kernel accepts for a stopped process too
+CONNECT_TIMEOUT_S = 2.0  # Limit to receive the challenge: the kernel accepts even for a stopped process
 WRITE_TIMEOUT_S = 5.0  # A connection that accepts no bytes for this long is closed
 MIN_BACKOFF_S = 0.05  # Delay between two attempts to connect, doubled with each failure
 MAX_BACKOFF_S = 1.0
@@ -34,7 +34,7 @@
     life: int
     key: bytes
     counters: Counters
-    clock: Callable[[], float]  # monotonic seconds
+    clock: Callable[[], float]  # Returns monotonic seconds
 
 
 @dataclass(frozen=True, slots=True)
--- a/beechrock/talk/part.py
+++ b/beechrock/talk/part.py
@@ -27,9 +27,10 @@
 from beechrock.talk.link import MAX_QUEUED_BYTES, OutboundLink, Sender, accounted_bytes
 from beechrock.talk.settings import FleetSettings
 
-MAX_INBOUND_PER_PEER = 4  # Average connections per peer; beyond it the oldest is closed; its peer reconnects
+# Inbound connections per peer, on average; beyond that the oldest one is closed, and its peer reconnects.
+MAX_INBOUND_PER_PEER = 4
 LIFE_FILE = "talk.life"  # File in the state folder that holds the last life number used
-UNKNOWN_SENDER = ""  # Stands for unconfigured senders, and for a connection's before its first valid frame
+UNKNOWN_SENDER = ""  # Used for unconfigured senders, and for connections before their first valid frame
 
 MessageHandler = Callable[[str, int, bytes], None]  # Arguments: sender, its life number, message
 
--- a/tests/members/test_detector.py
+++ b/tests/members/test_detector.py
@@ -246,7 +246,7 @@
 @pytest.mark.parametrize("way", ["out", "in", "both"])
 @pytest.mark.parametrize("seed", [31, 32])
 def test_member_that_most_cannot_reach_does_not_flap(seed: int, way: str) -> None:
-    """One of nine members is cut off from all but one. Without the rule it returned up to 11 times here."""
+    """One of nine members is cut off from all but one; before REFUTE_ANSWERS it returned up to 11 times."""
     fleet = joined(9, seed)
     fleet.cut = lambda source, target: float(
         (source == "n8" and target != "n0" and way != "in")
--- a/tests/members/test_state_sync.py
+++ b/tests/members/test_state_sync.py
@@ -77,9 +77,8 @@
     exchange(caller, called)
     for name in caller.statuses().keys() & called.statuses().keys() - {"n1", "n2"}:
         known = [lives[name] for lives in (one, other) if name in lives]
-        if (
-            min(status.state for status in known) < MemberState.DEAD
-        ):  # Digests leave out dead members and those that left
+        # Digests leave out dead members and those that left.
+        if min(status.state for status in known) < MemberState.DEAD:
             assert caller.statuses()[name] == called.statuses()[name] == max(known)
     assert caller.digests() == called.digests()
     assert exchange(caller, called) == 2
@@ -133,10 +132,8 @@
     assert waits == [1] * (MAX_FAST_SYNCS - 1) + [EARLY_SYNC_ROUNDS] * 2
     exchange(caller, called)
     assert called.sync_at_round == 1  # The called member finds the large difference too
-    for wait in (
-        EARLY_SYNC_ROUNDS,
-        30,
-    ):  # One more early exchange: the called member may have lacked the same names
+    # One more early exchange follows: the called member may have lacked the same names.
+    for wait in (EARLY_SYNC_ROUNDS, 30):
         caller.sync_at_round = 30
         exchange(caller, called)
         assert caller.sync_at_round == wait
