--- a/beechrock/net/line_connection.py
+++ b/beechrock/net/line_connection.py
@@ -1,20 +1,24 @@
-"""Connections that speak in lines, some of which have a body."""
+"""Connections with a line protocol, in which a line may be followed by a body."""
 
 from beechrock.core.counters import Counters
 from beechrock.net.connection import BadInputError, ConnectionActor, T
 
 
 class LineConnection(ConnectionActor[T]):
-    """A connection of lines of fields; some are followed by as many bytes as their last field says."""
+    """A connection with a protocol of lines of fields.
+
+    A line may be followed by a body, whose length in bytes is the line's last field.
+    """
 
     max_line_bytes, max_body_bytes = 4096, 1 << 20
 
     def __init__(self, counters: Counters, max_out_bytes: int, mailbox: int) -> None:
         super().__init__(counters, self.max_line_bytes + self.max_body_bytes + 4, max_out_bytes, mailbox)
-        self._waiting: tuple[list[str], int] | None = None  # a line whose body is still to come
+        # Fields of a line, and the length of its body, while the body has not arrived completely.
+        self._waiting: tuple[list[str], int] | None = None
 
     def has_body(self, fields: list[str]) -> bool:
-        """Return whether a body follows this line; its length is the last field."""
+        """Return whether a body follows the line; its length in bytes is the last field."""
         raise NotImplementedError
 
     def receive_line(self, fields: list[str], body: bytes) -> None:
@@ -22,7 +26,7 @@
         raise NotImplementedError
 
     def parse(self) -> None:
-        """Read the complete lines, each with its body. Raises BadInputError."""
+        """Handle all complete lines with their bodies. Raises BadInputError."""
         while not self.closing:
             if self._waiting is None:
                 line = self.inbox.line(self.max_line_bytes)
@@ -43,6 +47,6 @@
                 return
             body = self.inbox.read(size)
             if self.inbox.read(2) != b"\r\n":
-                raise BadInputError("a body of another length than its line says")
+                raise BadInputError("a body that is longer or shorter than its line says")
             self._waiting = None
             self.receive_line(fields, body)
--- a/tests/net/test_agent.py
+++ b/tests/net/test_agent.py
@@ -1,4 +1,4 @@
-"""Commands to the agent that cross a break of its link, or find no room."""
+"""Commands to the agent across a break of its link, or with a full queue; notices and greetings."""
 
 import random
 
@@ -18,8 +18,8 @@
 
 
 def request() -> Request:
-    def answer(said: Answer) -> None:
-        raise AssertionError(said)
+    def answer(reported: Answer) -> None:
+        raise AssertionError(reported)
 
     return Request(trace=TRACE, klass=0, route="resolve", born=0.0, body=b"x", answer=answer, running=True)
 
@@ -31,7 +31,7 @@
     return stand.program.agent
 
 
-def test_a_freeze_and_a_thaw_that_may_be_lost_go_out_again_in_their_order() -> None:
+def test_pause_and_resume_commands_that_may_be_lost_are_resent_in_order() -> None:
     async def work(stand: Stand) -> None:
         agent, made = await agent_of(stand), request()
         agent.launch(made)
@@ -43,7 +43,7 @@
         agent.resume(made)
         all_three = f"launch {TRACE} resolve 1\\r\\nx\\r\\nfreeze {TRACE}\\r\\nthaw {TRACE}\\r\\n"
         await stand.play("clock 0.03\n" + UP.replace("%s", "h") + f'h < "{all_three}"\n')
-        # Read by now, as the answer to a later question shows: a break costs nothing.
+        # The answer to a later sample request proves that the commands were read: a break loses nothing.
         agent.sample()
         await until(lambda: not len(agent.runs.unconfirmed), lambda: "not settled")
         await stand.play("h break\ncounter agent.ended_links 2\nclock 0.03\n" + UP.replace("%s", "i"))
@@ -51,7 +51,7 @@
     run(work)
 
 
-def test_what_nobody_waits_for_any_more_is_not_launched_on_a_new_link_if_it_never_went_out() -> None:
+def test_a_request_that_nobody_waits_for_is_not_launched_on_a_new_link_if_it_was_never_sent() -> None:
     async def work(stand: Stand) -> None:
         agent, made = await agent_of(stand), request()
         await stand.play("g break\ncounter agent.ended_links 1\n")
@@ -65,21 +65,21 @@
     run(work)
 
 
-def test_a_launch_that_finds_no_room_among_the_commands_is_said_to_have_never_run(
+def test_a_launch_beyond_the_command_queues_bound_is_reported_as_never_run(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def work(stand: Stand) -> None:
         agent = await agent_of(stand)
         monkeypatch.setattr(agent_commands, "MAX_COMMANDS", 0)
         agent.launch(request())
-        [said] = [m for m in stand.program.module.mailbox.drain() if isinstance(m, RunEnded)]
-        assert said == RunEnded(TRACE, Outcome.REJECTED, 0.0)
+        [reported] = [m for m in stand.program.module.mailbox.drain() if isinstance(m, RunEnded)]
+        assert reported == RunEnded(TRACE, Outcome.REJECTED, 0.0)
         assert (agent.runs.open, agent.dispatches) == ({}, 0)
 
     run(work)
 
 
-def test_a_link_that_takes_no_more_commands_is_cut_and_the_next_one_carries_them(
+def test_a_link_with_a_full_queue_is_cut_and_its_commands_are_kept_for_the_next_one(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def work(stand: Stand) -> None:
@@ -103,7 +103,7 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_no_line_of_any_words_is_more_than_a_cut_or_a_message_that_the_module_can_take(seed: int) -> None:
+def test_random_lines_cause_at_most_a_cut_or_a_message_that_the_module_can_handle(seed: int) -> None:
     async def work(stand: Stand) -> None:
         agent, draw = await agent_of(stand), random.Random(seed)
         module = stand.program.module
@@ -113,7 +113,7 @@
             try:
                 agent.receive_line(words, draw.choice([b"", b"x"]))
             except BadInputError as error:
-                agent.unreadable(words, str(error))
+                agent.handle_unreadable(words, str(error))
             assert agent.notices.last >= before or stand.program.counters["agent.restarts"] > 0
             module.tick(stand.now)
         assert module.table.by_id == {}
@@ -122,7 +122,7 @@
     run(work)
 
 
-def test_a_reply_is_not_sent_again_to_a_run_whose_next_call_was_read_with_the_word_to_send() -> None:
+def test_a_reply_is_not_resent_to_a_run_whose_next_call_was_read_with_the_sync_answer() -> None:
     async def work(stand: Stand) -> None:
         agent, made = await agent_of(stand), request()
         agent.launch(made)
@@ -144,8 +144,8 @@
     run(work)
 
 
-def test_a_start_anew_shows_though_the_last_words_before_it_are_read_after_it() -> None:
-    """The node is late: it reads what the agent said before its end once the next agent is up already."""
+def test_a_restart_is_detected_even_if_the_last_notice_before_it_is_read_after_it() -> None:
+    """The node lags: it reads the old agent's last notice only when the new agent has started already."""
 
     async def work(stand: Stand) -> None:
         agent, made = await agent_of(stand), request()
@@ -156,7 +156,8 @@
             f'g < "launch {TRACE} resolve 1\\r\\nx\\r\\n"\nclock 0.05\ng > "aside 7 last words\\r\\n"\n'
         )
         await until(lambda: agent.notices.last == 7, lambda: "unread")
-        # Anew 10 ms before that was read, asked 30 ms after it; its numbers start at 1.
+        # The agent restarted 10 ms before that notice was read, and gets the subscription 30 ms after it. Its
+        # notice numbers start at 1 again.
         await stand.play(
             "g break\ncounter agent.ended_links 1\nclock 0.03\nh = accept agent\n"
             'h < "subscribe 7\\r\\n"\nh > "greeting EMPTY 40\\r\\n"\nh closed\n'
@@ -169,7 +170,7 @@
     run(work)
 
 
-def test_a_greeting_that_is_read_late_is_no_start_anew() -> None:
+def test_a_greeting_that_is_read_late_does_not_count_as_a_restart() -> None:
     async def work(stand: Stand) -> None:
         await agent_of(stand)
         await stand.play(
@@ -183,7 +184,7 @@
 
 @pytest.mark.parametrize("age_ms", [0, 5100])
 def test_a_greeting_that_nobody_asked_for_cuts_the_link_and_loses_no_run(age_ms: int) -> None:
-    """One of age 0 was taken for a start anew: what ran was given up, though it ran on."""
+    """A greeting with age 0 was taken for a restart, and runs were given up although they went on."""
 
     async def work(stand: Stand) -> None:
         agent, made = await agent_of(stand), request()
@@ -200,8 +201,8 @@
     run(work)
 
 
-def test_a_configuration_that_cannot_be_read_at_all_ends_no_search_for_the_agent() -> None:
-    """Looked for anew in the midst of a link's life, where an exception left the link without its alarm."""
+def test_an_unreadable_configuration_does_not_end_the_search_for_the_agent() -> None:
+    """The configuration is read as a link handles an event; an exception left the link without a timer."""
 
     async def work(stand: Stand) -> None:
         agent, program = await agent_of(stand), stand.program
@@ -225,7 +226,7 @@
                     return
             raise AssertionError(f"no further attempt: {agent.link_actor.life.state}")
 
-        await refused(5)  # the file is looked at after each third
+        await refused(5)  # the file is read after every third refused attempt
         assert program.counters["trouble.reload"] == program.counters["reload.refused"] == 1
 
     run(work)
--- a/tests/net/test_agent_histories.py
+++ b/tests/net/test_agent_histories.py
@@ -1,4 +1,4 @@
-"""Random histories of a node and its agent: breaks, restarts, lost notices; the rules checked over each."""
+"""Random histories of a node and its agent with breaks, restarts and lost notices; invariants of each."""
 
 import asyncio
 import itertools
@@ -17,7 +17,7 @@
 from beechrock.net.agent import Agent
 from beechrock.net.agent_commands import Command
 
-KEPT = 5  # notices that the agent keeps, few so that some are missed for good
+KEPT = 5  # number of notices that the agent keeps, so few that some are lost for good
 
 
 @dataclass
@@ -29,18 +29,18 @@
 
 @dataclass
 class Cores:
-    """The agent as the page has it; it notes each start and each wrong delivery."""
+    """Model of the agent by its protocol page; it records each start of a run and each wrong delivery."""
 
     born: float
-    over: Any  # whether a request has its answer, or nobody waits for it
+    is_done: Any  # function: whether a request has its answer, or nobody waits for it
     number: int = 0
-    after: int = 0  # the link asked for what comes after this notice
+    after: int = 0  # the link subscribed to the notices after this number
     runs: dict[str, Run] = field(default_factory=dict)
-    ended: set[str] = field(default_factory=set)  # what is over here starts no more, as in the simulator
+    ended: set[str] = field(default_factory=set)  # traces whose runs have ended, and are not started again
     notices: deque[tuple[int, list[str], bytes]] = field(default_factory=lambda: deque(maxlen=KEPT))
     to_node: deque[tuple[list[str], bytes]] = field(default_factory=deque)
     starts: dict[str, list[float]] = field(default_factory=lambda: defaultdict(list))
-    wrong: list[str] = field(default_factory=list)
+    wrong_deliveries: list[str] = field(default_factory=list)
     linked: bool = False
 
     def notice(self, kind: str, *words: str, body: bytes = b"") -> None:
@@ -74,14 +74,14 @@
             case "sample":
                 self.to_node.append((["sampled", name, "0.5"], b""))
             case "launch" if run is None:
-                if self.over(name) or name in self.ended:
+                if self.is_done(name) or name in self.ended:
                     return self.notice("outcome", name, "NOOP", "0", "0")
                 self.runs[name] = Run()
                 self.starts[name].append(now)
             case "deliver" if run is not None and run.waits:
                 run.waits = False
                 if body != b"reply to call %d" % run.calls:
-                    self.wrong.append(f"{name}: {body!r} at call {run.calls}")
+                    self.wrong_deliveries.append(f"{name}: {body!r} at call {run.calls}")
             case "freeze" | "thaw" if run is not None:
                 run.frozen = verb == "freeze"
         return None
@@ -135,24 +135,24 @@
         self.agent = Agent(actor, ("cpu_busy",), ("127.0.0.1", 1))
         self.calls = Calls()
         actor.ports.work, actor.ports.calls = self.agent, self.calls  # type: ignore[assignment]
-        self.cores = Cores(self.desk.now - 50.0, self.over)
+        self.cores = Cores(self.desk.now - 50.0, self.is_done)
         self.agent.start()
 
-    def over(self, trace: str) -> bool:
+    def is_done(self, trace: str) -> bool:
         return bool(SAID[trace]) or any(r.cancelled for r in self.made if r.trace == trace)
 
     def break_link(self) -> None:
         self.cores.linked = False
         self.cores.to_node.clear()
-        self.agent.link_over()
+        self.agent.discard_link()
         self.agent.link_actor.handle_event(life.Ended(self.agent.link_actor.life.link))
 
     def flow(self, most: int) -> None:
-        """Open a link that is under way, or carry some words of one that stands.
+        """Open a link that is connecting, or transport some messages of an open one.
 
-        A delivery that is sent again can cross the notice of the run's next call, and be taken for that
-        call's reply: no word of the wire tells them apart. In every other history nothing is on its way to
-        the node when the agent reads, and no reply may be wrong.
+        A resent delivery can cross the notice of the run's next call, and be taken for that call's reply:
+        nothing in the protocol tells them apart. In the histories with ``prompt``, which are every other one,
+        nothing is in transit to the node when the agent reads, and no reply may be wrong.
         """
         if self.agent.link_actor.life.state is life.LinkState.CONNECTING and self.desk.now >= self.cores.born:
             self.cores.linked = False
@@ -179,9 +179,9 @@
         self.agent.receive_line(words, body)
 
     def work(self) -> None:
-        """Let a run end, or stop at a call; the agent ends what nobody waits for at its calls."""
+        """Let a run end, or stop at a call; the agent ends runs that nobody waits for at their calls."""
         for trace, run in list(self.cores.runs.items()):
-            if run.waits and self.over(trace):
+            if run.waits and self.is_done(trace):
                 self.cores.end(trace, "KILLED")
         going = [trace for trace, run in self.cores.runs.items() if not run.waits and not run.frozen]
         if not going:
@@ -223,7 +223,7 @@
         if faults and chance < 0.04 and self.agent.link is not None:
             self.break_link()
         elif faults and chance < 0.05:
-            self.cores.restart(self.desk.now + 0.02)  # no process is up at once
+            self.cores.restart(self.desk.now + 0.02)  # a new process needs time to start
             if self.agent.link is not None:
                 self.break_link()
         elif faults and chance < 0.25:
@@ -243,8 +243,8 @@
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_all_is_answered_once_no_key_runs_twice_and_no_place_is_lost(seed: int) -> None:
-    asyncio.run(check(seed))  # a cut asks which task it runs in
+def test_every_request_is_answered_once_no_key_runs_twice_and_no_core_is_leaked(seed: int) -> None:
+    asyncio.run(check(seed))  # an event loop is needed, as a link's end compares the current task
 
 
 async def check(seed: int) -> None:
@@ -254,15 +254,15 @@
     for _ in range(1500):
         history.step(faults=False)
     cores, actor = history.cores, history.desk.actor
-    assert cores.wrong == [] or not history.prompt
+    assert cores.wrong_deliveries == [] or not history.prompt
     started = defaultdict(list)
     for made in history.made:
-        said = [answer.verdict for answer in SAID[made.trace]]
-        assert len(said) <= 1
-        assert said or made.cancelled, made.trace
+        verdicts = [answer.verdict for answer in SAID[made.trace]]
+        assert len(verdicts) <= 1
+        assert verdicts or made.cancelled, made.trace
         if made.klass:
             started[made.nonce or made.trace] += cores.starts[made.trace]
-            assert not (cores.starts[made.trace] and said == [Verdict.REFUSED])
+            assert not (cores.starts[made.trace] and verdicts == [Verdict.REFUSED])
     for starts in started.values():
         assert all(b - a > KEYED.idempotency_window_s for a, b in itertools.pairwise(sorted(starts)))
     assert (actor.table.by_id, actor.table.by_trace, actor.node.table.requests, actor.table.open) == (
--- a/tests/net/test_syscalls_streams.py
+++ b/tests/net/test_syscalls_streams.py
@@ -1,4 +1,4 @@
-"""Recv(2), send(2) and shutdown(2) failing in every way, and short: no request is lost by what passes."""
+"""Failures of recv(2), send(2) and shutdown(2), and short calls: transient ones lose no request."""
 
 import errno
 import socket
@@ -12,7 +12,7 @@
 from beechrock.net.frame_connection import FrameConnection
 from beechrock.net.scgi import ScgiConnection
 
-PASSING = [errno.EAGAIN, errno.EINTR, errno.ENOBUFS, errno.ENOMEM]
+TRANSIENT = [errno.EAGAIN, errno.EINTR, errno.ENOBUFS, errno.ENOMEM]
 FATAL = [
     errno.ECONNRESET,
     errno.ETIMEDOUT,
@@ -60,9 +60,9 @@
 
 
 @pytest.mark.parametrize("call", ["recv", "send"])
-@pytest.mark.parametrize("kind", [*PASSING, Short(1)], ids=str)
-def test_what_passes_costs_no_connection(call: str, kind: int | Short) -> None:
-    """Seen with faults put in: ENOBUFS and ENOMEM ended a connection with all that was open on it."""
+@pytest.mark.parametrize("kind", [*TRANSIENT, Short(1)], ids=str)
+def test_transient_errors_and_short_calls_end_no_connection(call: str, kind: int | Short) -> None:
+    """With injected faults, ENOBUFS and ENOMEM ended a connection with all requests open on it."""
 
     async def work(stand: Stand) -> None:
         await open_frames(stand)
@@ -116,7 +116,7 @@
     run(work)
 
 
-def test_the_end_of_the_other_side_is_seen_though_our_own_cannot_be_told() -> None:
+def test_the_peers_end_of_stream_is_handled_although_our_own_cannot_be_sent() -> None:
     async def work(stand: Stand) -> None:
         await open_frames(stand)
         with faults("shutdown", errno.ENOTCONN, of=on_front(stand)) as shutdown:
@@ -152,7 +152,7 @@
 
 
 @pytest.mark.parametrize("number", FATAL, ids=errno.errorcode.get)
-def test_a_ledger_connection_that_an_error_ends_proves_nothing(number: int) -> None:
+def test_a_call_on_a_ledger_connection_that_fails_is_not_reported_as_never_run(number: int) -> None:
     async def work(stand: Stand) -> None:
         await open_frames(stand)
         await stand.play(
@@ -171,36 +171,36 @@
 
 
 async def steps(stand: Stand, text: str) -> None:
-    """Without the check that there was no trouble."""
+    """Play the steps without the check that no ``trouble.`` counter is set."""
     for line in text.splitlines():
         await stand.step(line.split(), line)
 
 
-@pytest.mark.parametrize("method", ["_frame", "encode"])
-def test_a_fault_of_our_own_answers_what_is_open_and_closes(
+@pytest.mark.parametrize("method", ["_handle_frame", "encode"])
+def test_an_internal_error_answers_open_requests_and_closes_the_connection(
     method: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The reading task ended alone: what came later on that connection was never read, nor was it closed."""
+    """Only the reading task ended: later input on that connection was never read, and it stayed open."""
 
     async def work(stand: Stand) -> None:
         await open_frames(stand)
         await stand.play(ask("a", 1) + launched(1) + ask("a", 2) + launched(2))
         with monkeypatch.context() as patch:
             patch.setattr(FrameConnection, method, fails)
-            await steps(stand, ask("a", 3) if method == "_frame" else ended(2, 1))
-            where = "receive" if method == "_frame" else "send"
+            await steps(stand, ask("a", 3) if method == "_handle_frame" else ended(2, 1))
+            where = "receive" if method == "_handle_frame" else "send"
             await until(lambda: stand.program.counters[f"trouble.frames.{where}"] > 0, lambda: "not counted")
-            if method == "_frame":  # its word on stream 0 is written before the real one is back
+            if method == "_handle_frame":  # the error on stream 0 is sent before the patch ends
                 await steps(stand, 'a < {02 00000000 0d 00 "internal error"}\n')
         await steps(stand, ended(1, 2) + answered("a", 1))
-        if method == "_frame":
+        if method == "_handle_frame":
             await steps(stand, ended(2, 3) + answered("a", 2))
         await steps(stand, "a closed\n")
 
     run(work)
 
 
-def test_a_fault_of_our_own_is_an_answer_at_the_other_fronts(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_internal_error_is_answered_at_the_other_servers(monkeypatch: pytest.MonkeyPatch) -> None:
     async def work(stand: Stand) -> None:
         await stand.open(
             inventory_of(
@@ -213,7 +213,7 @@
             ),
             admin=True,
         )
-        monkeypatch.setattr(ScgiConnection, "_head", fails)
+        monkeypatch.setattr(ScgiConnection, "_read_headers", fails)
         assert stand.program.admin is not None
         monkeypatch.setattr(stand.program.admin.calls, "answer", fails)
         await steps(stand, "a = connect scgi\na ask pack releases hello\na answered 500\n")
--- a/tests/net/test_time_slice.py
+++ b/tests/net/test_time_slice.py
@@ -1,4 +1,4 @@
-"""The last connections are ended early in a time slice, as a process may have to wait wherever one ends."""
+"""The last connections are ended early in a time slice, as the process may be paused wherever one ends."""
 
 import asyncio
 import time
@@ -20,7 +20,7 @@
         pass
 
 
-def test_a_slice_is_renewed_where_it_was_used_and_only_there(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_time_slice_is_renewed_only_after_it_was_used(monkeypatch: pytest.MonkeyPatch) -> None:
     sleeps = list[float]()
     monkeypatch.setattr(time_slice.time, "sleep", sleeps.append)
     current = TimeSlice()
@@ -31,8 +31,8 @@
 
 
 @pytest.mark.parametrize("by_turns", [True, False])
-def test_no_last_connection_is_ended_late_in_a_slice(monkeypatch: pytest.MonkeyPatch, by_turns: bool) -> None:
-    """Requests were seen that came in a wait of up to 36 ms between the look for them and the end."""
+def test_no_connection_is_ended_late_in_a_time_slice(monkeypatch: pytest.MonkeyPatch, by_turns: bool) -> None:
+    """Requests arrived in pauses of up to 36 ms between the check for input and the end of a connection."""
     renewed_at, used = [float("-inf")], list[float]()
 
     def renew(current: TimeSlice) -> None:
@@ -40,7 +40,7 @@
 
     def ends(self: FrameConnection) -> None:
         used.append(time.thread_time() - renewed_at[0])
-        use_processor(SAFE_S / 2)  # as the answers of a few others take
+        use_processor(SAFE_S / 2)  # about the time of the answers on a few other connections
 
     async def work(stand: Stand) -> None:
         front, callers = await node(stand, 20)
