--- a/beechrock/duties/candidates.py
+++ b/beechrock/duties/candidates.py
@@ -20,12 +20,12 @@
     not_held_down: list[Member]  # of the recent ones
 
 
-def candidates_of(
+def group_candidates(
     now_s: float, members: Collection[Member], recent: list[Member], hold_down: HoldDown
 ) -> Candidates:
     """Return the groups."""
-    calm = [member for member in recent if not hold_down.remaining_s(member.name, now_s)]
-    return Candidates(list(members), recent, calm)
+    available = [member for member in recent if not hold_down.remaining_s(member.name, now_s)]
+    return Candidates(list(members), recent, available)
 
 
 def choose_holder(
@@ -38,16 +38,18 @@
     limit: int,
 ) -> Member | None:
     """Return the holder from the first group that has one; ``load``, ``limit``: of duties by member."""
-    new, calm = (
+    new, available = (
         [member for member in group if member.name not in passed_over]
         for group in (candidates.recent, candidates.not_held_down)
     )
-    calm_here = [member for member in calm if not hold_down.remaining_s(f"{member.name}/{duty.name}", now_s)]
-    once_more = [
+    available_for_duty = [
+        member for member in available if not hold_down.remaining_s(f"{member.name}/{duty.name}", now_s)
+    ]
+    passed_over_again = [
         [member for member in candidates.recent if member.name == name] for name in passed_over[:-1]
     ]  # the oldest first
     # Held by one that comes and goes is better than held by none.
-    for group in (calm_here, calm, new, *once_more, candidates.all):
+    for group in (available_for_duty, available, new, *passed_over_again, candidates.all):
         if (holder := choose(duty, group, load, limit)) is not None:
             return holder
     return None
--- a/beechrock/duties/generations.py
+++ b/beechrock/duties/generations.py
@@ -24,12 +24,12 @@
 
 MACHINE = "inventory"
 VERSION = 1
-MAX_EARLIER = 64  # digests that are known to have been agreed
+MAX_EARLIER_DIGESTS = 64  # digests that are known to have been agreed
 MAX_DIGEST_LENGTH = 128
 SHORT_DIGEST = 12  # characters of a digest in an event
-CHECK_EACH_S = 0.5
-DIFFERS_S = 10.0  # for the files of all nodes to be brought up to date; then it is reported
-WITHIN_S = 2.0  # for a proposal
+CHECK_INTERVAL_S = 0.5
+REPORT_DIFFERENCE_AFTER_S = 10.0  # for the files of all nodes to be brought up to date; then it is reported
+PROPOSAL_TIMEOUT_S = 2.0  # for a proposal
 
 
 class ProposalResult(Enum):
@@ -66,7 +66,7 @@
             return ProposalResult.NOT_NEXT
         self.number = number
         self.digest = digest
-        self.earlier = [*self.earlier, digest][-MAX_EARLIER:]
+        self.earlier = [*self.earlier, digest][-MAX_EARLIER_DIGESTS:]
         return ProposalResult.DONE
 
     def snapshot(self) -> bytes:
@@ -119,7 +119,7 @@
         if self.differs_since_s is None:
             self.differs_since_s = now_s
         propose = digest not in agreed.earlier or self.matched_number == agreed.number
-        overdue = now_s - self.differs_since_s > DIFFERS_S
+        overdue = now_s - self.differs_since_s > REPORT_DIFFERENCE_AFTER_S
         report = bool(agreed.number) and overdue and self.reported_number != agreed.number
         if report:
             self.reported_number = agreed.number
@@ -157,7 +157,7 @@
     async def run(self) -> None:
         """Compare, report and propose until cancelled."""
         while True:
-            await asyncio.sleep(CHECK_EACH_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
             own = self.keeper.life.running
             self.waiting, report = self.files.compare(self.duties.clock(), own.digest, self.agreed)
             if report:
@@ -174,7 +174,7 @@
     async def _propose(self, fence: int, digest: str) -> None:
         command: bytes = msgpack.packb((fence, self.agreed.number + 1, digest))
         try:
-            result = await self.duties.agree.propose(MACHINE, command, WITHIN_S)
+            result = await self.duties.agree.propose(MACHINE, command, PROPOSAL_TIMEOUT_S)
         except OperatorError as error:
             logs.event("inventory.not_agreed", "warning", **error.fields())
             return
--- a/beechrock/duties/grantor.py
+++ b/beechrock/duties/grantor.py
@@ -11,7 +11,7 @@
 """
 
 from beechrock.duties import grants as log
-from beechrock.duties.candidates import Candidates, candidates_of, choose_holder
+from beechrock.duties.candidates import Candidates, choose_holder, group_candidates
 from beechrock.duties.grantor_data import HOLD_DOWN_PROPOSAL, Propose, Push, Rules, Vacancy
 from beechrock.duties.grants import GrantTable
 from beechrock.duties.guards import Guard
@@ -22,9 +22,9 @@
 from beechrock.duties.placement import can_relieve, max_per_member
 from beechrock.duties.renewals import Renewals
 
-RECENT = 0.5  # of a lease: a member heard from within it is chosen before the others
-SETTLE = 0.5  # of a lease: a new leader receives requests before it places anything
-PROPOSE = 2.0  # leases until a proposal that nobody answered is made again
+RECENT_LEASES = 0.5  # of a lease: a member heard from within it is chosen before the others
+SETTLE_LEASES = 0.5  # of a lease: a new leader receives requests before it places anything
+REPROPOSE_LEASES = 2.0  # leases until a proposal that nobody answered is made again
 MAX_LOGGED_WAITS = 64  # in one entry; the rest follows
 TOO_MANY = "too many on one"
 PLACEMENT_ORDER = {Kind.FLEET: 0, Kind.HALL: 1, Kind.SHARD: 2}  # what more depends on goes first
@@ -73,7 +73,7 @@
 
         ``leading``: the leader's own lease holds at this moment.
         """
-        if not leading and Guard.LEADING not in self.without:
+        if not leading and Guard.LEADER_LEASE not in self.without:
             return None  # a successor may lead already, and grant to others
         if not self.members.update(now_s, sender, request):
             return None
@@ -104,7 +104,7 @@
         load = self._load()
         limit = max_per_member(len(self.grants.duties), self.members.living_count())
         actions, vacancies = self._review(now_s, load, limit)
-        if now_s >= self.began_s + SETTLE * self.rules.lease_s:
+        if now_s >= self.began_s + SETTLE_LEASES * self.rules.lease_s:
             vacancies.sort(key=lambda vacancy: (PLACEMENT_ORDER[vacancy.duty.kind], vacancy.duty.name))
             actions += self._place(now_s, vacancies, load, limit)
         return actions + self._log_hold_downs(now_s)
@@ -147,7 +147,7 @@
         vacancies: list[Vacancy] = []
         for name, duty in self.grants.duties.items():
             grant = self.grants.held.get(name)
-            if now_s - self.proposed_s.get(name, float("-inf")) < PROPOSE * duty.lease_s:
+            if now_s - self.proposed_s.get(name, float("-inf")) < REPROPOSE_LEASES * duty.lease_s:
                 continue
             if grant is None or self._may_replace(now_s, duty, grant):
                 vacancies.append(Vacancy(duty, grant))
@@ -162,7 +162,7 @@
         If it is lost, the log still differs, and it is made again.
         """
         proposed_s = self.proposed_s.get(HOLD_DOWN_PROPOSAL, float("-inf"))
-        if now_s - proposed_s < PROPOSE * self.rules.lease_s:
+        if now_s - proposed_s < REPROPOSE_LEASES * self.rules.lease_s:
             return []
         changes = self.hold_down.changes(self.grants.waits, now_s, MAX_LOGGED_WAITS)
         if not changes:
@@ -202,14 +202,14 @@
 
     def _may_replace(self, now_s: float, duty: Duty, grant: Grant) -> bool:
         """Return whether nobody may act under the grant any more, or nobody ever did and another would."""
-        silent_s = self.renewals.silent_s(now_s, grant)
-        if silent_s >= grant.lease_s:
+        unrenewed_s = self.renewals.unrenewed_s(now_s, grant)
+        if unrenewed_s >= grant.lease_s:
             return True
-        overdue = self.renewals.unclaimed.is_overdue(duty.name, grant, silent_s)
+        overdue = self.renewals.unclaimed.is_overdue(duty.name, grant, unrenewed_s)
         return overdue and bool(alternatives(duty, grant.holder, self._recent_members(now_s)))
 
     def _recent_members(self, now_s: float) -> list[Member]:
-        return self.members.recent(now_s, RECENT * self.rules.lease_s)
+        return self.members.recent(now_s, RECENT_LEASES * self.rules.lease_s)
 
     def _request_yield(self, now_s: float, name: str, grant: Grant, reason: str) -> Push:
         self.renewals.request_yield(now_s, grant, reason)
@@ -227,7 +227,7 @@
     ) -> list[Action]:
         """Propose a holder for each vacancy; ``load`` is brought up to date."""
         actions: list[Action] = []
-        candidates = candidates_of(now_s, self.members.all(), self._recent_members(now_s), self.hold_down)
+        candidates = group_candidates(now_s, self.members.all(), self._recent_members(now_s), self.hold_down)
         for vacancy in vacancies:
             proposal = self._fill(now_s, vacancy, candidates, load, limit)
             if proposal is not None:
--- a/beechrock/duties/grants.py
+++ b/beechrock/duties/grants.py
@@ -191,7 +191,9 @@
             # It waited for what *it* renewed; its successor may have renewed since.
             return Result.OLD_LEADER
         current = self.held.get(name)
-        if (current.fence if current is not None else 0) != replaces and Guard.AFTER not in self.without:
+        if (
+            current.fence if current is not None else 0
+        ) != replaces and Guard.REPLACED_FENCE not in self.without:
             # Two proposals of one leader for one duty, the first of which was taken for lost.
             return Result.CHANGED
         if new.fence <= self.floor.get(name, 0):
--- a/beechrock/duties/holder.py
+++ b/beechrock/duties/holder.py
@@ -18,7 +18,7 @@
 from beechrock.duties.guards import Guard
 from beechrock.duties.model import DRIFT
 
-FINISH_PART = 0.5  # of the lease left, when one that is to FINISH without a quorum takes nothing new
+FINISH_SHARE = 0.5  # of the lease left, when one that is to FINISH without a quorum takes nothing new
 YIELD_TIMEOUT_LEASES = 3.0  # after which a worker that does not give up is stopped
 NO_PAUSE_COUNT = -1
 
@@ -85,7 +85,7 @@
         self.lease_s = 0.0
         self.lease_end_s = 0.0
         self.leased = False  # the leader has renewed this fence
-        self.lease_pauses = NO_PAUSE_COUNT  # the count of pauses when it did
+        self.pauses_at_renewal = NO_PAUSE_COUNT  # the count of pauses when it did
         self.taken_over = False
         self.working = False  # the worker has something to stop
         self.yield_reason = ""
@@ -100,8 +100,8 @@
     def _lease_valid(self, now_s: float, pauses: int) -> bool:
         return (
             self.leased
-            and pauses == self.lease_pauses
-            and (now_s < self.lease_end_s or Guard.END in self.without)
+            and pauses == self.pauses_at_renewal
+            and (now_s < self.lease_end_s or Guard.LEASE_END in self.without)
         )
 
     def on_grant(self, now_s: float, fence: int, lease_s: float = 0.0) -> list[HolderAction]:
@@ -122,7 +122,7 @@
     def _take_over(self, now_s: float) -> list[HolderAction]:
         self._set_state(HolderState.TAKING, now_s)
         self.working = True
-        self.taken_over = Guard.TAKING in self.without
+        self.taken_over = Guard.TAKE_OVER in self.without
         return [HolderAction(Command.TAKE_OVER, self.fence)]
 
     def on_renewed(
@@ -138,10 +138,10 @@
             return []
         lease_start_s = now_s if Guard.FROM_SENT in self.without else sent_s
         end_s = lease_start_s + lease_s * (1.0 if Guard.DRIFT in self.without else 1.0 - DRIFT)
-        if not self.leased or pauses != self.lease_pauses or end_s > self.lease_end_s:
+        if not self.leased or pauses != self.pauses_at_renewal or end_s > self.lease_end_s:
             self.lease_end_s = end_s
             self.lease_s = lease_s
-            self.lease_pauses = pauses
+            self.pauses_at_renewal = pauses
             self.leased = True
         if not self._lease_valid(now_s, pauses):
             return []
@@ -188,7 +188,7 @@
         if self.state is HolderState.HOLDING:
             if not self.leased or now_s >= self.lease_end_s:
                 return self._lose(now_s)
-            finish_s = FINISH_PART * self.lease_s * (1.0 - DRIFT)
+            finish_s = FINISH_SHARE * self.lease_s * (1.0 - DRIFT)
             if self.finish and self.lease_end_s - now_s < finish_s:
                 return self.start_yield(now_s, self.fence, "no quorum")
         yield_s = now_s - self.state_since_s
--- a/beechrock/duties/member_duties.py
+++ b/beechrock/duties/member_duties.py
@@ -12,7 +12,7 @@
 from beechrock.duties.grants import GrantTable
 from beechrock.duties.holder import Command, Holder, HolderAction, HolderState, PauseDetector
 from beechrock.duties.messages import HeldFence, RenewalReply, RenewalRequest
-from beechrock.duties.model import PAUSE, RENEW, Duty, WithoutQuorum
+from beechrock.duties.model import PAUSE, RENEW_EACH_LEASES, Duty, WithoutQuorum
 
 MAX_OPEN_REQUESTS = 64
 
@@ -60,10 +60,10 @@
         self.hardware = hardware
         self.without = without
         self.pause_detector = PauseDetector(PAUSE * lease_s, now_s, without)
-        self.renew_each_s = RENEW * lease_s
+        self.renew_each_s = RENEW_EACH_LEASES * lease_s
         self.duties: dict[str, Duty] = {}
         self.holders: dict[str, Holder] = {}
-        self.by_fence: dict[int, str] = {}
+        self.duty_by_fence: dict[int, str] = {}
         self.open_requests: dict[int, OpenRequest] = {}
         self.seq = 0
         self.next_request_s = now_s
@@ -78,7 +78,7 @@
             self.holders[duty.name] = Holder(finish, self.without)
         shortest_s = min(duty.lease_s for duty in self.duties.values())
         self.pause_detector.max_gap_s = PAUSE * shortest_s
-        self.renew_each_s = RENEW * shortest_s
+        self.renew_each_s = RENEW_EACH_LEASES * shortest_s
         self.send_supported = True
 
     def may(self, name: str, now_s: float) -> int | None:
@@ -100,7 +100,7 @@
             actions += [DutyAction(name, action) for action in new]
             if any(action.command is Command.TAKE_OVER for action in new):
                 self.next_request_s = now_s
-        self.by_fence = {holder.fence: name for name, holder in self.holders.items() if holder.fence}
+        self.duty_by_fence = {holder.fence: name for name, holder in self.holders.items() if holder.fence}
         return actions
 
     def next_request(
@@ -121,7 +121,8 @@
         self.next_request_s = now_s + self.renew_each_s
         supported = tuple(sorted(self.duties))
         held = [
-            HeldFence(name, fence, *self._progress(name, progress)) for fence, name in self.by_fence.items()
+            HeldFence(name, fence, *self._progress(name, progress))
+            for fence, name in self.duty_by_fence.items()
         ]
         sent = supported if self.send_supported else None
         self.send_supported = False
@@ -151,11 +152,11 @@
         request = self.open_requests.get(reply.seq)
         if request is not None and request.pauses == pauses:
             for fence, lease_s in reply.renewed:
-                if (name := self.by_fence.get(fence)) is not None:
+                if (name := self.duty_by_fence.get(fence)) is not None:
                     new = self.holders[name].on_renewed(now_s, pauses, request.sent_s, fence, lease_s)
                     actions += [DutyAction(name, action) for action in new]
         for fence in reply.yield_fences:
-            if (name := self.by_fence.get(fence)) is not None:
+            if (name := self.duty_by_fence.get(fence)) is not None:
                 new = self.holders[name].start_yield(now_s, fence, "asked by the leader")
                 actions += [DutyAction(name, action) for action in new]
         return actions
--- a/beechrock/duties/model.py
+++ b/beechrock/duties/model.py
@@ -13,7 +13,7 @@
 # from its answer.
 DRIFT = 0.05
 PAUSE = 0.25  # of the shortest lease: a gap between two readings of the clock that is a pause
-RENEW = 0.2  # of the shortest lease: between two requests for renewal
+RENEW_EACH_LEASES = 0.2  # of the shortest lease: between two requests for renewal
 MIN_LEASE_S, MAX_LEASE_S = 0.2, 60.0
 MAX_DUTIES = 4096  # in the agreed table; a declaration beyond it is refused
 MAX_HOLD_DOWNS = 1024  # of members, and of members with a duty; beyond it the oldest is forgotten
--- a/beechrock/duties/pace.py
+++ b/beechrock/duties/pace.py
@@ -42,7 +42,7 @@
     """A hold-down: its length, and when it is over."""
 
     wait_s: float
-    over_s: float
+    ends_s: float
 
 
 @dataclass(slots=True)
@@ -55,7 +55,7 @@
     def record_failure(self, key: str, now_s: float) -> None:
         """Hold the key down, twice as long as the last time."""
         previous = self.waits.pop(key, None)
-        if previous is None or now_s - previous.over_s > FORGIVE_TIMES * previous.wait_s:
+        if previous is None or now_s - previous.ends_s > FORGIVE_TIMES * previous.wait_s:
             wait_s = self.min_wait_s
         else:
             wait_s = min(2.0 * previous.wait_s, MAX_WAIT_TIMES * self.min_wait_s)
@@ -70,7 +70,7 @@
     def changes(self, logged: Mapping[str, float], now_s: float, limit: int) -> dict[str, float]:
         """Return what to put in the log for the next leader: waits in seconds, 0 for one that is forgiven."""
         for key, wait in list(self.waits.items()):
-            if now_s - wait.over_s > FORGIVE_TIMES * wait.wait_s:
+            if now_s - wait.ends_s > FORGIVE_TIMES * wait.wait_s:
                 del self.waits[key]
         new = [(key, wait.wait_s) for key, wait in self.waits.items() if logged.get(key) != wait.wait_s]
         forgiven = [(key, 0.0) for key in logged if key not in self.waits]
@@ -78,4 +78,4 @@
 
     def remaining_s(self, key: str, now_s: float) -> float:
         """Return the seconds until the key may hold again; 0: now."""
-        return max(0.0, self.waits[key].over_s - now_s) if key in self.waits else 0.0
+        return max(0.0, self.waits[key].ends_s - now_s) if key in self.waits else 0.0
--- a/beechrock/duties/part.py
+++ b/beechrock/duties/part.py
@@ -29,7 +29,7 @@
 from beechrock.duties.workers import WorkerTasks
 from beechrock.parts import Context
 
-TICK = 0.08  # of the shortest lease, between two ticks; under a third of what counts as a pause
+TICK_LEASES = 0.08  # of the shortest lease, between two ticks; under a third of what counts as a pause
 MIN_WAIT_S = 0.002  # for the next tick: the timer's clock and the leases' differ a little
 
 
@@ -136,7 +136,7 @@
         """Return how long to wait for the next tick: no longer than to the end of a lease that is granted."""
         now_s = self.clock()
         left_s = max(MIN_WAIT_S, self.leadership.next_expiry_s(now_s) - now_s)
-        return min(TICK * self._shortest_lease_s(), left_s)
+        return min(TICK_LEASES * self._shortest_lease_s(), left_s)
 
     def _shortest_lease_s(self) -> float:
         own_s = min(
--- a/beechrock/duties/proposer.py
+++ b/beechrock/duties/proposer.py
@@ -16,7 +16,7 @@
 
 MACHINE = "duties"
 RETRY_S = 0.5  # until a proposal that was not accepted is made again
-WITHIN_S = 2.0  # for a proposal
+PROPOSAL_TIMEOUT_S = 2.0  # for a proposal
 NEVER_S = float("inf")
 
 
@@ -52,13 +52,13 @@
         """
         if self._clock() < self._not_before_s.get(key, 0.0):
             return
-        self._not_before_s[key] = self._clock() + WITHIN_S + RETRY_S
+        self._not_before_s[key] = self._clock() + PROPOSAL_TIMEOUT_S + RETRY_S
         self._counters.spawn(self._propose(key, command, on_settled), f"duties.propose.{key}")
 
     async def _propose(self, key: str, command: bytes, on_settled: Callable[[], None] | None) -> None:
         result: object = None
         try:
-            result = await self._agree.propose(MACHINE, command, WITHIN_S)
+            result = await self._agree.propose(MACHINE, command, PROPOSAL_TIMEOUT_S)
         except OperatorError as error:
             self._counters.add("duties.not_proposed")
             logs.event("duties.not_proposed", "warning", proposal=key, **error.fields())
--- a/beechrock/duties/renewals.py
+++ b/beechrock/duties/renewals.py
@@ -18,8 +18,8 @@
 from beechrock.duties.model import Duty, Grant
 from beechrock.duties.unclaimed import UnclaimedGrants
 
-STALL = 3.0  # leases without progress while work waits
-YIELD = 2.0  # leases for a holder that was asked to yield; then it is not renewed
+STALL_LEASES = 3.0  # leases without progress while work waits
+YIELD_GRACE_LEASES = 2.0  # leases for a holder that was asked to yield; then it is not renewed
 
 
 class Renewals:
@@ -52,7 +52,7 @@
 
     # --- the end of a grant
 
-    def silent_s(self, now_s: float, grant: Grant) -> float:
+    def unrenewed_s(self, now_s: float, grant: Grant) -> float:
         """Return how long it was not renewed; from the first look on for one that was never."""
         return now_s - self._renewed_s.setdefault(grant.fence, now_s)
 
@@ -65,7 +65,7 @@
         """Return whether the holder makes no progress while work waits."""
         last = self._progress.get(grant.fence)
         progress_s = last.at_s if last is not None else now_s
-        return now_s - progress_s > STALL * duty.lease_s and Guard.PROGRESS not in self._without
+        return now_s - progress_s > STALL_LEASES * duty.lease_s and Guard.PROGRESS not in self._without
 
     def request_yield(self, now_s: float, grant: Grant, reason: str) -> None:
         """Take note that its holder is asked to yield."""
@@ -73,7 +73,7 @@
 
     def end_overdue_yield(self, now_s: float, duty: Duty, grant: Grant) -> None:
         """Renew it no more, where its holder was asked to yield and does not."""
-        if now_s - self.yield_requests[grant.fence].requested_s > YIELD * duty.lease_s:
+        if now_s - self.yield_requests[grant.fence].requested_s > YIELD_GRACE_LEASES * duty.lease_s:
             self._ending.add(grant.fence)
 
     def replace(self, duty: Duty, grant: Grant, passed_over: list[str]) -> str:
--- a/beechrock/duties/trial.py
+++ b/beechrock/duties/trial.py
@@ -23,10 +23,10 @@
     from beechrock.duties.part import Duties
 
 CHANNEL = "duties.trial"
-EFFECT_EACH_S = 0.02
-GAP_S = 0.01  # between the check and the act
-SEAL_EACH_S = 0.1  # from one sending of the fence to the next
-SEAL_S = 0.5  # for receivers to say that they have the fence; one that is down has it from its log
+EFFECT_INTERVAL_S = 0.02
+CHECK_TO_EFFECT_S = 0.01  # between the check and the act
+SEAL_RETRY_S = 0.1  # from one sending of the fence to the next
+SEAL_TIMEOUT_S = 0.5  # for receivers to say that they have the fence; one that is down has it from its log
 
 
 class TrialMessage(StrEnum):
@@ -65,7 +65,7 @@
         self.sealed.clear()
         self.all_sealed.clear()
         try:
-            async with asyncio.timeout(SEAL_S):
+            async with asyncio.timeout(SEAL_TIMEOUT_S):
                 await self._seal(fence)
         except TimeoutError:
             logs.event("trial.unsealed", fence=fence, sealed=sorted(self.sealed))
@@ -76,7 +76,7 @@
         while not self.all_sealed.is_set():
             self._send(TrialMessage.SEAL, fence)
             try:
-                async with asyncio.timeout(SEAL_EACH_S):
+                async with asyncio.timeout(SEAL_RETRY_S):
                     await self.all_sealed.wait()
             except TimeoutError:
                 continue
@@ -100,10 +100,10 @@
             fence = self.duties.may(self.DUTY.name)
             if fence is not None and self.working:
                 logs.event("trial.act", fence=fence)
-                time.sleep(GAP_S)  # here a test stops the process
+                time.sleep(CHECK_TO_EFFECT_S)  # here a test stops the process
                 self.effects += 1
                 self._send(TrialMessage.EFFECT, fence)
-            await asyncio.sleep(EFFECT_EACH_S - GAP_S)
+            await asyncio.sleep(EFFECT_INTERVAL_S - CHECK_TO_EFFECT_S)
 
     def _send(self, kind: TrialMessage, fence: int) -> None:
         message: bytes = msgpack.packb((kind.value, fence))
--- a/beechrock/duties/unclaimed.py
+++ b/beechrock/duties/unclaimed.py
@@ -16,7 +16,7 @@
 from beechrock.duties.guards import Guard
 from beechrock.duties.model import Grant
 
-CLAIM = 0.2  # of a lease, until a member asks for what it was granted
+CLAIM_LEASES = 0.2  # of a lease, until a member asks for what it was granted
 MAX_PASSED_OVER = 8  # members remembered a duty
 
 
@@ -36,14 +36,14 @@
 
     def is_unclaimed(self, grant: Grant) -> bool:
         """Return whether nobody can act under the grant."""
-        if grant.fence < self.leader_epoch and Guard.EARLIER_REIGN not in self.without:
+        if grant.fence < self.leader_epoch and Guard.EARLIER_LEADER not in self.without:
             return False
         return grant.fence not in self.renewed or Guard.RENEWED_ONCE in self.without
 
-    def is_overdue(self, name: str, grant: Grant, silent_s: float) -> bool:
+    def is_overdue(self, name: str, grant: Grant, unrenewed_s: float) -> bool:
         """Return whether it is unclaimed for too long; ``silent_s``: since it was first seen in the log."""
-        wait_s = CLAIM * grant.lease_s * 2.0 ** len(self.passed_over.get(name, ()))
-        return self.is_unclaimed(grant) and silent_s >= wait_s
+        wait_s = CLAIM_LEASES * grant.lease_s * 2.0 ** len(self.passed_over.get(name, ()))
+        return self.is_unclaimed(grant) and unrenewed_s >= wait_s
 
     def passed_over_with(self, name: str, grant: Grant | None) -> list[str]:
         """Return who did not claim the duty, with the holder of this grant if it has not."""
--- a/tests/duties/test_part.py
+++ b/tests/duties/test_part.py
@@ -14,7 +14,12 @@
 from beechrock.config.errors import ConfigError
 from beechrock.core.counters import Counters
 from beechrock.duties.errors import DutyError, NotMovedError, UnknownDutyError
-from beechrock.duties.generations import DIFFERS_S, AgreedGeneration, FilesComparison, ProposalResult
+from beechrock.duties.generations import (
+    REPORT_DIFFERENCE_AFTER_S,
+    AgreedGeneration,
+    FilesComparison,
+    ProposalResult,
+)
 from beechrock.duties.grants import Result, begin, declare
 from beechrock.duties.model import Duty, Kind
 from beechrock.duties.operators import move, retire, view
@@ -271,8 +276,8 @@
     assert agreed.apply(12, command(6, 2, "repeated")) is ProposalResult.NOT_NEXT
     assert agreed.apply(13, b"") is ProposalResult.BAD
     assert behind.compare(2.0, "one", agreed) == (False, False)  # its files are behind: no proposal
-    assert behind.compare(2.1 + DIFFERS_S, "one", agreed) == (False, True)
-    assert behind.compare(2.2 + DIFFERS_S, "one", agreed) == (False, False)
+    assert behind.compare(2.1 + REPORT_DIFFERENCE_AFTER_S, "one", agreed) == (False, True)
+    assert behind.compare(2.2 + REPORT_DIFFERENCE_AFTER_S, "one", agreed) == (False, False)
     local.compare(3.0, "two", agreed)
     assert local.compare(4.0, "one", agreed)[0]  # an operator went back
     other = AgreedGeneration()
--- a/tests/duties/test_takeover_time.py
+++ b/tests/duties/test_takeover_time.py
@@ -12,7 +12,7 @@
 from beechrock.duties import grants as log
 from beechrock.duties.messages import HeldFence, RenewalRequest, encode
 from beechrock.duties.model import Duty
-from beechrock.duties.part import TICK, Duties
+from beechrock.duties.part import TICK_LEASES, Duties
 from beechrock.duties.settings import DutiesSettings
 from beechrock.lab.duties_member import LEASE_S as SIM_LEASE_S
 from beechrock.lab.duties_member import RATES, TICK_S, SimMember
@@ -134,7 +134,7 @@
         await asyncio.sleep(LEASE_S - SHORT_S)
         assert not successor.granted, "a may act for a whole lease after its last answer"
         await asyncio.sleep(LEASE_S)
-        assert successor.granted[0] <= elected_s + LEASE_S + TICK * LEASE_S + SHORT_S
+        assert successor.granted[0] <= elected_s + LEASE_S + TICK_LEASES * LEASE_S + SHORT_S
         running.cancel()
 
     run(scenario())
@@ -159,7 +159,7 @@
         await asyncio.sleep(2 * LEASE_S)
         assert led_s + LEASE_S <= successor.granted[0] <= led_s + LEASE_S + SHORT_S
         running.cancel()
-        near = [at for at in ticks if led_s + LEASE_S - TICK * LEASE_S <= at <= successor.granted[0]]
+        near = [at for at in ticks if led_s + LEASE_S - TICK_LEASES * LEASE_S <= at <= successor.granted[0]]
         assert len(near) <= 5, "a timer that runs a little ahead of the clock is no reason to spin"
 
     run(scenario())
