--- a/beechrock/duties/__init__.py
+++ b/beechrock/duties/__init__.py
@@ -1,6 +1,7 @@
-"""Duties: what only one api node may do at a time; who may hold one, until when, under which fence.
+"""Duties: work that only one API node may do at a time.
 
-Decides in ``model``, ``holder``, ``member_duties``, ``grants``, ``grantor``, ``pace``, ``placement``, purely;
-``part`` is the thin actor on agree/ and talk/. Owns grants and fences. May import: errors, store, talk,
-agree. Nothing loads here.
+The package decides which node holds a duty, until when (a lease) and under which fence. The decisions are
+pure code in ``model``, ``holder``, ``member_duties``, ``grants``, ``grantor``, ``pace`` and ``placement``;
+``part`` is the thin actor that connects them to agree/ (the replicated log) and talk/ (the transport).
+This package owns grants and fences. It may import: errors, store, talk, agree. This module imports nothing.
 """
--- a/beechrock/duties/candidates.py
+++ b/beechrock/duties/candidates.py
@@ -1,7 +1,7 @@
-"""Which member a duty is proposed to: the groups of members, in the order in which they are tried.
+"""Choice of the member to which a duty is granted: groups of members, tried in order of preference.
 
-Pure, without state. Invariant: held by one that comes and goes, or that did not take it before, is better
-than held by none, so the groups end with all members.
+The functions are pure and keep no state. Invariant: a duty held by an unstable member, or by one that did not
+claim it before, is better than a duty without a holder, so the last group contains all members.
 """
 
 from collections.abc import Collection, Mapping
@@ -13,17 +13,17 @@
 
 
 class Candidates(NamedTuple):
-    """The members that a duty may go to, in three groups."""
+    """Members that may be granted a duty, in three groups."""
 
     all: list[Member]
-    recent: list[Member]  # heard from lately
-    not_held_down: list[Member]  # of the recent ones
+    recent: list[Member]  # members whose last request arrived recently
+    not_held_down: list[Member]  # recent members without a hold-down
 
 
 def group_candidates(
     now_s: float, members: Collection[Member], recent: list[Member], hold_down: HoldDown
 ) -> Candidates:
-    """Return the groups."""
+    """Sort the members into the groups of ``Candidates``."""
     available = [member for member in recent if not hold_down.remaining_s(member.name, now_s)]
     return Candidates(list(members), recent, available)
 
@@ -37,7 +37,11 @@
     load: Mapping[str, int],
     limit: int,
 ) -> Member | None:
-    """Return the holder from the first group that has one; ``load``, ``limit``: of duties by member."""
+    """Return a holder from the first group with an eligible member, or None if no member is eligible.
+
+    ``load`` is the number of duties by member; ``limit`` is the maximum number of duties for one member.
+    ``passed_over`` lists the members that did not claim this duty, the latest last.
+    """
     new, available = (
         [member for member in group if member.name not in passed_over]
         for group in (candidates.recent, candidates.not_held_down)
@@ -47,8 +51,8 @@
     ]
     passed_over_again = [
         [member for member in candidates.recent if member.name == name] for name in passed_over[:-1]
-    ]  # the oldest first
-    # Held by one that comes and goes is better than held by none.
+    ]  # the member passed over longest ago comes first; the latest one is left out
+    # An unstable holder is better than none, so the groups with fewer restrictions follow.
     for group in (available_for_duty, available, new, *passed_over_again, candidates.all):
         if (holder := choose(duty, group, load, limit)) is not None:
             return holder
--- a/beechrock/duties/errors.py
+++ b/beechrock/duties/errors.py
@@ -1,29 +1,29 @@
-"""Errors of the duties that reach an operator."""
+"""Errors of the duties that are shown to operators."""
 
 from beechrock.errors import OperatorError
 
 
 class DutyError(OperatorError):
-    """The root of the errors of ``duties``."""
+    """Base class of the errors of ``duties``."""
 
     event = "duties"
 
 
 class UnknownDutyError(DutyError):
-    """No duty of this name was declared."""
+    """No duty with this name has been declared."""
 
 
 class NotMovedError(DutyError):
-    """A duty that was asked to move stays where it is, for now."""
+    """A requested move or removal of a duty was refused; its grant is unchanged."""
 
 
 class FenceUnkeptError(DutyError):
-    """A higher fence could not be made durable, so nothing is accepted under it."""
+    """A higher fence could not be made durable, so effects under it are not accepted."""
 
 
 class GrantsUnreadableError(DutyError):
-    """A snapshot of the grants cannot be read by this program."""
+    """A snapshot of the grants or of the agreed generation cannot be read by this program version."""
 
 
 class BrokenInvariantError(DutyError):
-    """An invariant is broken: this process takes no part in duties any more."""
+    """An invariant is violated, so this process stops taking part in duties."""
--- a/beechrock/duties/fences.py
+++ b/beechrock/duties/fences.py
@@ -1,8 +1,8 @@
-"""The highest fence of each duty, at the receiver of its effects: effects under a lower one are refused.
+"""Highest fence of each duty, kept by a receiver of the duty's effects to refuse effects under a lower fence.
 
-Invariants: a fence is durable here before anything is accepted under it, so a restart does not open the door
-to an older one; what is accepted never falls. The store is opened by its owner; one entry for each higher
-fence, a snapshot each ``SNAPSHOT_ENTRIES``.
+Invariants: a fence is durable before an effect under it is accepted, so a restart cannot admit an older
+fence; the highest accepted fence of a duty never decreases. The caller opens the store. Each higher fence
+appends one entry to it, and a snapshot is taken every ``SNAPSHOT_ENTRIES`` entries.
 """
 
 from collections.abc import Callable
@@ -15,35 +15,35 @@
 from beechrock.duties.model import MAX_DUTIES
 from beechrock.errors import OperatorError
 
-SNAPSHOT_ENTRIES = 1024
-VERSION = 1
+SNAPSHOT_ENTRIES = 1024  # number of log entries after which a snapshot replaces them
+VERSION = 1  # format version of the snapshot
 
 
 class FenceStore(Protocol):
-    """Of beechrock.store's Store, what fences use."""
+    """The part of beechrock.store's Store that ``Fences`` uses."""
 
     @property
     def first(self) -> int:
-        """The index of the first kept entry."""
+        """Index of the oldest entry in the store."""
 
     @property
     def last(self) -> int:
-        """The index of the last entry."""
+        """Index of the last entry."""
 
     def append(self, data: bytes) -> int:
-        """Add an entry; return its index."""
+        """Append an entry and return its index."""
 
     def sync(self) -> None:
         """Make all entries durable."""
 
     def entry(self, index: int) -> bytes:
-        """Return an entry."""
+        """Return the data of the entry at ``index``."""
 
     def snapshot(self) -> tuple[int, bytes] | None:
-        """Return index and data of the snapshot."""
+        """Return the index and data of the snapshot, or None if there is none."""
 
     def save_snapshot(self, index: int, data: bytes) -> None:
-        """Replace all entries up to the index."""
+        """Save a snapshot that replaces all entries up to and including ``index``."""
 
 
 def _no_floor(duty: str) -> int:
@@ -51,11 +51,11 @@
 
 
 class Fences:
-    """The fences that one receiver has accepted.
+    """Highest accepted fence of each duty at one receiver.
 
-    ``floor``: returns the highest fence that this member's copy of the agreed log knows of a duty, where it
-    has one: it covers a folder that was put back from an older copy, and what was granted but not yet
-    received here.
+    ``floor`` returns the highest fence of a duty in this member's copy of the agreed log, or 0 without such a
+    copy. Lower fences are refused, which covers a store folder restored from an older copy and a grant whose
+    first effect has not arrived yet. ``without`` names the guards to disable, for tests only.
     """
 
     def __init__(
@@ -85,7 +85,7 @@
     def accept(self, duty: str, fence: int) -> bool:
         """Return whether an effect of the duty under the fence may be accepted.
 
-        Raises FenceUnkeptError where a higher fence could not be made durable.
+        Raises FenceUnkeptError if a higher fence cannot be made durable.
         """
         highest = self.highest.get(duty, 0)
         if fence < max(highest, self.floor(duty)) and Guard.FENCE not in self.without:
@@ -109,8 +109,8 @@
             raise FenceUnkeptError(
                 f"fence {fence} could not be kept: {error}",
                 where=f"duty {duty}",
-                wanted="room and a disk that writes",
-                do="mend the disk; the holder sends again",
+                wanted="free space on a writable disk",
+                do="repair the disk; the holder sends again",
             ) from None
         self.highest[duty] = fence
         if self.store.last - self.store.first >= SNAPSHOT_ENTRIES:
--- a/beechrock/duties/generations.py
+++ b/beechrock/duties/generations.py
@@ -1,10 +1,13 @@
-"""A duty of the program itself: who proposes the fleet's inventory generations.
+"""Built-in duty whose holder proposes the fleet's inventory generations.
 
-The machine ``inventory`` in the agreed log keeps the number and digest in force, and the highest fence: it is
-itself the receiver of the duty's effects. A proposal is accepted where its fence is not below that and its
-number is the next. A holder proposes what its node has in force, if that was never agreed, or if its node had
-what is agreed and left it: so a node whose files are behind does not bring back an earlier generation. A node
-whose files differ from what is agreed reports that; this is advice, and no node stops taking generations up.
+The state machine ``inventory`` in the agreed log keeps the number and digest of the agreed generation and the
+highest fence, because it is itself the receiver of the duty's effects. It accepts a proposal if the fence is
+not below the highest one and the number is the next one.
+
+The holder proposes the digest of its own node's files if that digest was never agreed, or if the files
+matched the agreed generation and have since changed. So a node with outdated files does not bring back an
+earlier generation. A node whose files differ from the agreed generation logs a warning, which is only advice:
+every node goes on loading new generations from its own files.
 """
 
 import asyncio
@@ -24,16 +27,17 @@
 
 MACHINE = "inventory"
 VERSION = 1
-MAX_EARLIER_DIGESTS = 64  # digests that are known to have been agreed
-MAX_DIGEST_LENGTH = 128
-SHORT_DIGEST = 12  # characters of a digest in an event
-CHECK_INTERVAL_S = 0.5
-REPORT_DIFFERENCE_AFTER_S = 10.0  # for the files of all nodes to be brought up to date; then it is reported
-PROPOSAL_TIMEOUT_S = 2.0  # for a proposal
+MAX_EARLIER_DIGESTS = 64  # maximum number of agreed digests remembered, the current one included
+MAX_DIGEST_LENGTH = 128  # characters
+SHORT_DIGEST = 12  # characters of a digest that are shown in a log event
+CHECK_INTERVAL_S = 0.5  # seconds between two comparisons of this node's files with the agreed generation
+# Seconds for which files may differ before a warning, so that an update can reach all nodes.
+REPORT_DIFFERENCE_AFTER_S = 10.0
+PROPOSAL_TIMEOUT_S = 2.0  # seconds to wait for the result of a proposal
 
 
 class ProposalResult(Enum):
-    """What a proposal had for effect; the values are in events."""
+    """Result of a proposal; log events contain the values."""
 
     DONE = "done"
     OLD_FENCE = "old fence"
@@ -42,16 +46,19 @@
 
 
 class AgreedGeneration:
-    """The machine. Invariants: the number grows by one; the fence never falls."""
+    """State machine of the agreed generation.
+
+    Invariants: the generation number increases by one; the highest fence never decreases.
+    """
 
     def __init__(self) -> None:
         self.number = 0
         self.digest = ""
         self.fence = 0
-        self.earlier: list[str] = []  # digests, with the one in force
+        self.earlier: list[str] = []  # digests agreed so far, the current one last
 
     def apply(self, index: int, command: bytes) -> ProposalResult:
-        """Accept the next generation, or refuse it."""
+        """Accept or refuse the proposal of the next generation."""
         try:
             fence, number, digest = msgpack.unpackb(command)
             fence, number, digest = int(fence), int(number), str(digest)
@@ -70,19 +77,22 @@
         return ProposalResult.DONE
 
     def snapshot(self) -> bytes:
-        """Return the whole state."""
+        """Return the whole state, packed."""
         data: bytes = msgpack.packb((VERSION, self.number, self.digest, self.fence, self.earlier))
         return data
 
     def restore(self, data: bytes) -> None:
-        """Set the state to a snapshot's. Raises GrantsUnreadableError where it is none."""
+        """Replace the state by that of a snapshot.
+
+        Raises GrantsUnreadableError if the data is not a snapshot of the current format.
+        """
         try:
             version, number, digest, fence, earlier = msgpack.unpackb(data)
         except (ValueError, TypeError, msgpack.UnpackException):
             version = 0
         if version != VERSION:
             raise GrantsUnreadableError(
-                "no snapshot of format 1",
+                "not a snapshot of format 1",
                 where="snapshot of inventory",
                 do="run the program that wrote it, or a newer one",
             )
@@ -93,25 +103,25 @@
 
 
 class Comparison(NamedTuple):
-    """What a node's files mean beside what is agreed."""
+    """Result of comparing a node's files with the agreed generation."""
 
-    propose: bool  # a holder should propose them
-    report: bool  # it is time to report that they differ
+    propose: bool  # the holder of the duty should propose this node's files
+    report: bool  # the difference has lasted long enough to be logged now
 
 
 SAME = Comparison(False, False)
 
 
 class FilesComparison:
-    """Compares this node's files with what is agreed. Pure."""
+    """Comparison of this node's files with the agreed generation over time, as pure code."""
 
     def __init__(self) -> None:
-        self.matched_number = 0  # the last agreed number that this node's files were
-        self.differs_since_s: float | None = None
-        self.reported_number = 0  # agreed number of which it was reported that they differ
+        self.matched_number = 0  # last agreed generation number that this node's files matched
+        self.differs_since_s: float | None = None  # clock time of the first difference; None while they match
+        self.reported_number = 0  # agreed generation number for which the difference was last reported
 
     def compare(self, now_s: float, digest: str, agreed: AgreedGeneration) -> Comparison:
-        """Compare the digest of this node's files."""
+        """Compare the digest of this node's files with the agreed one."""
         if digest == agreed.digest:
             self.matched_number = agreed.number
             self.differs_since_s = None
@@ -127,7 +137,7 @@
 
 
 class Generations:
-    """The worker of the duty, and this node's check of its own files."""
+    """Worker of the duty and periodic check of this node's own files."""
 
     DUTY: ClassVar[Duty] = Duty("inventory.generations", Kind.FLEET)
 
@@ -142,20 +152,20 @@
         context.views["/inventory/agreed"] = self.view
 
     async def take_over(self, fence: int) -> None:
-        """Do nothing: all that there is to take over is in the log."""
+        """Do nothing, because the log contains the whole state."""
 
     async def give_up(self) -> None:
-        """Do nothing: a proposal under way has its fence, and ends by itself."""
+        """Do nothing: a pending proposal carries its fence and ends by itself."""
 
     def lost(self) -> None:
-        """Do nothing, for the same reason."""
+        """Do nothing: a pending proposal carries its fence and ends by itself."""
 
     def progress(self) -> tuple[int, int]:
-        """Return the generations that were agreed, and whether one waits."""
+        """Return the number of generations agreed through this node, and 1 if one waits to be proposed."""
         return self.done, int(self.waiting)
 
     async def run(self) -> None:
-        """Compare, report and propose until cancelled."""
+        """Compare this node's files, report differences and propose generations until cancelled."""
         while True:
             await asyncio.sleep(CHECK_INTERVAL_S)
             own = self.keeper.life.running
@@ -188,7 +198,7 @@
         )
 
     def view(self) -> dict[str, Any]:
-        """Return what ``/inventory/agreed`` shows."""
+        """Return the response body of ``/inventory/agreed``."""
         own = self.keeper.life.running
         return {
             "number": self.agreed.number,
--- a/beechrock/duties/grantor.py
+++ b/beechrock/duties/grantor.py
@@ -1,13 +1,14 @@
-"""The leader's part, volatile: whom it renews, whom it asks to yield, which grants it proposes.
+"""Grantor: the leader's volatile logic, which renews leases, asks holders to yield and proposes grants.
 
-Events: a member's request; ticks; an operator's request; the end of a proposal. What it knows of members is
-in ``MemberTable``, of grants in ``Renewals``, of members that come and go in ``HoldDown``; the grantor owns
-the proposals that are under way and the order of a tick.
+Events: a member's request, a tick, an operator's request, the result of a proposal. The state is split over
+``MemberTable`` (members), ``Renewals`` (grants) and ``HoldDown`` (unstable members); the grantor itself owns
+the pending proposals and the order of the steps in a tick.
 
-Invariants: nothing is proposed in place of a grant that is not unclaimed, expired or given back; what a
-proposal replaces is never renewed again in this leadership; nothing is answered without the leader's own
-lease, asked for at the time of the answer; after a pause of its own, or a clock that leapt, none of the gap
-counts as time of a lease.
+Invariants:
+- A grant is replaced only if it is unclaimed, expired or given back.
+- A grant that a proposal replaces is never renewed again in this leadership.
+- A request is answered only while the leader's own lease is valid, checked at the time of the answer.
+- After a pause of the leader or a jump of its clock, the gap does not count towards any lease.
 """
 
 from beechrock.duties import grants as log
@@ -22,20 +23,22 @@
 from beechrock.duties.placement import can_relieve, max_per_member
 from beechrock.duties.renewals import Renewals
 
-RECENT_LEASES = 0.5  # of a lease: a member heard from within it is chosen before the others
-SETTLE_LEASES = 0.5  # of a lease: a new leader receives requests before it places anything
-REPROPOSE_LEASES = 2.0  # leases until a proposal that nobody answered is made again
-MAX_LOGGED_WAITS = 64  # in one entry; the rest follows
-TOO_MANY = "too many on one"
-PLACEMENT_ORDER = {Kind.FLEET: 0, Kind.HALL: 1, Kind.SHARD: 2}  # what more depends on goes first
+RECENT_LEASES = 0.5  # Leases since a member's last request within which it is preferred as a holder
+SETTLE_LEASES = 0.5  # Leases for which a new leader collects requests before it places duties
+REPROPOSE_LEASES = 2.0  # Leases after which an unanswered proposal is made again
+MAX_LOGGED_WAITS = 64  # Maximum number of changed hold-downs in one log entry; later entries contain the rest
+TOO_MANY = "too many on one"  # reason for a yield: the member holds more duties than its limit
+# Rank of a duty's kind when duties are placed: duties on which more work depends are placed first.
+PLACEMENT_ORDER = {Kind.FLEET: 0, Kind.HALL: 1, Kind.SHARD: 2}
 
 Action = Propose | Push
 
 
 class Grantor:
-    """One leadership: made anew each time this member begins to lead. ``now_s``: the leader's own clock.
+    """Grantor of one leadership; a new object is made each time this member becomes the leader.
 
-    ``quiet_since_s``: since when nobody has renewed a grant, where that is before now.
+    ``now_s`` is a reading of the leader's own clock in all methods. ``quiet_since_s`` is the time since which
+    no leader has renewed a grant, if it is earlier than ``now_s``.
     """
 
     def __init__(
@@ -52,8 +55,8 @@
         self.leader_epoch = grants.leader_epoch
         self.began_s = now_s
         self.last_tick_s = now_s
-        self.proposed_s: dict[str, float] = {}  # by duty: since when a proposal is under way
-        self.unheld_reasons: dict[str, str] = {}  # by duty: why nobody holds it
+        self.proposed_s: dict[str, float] = {}  # clock time of the pending proposal, by duty
+        self.unheld_reasons: dict[str, str] = {}  # reason why no member holds the duty, by duty
         self.moves = MoveRateLimit(rules.max_moves_per_s)
         self.hold_down = HoldDown(rules.hold_down_s)
         self.hold_down.restore(grants.waits, now_s)
@@ -69,12 +72,12 @@
         request: RenewalRequest,
         leading: bool,
     ) -> RenewalReply | None:
-        """Return the answer, or None for no answer.
+        """Return the reply to a member's request, or None if it is not answered.
 
-        ``leading``: the leader's own lease holds at this moment.
+        ``leading`` is whether the leader's own lease is valid at this moment.
         """
         if not leading and Guard.LEADER_LEASE not in self.without:
-            return None  # a successor may lead already, and grant to others
+            return None  # another leader may exist already and grant the duties to other members
         if not self.members.update(now_s, sender, request):
             return None
         renewed: list[RenewedLease] = []
@@ -95,7 +98,7 @@
     # --- ticks
 
     def tick(self, now_s: float) -> list[Action]:
-        """Return what to propose and to send now."""
+        """Return the proposals and messages that are due now."""
         self._discount_pause(now_s)
         self.last_tick_s = now_s
         fences = {grant.fence for grant in self.grants.held.values()}
@@ -110,26 +113,27 @@
         return actions + self._log_hold_downs(now_s)
 
     def next_expiry_s(self, now_s: float) -> float:
-        """Return when the next lease runs out, if it is not renewed; infinity where none will."""
+        """Return the clock time at which the next lease expires unless renewed, or infinity without one."""
         return self.renewals.next_expiry_s(now_s, self.grants.held.values())
 
     def _discount_pause(self, now_s: float) -> None:
-        """Count none of a pause, or of a leap of the clock, as time of a lease.
+        """Exclude a pause of the leader or a jump of its clock from the time of every lease.
 
-        Of a gap it is not known how much of it was time: else leases would run out that holders still count
-        on.
+        The real duration of such a gap is unknown. If it counted, a lease could expire here while its holder
+        still relies on it.
         """
         gap_s = now_s - self.last_tick_s
         pause_s = PAUSE * self.grants.shortest_s(self.rules.lease_s)
         if 0.0 <= gap_s <= pause_s or Guard.LEADER_PAUSE in self.without:
             return
-        # What was received in the gap, or before a clock went back, cannot be later than now.
+        # Recorded times are moved forward by the gap, but to ``now_s`` at most. After a clock that went back
+        # the gap is unknown, so every recorded time becomes ``now_s``.
         shift_s = gap_s if gap_s > 0.0 else float("inf")
         self.renewals.discount_gap(now_s, shift_s)
         self.members.discount_gap(now_s, shift_s)
 
     def _load(self) -> dict[str, int]:
-        """Return by member the duties that it holds and was not asked to give back."""
+        """Return the number of duties by member, without those that it was asked to give back."""
         load: dict[str, int] = {}
         for grant in self.grants.held.values():
             if grant.fence not in self.renewals.yield_requests:
@@ -142,7 +146,7 @@
         load: dict[str, int],
         limit: int,
     ) -> tuple[list[Action], list[Vacancy]]:
-        """Return the yields to ask for, and the duties to be placed."""
+        """Return the requests to yield, and the duties that need a holder."""
         actions: list[Action] = []
         vacancies: list[Vacancy] = []
         for name, duty in self.grants.duties.items():
@@ -157,9 +161,9 @@
         return actions, vacancies
 
     def _log_hold_downs(self, now_s: float) -> list[Action]:
-        """Propose changed hold-downs, one proposal at a time.
+        """Propose changed hold-downs for the log, one proposal at a time.
 
-        If it is lost, the log still differs, and it is made again.
+        If a proposal is lost, the log still differs from ``hold_down``, so the change is proposed again.
         """
         proposed_s = self.proposed_s.get(HOLD_DOWN_PROPOSAL, float("-inf"))
         if now_s - proposed_s < REPROPOSE_LEASES * self.rules.lease_s:
@@ -181,16 +185,16 @@
         load: dict[str, int],
         limit: int,
     ) -> str:
-        """Return why the holder should give the duty back; empty: it should not, or was asked already."""
+        """Return why the holder should yield the duty; empty if it should not, or was already asked."""
         holder = self.members.get(grant.holder)
         if holder is None or holder.life != grant.life or holder.silent:
-            return ""  # it does not receive what we send; its lease runs out
+            return ""  # the holder cannot receive a request; its lease expires instead
         if grant.fence in self.renewals.yield_requests:
             self.renewals.end_overdue_yield(now_s, duty, grant)
             return ""
         if reason := ineligibility_reason(duty, holder):
             return reason
-        # Who else may hold it is looked for only where it matters, as it goes through all members.
+        # The alternatives are computed only where they matter, because this iterates over all members.
         members = self.members.all()
         if self.renewals.is_stalled(now_s, duty, grant) and alternatives(duty, grant.holder, members):
             self.hold_down.record_failure(f"{holder.name}/{duty.name}", now_s)
@@ -201,7 +205,7 @@
         return TOO_MANY if relievable and self.moves.try_move(now_s) else ""
 
     def _may_replace(self, now_s: float, duty: Duty, grant: Grant) -> bool:
-        """Return whether nobody may act under the grant any more, or nobody ever did and another would."""
+        """Return whether the grant has expired, or is overdue to be claimed and has a recent alternative."""
         unrenewed_s = self.renewals.unrenewed_s(now_s, grant)
         if unrenewed_s >= grant.lease_s:
             return True
@@ -225,7 +229,7 @@
         load: dict[str, int],
         limit: int,
     ) -> list[Action]:
-        """Propose a holder for each vacancy; ``load`` is brought up to date."""
+        """Return a proposed holder for each vacancy that has one, and update ``load`` accordingly."""
         actions: list[Action] = []
         candidates = group_candidates(now_s, self.members.all(), self._recent_members(now_s), self.hold_down)
         for vacancy in vacancies:
@@ -242,7 +246,7 @@
         load: dict[str, int],
         limit: int,
     ) -> Propose | None:
-        """Return the proposal of a holder; None, with the reason noted, where there is none now."""
+        """Return the proposal of a holder, or None after recording the reason in ``unheld_reasons``."""
         duty, grant = vacancy
         passed_over = self.renewals.unclaimed.passed_over_with(duty.name, grant)
         holder = choose_holder(now_s, duty, candidates, passed_over, self.hold_down, load, limit)
@@ -265,13 +269,16 @@
         return Propose(duty.name, command, f"to {holder.name}: {reason}")
 
     def on_proposal_settled(self, name: str) -> None:
-        """Take note that the proposal was answered, whatever the answer was."""
+        """Record that the proposal has ended, whatever its result."""
         self.proposed_s.pop(name, None)
 
     # --- requests of an operator
 
     def move(self, now_s: float, name: str) -> tuple[str, list[Action]]:
-        """Ask the holder to yield; return why not, or empty, and the actions."""
+        """Ask the holder to yield.
+
+        Return the reason why that is not possible (empty if it is), and the actions to execute.
+        """
         duty = self.grants.duties.get(name)
         grant = self.grants.held.get(name)
         if duty is None or grant is None:
--- a/beechrock/duties/grants.py
+++ b/beechrock/duties/grants.py
@@ -1,15 +1,21 @@
-"""The agreed machine ``duties``: which duties there are, and who holds each under which fence.
-
-Commands, each an entry of the log: DECLARE a duty; BEGIN a leadership (a new leader's first command); GRANT a
-duty to a member's process, in place of the grant that has the fence ``replaces`` (0: of none); BACK, from a
-holder that acts no more; REVOKE; RETIRE a duty that nobody holds; WAITS, how long members that come and go
-are held down, for the next leader. A fence is the index of its GRANT; a leader's epoch is the index of its
-BEGIN.
-
-Invariants: a duty has at most one grant; fences of a duty grow; a GRANT, REVOKE or WAITS of any leader but
-the last is refused, as it cannot know what a later one renewed; a GRANT that does not name what it replaces
-is refused.
-Deterministic: no clock, no random source; a bad command gives ``Result.BAD``, never an exception.
+"""Replicated state machine ``duties``: the declared duties, and the holder and fence of each.
+
+Each command is an entry of the agreed log:
+- DECLARE adds or changes a duty.
+- BEGIN starts a leadership; it is a new leader's first command.
+- GRANT gives a duty to a member's process and replaces the grant with the fence ``replaces`` (0 for none).
+- BACK comes from a holder that has stopped acting, and ends its grant.
+- REVOKE ends a grant on behalf of the leader.
+- RETIRE removes a duty that no member holds.
+- WAITS records the hold-downs of unstable members for the next leader.
+
+A fence is the log index of its GRANT; a leader's epoch is the log index of its BEGIN.
+
+Invariants: a duty has at most one grant; the fences of a duty increase; a GRANT, REVOKE or WAITS from any
+leader but the latest is refused, because that leader cannot know which leases a later one renewed; a GRANT
+whose ``replaces`` is not the current fence is refused.
+The machine is deterministic, without clock or random source. A malformed command results in ``Result.BAD``,
+never in an exception.
 """
 
 from collections.abc import Callable
@@ -23,12 +29,12 @@
 from beechrock.duties.guards import Guard
 from beechrock.duties.model import MAX_DUTIES, MAX_HOLD_DOWNS, Duty, Grant, Kind, WithoutQuorum
 
-VERSION = 2  # 1 had no waits; it is still read
-ALL_DUTIES = ""  # given to ``on_changed`` where any of them may have changed
+VERSION = 2  # format of the snapshot; format 1 had no hold-downs and is still read
+ALL_DUTIES = ""  # argument of ``on_changed`` when any of the duties may have changed
 
 
 class CommandKind(StrEnum):
-    """What a command of the log does."""
+    """Kind of a log command, described at the head of this module."""
 
     DECLARE = "declare"
     BEGIN = "begin"
@@ -40,14 +46,14 @@
 
 
 class Result(Enum):
-    """What a command had for effect."""
+    """Result of applying a command."""
 
     DONE = "done"
-    OLD_LEADER = "old reign"  # a later leader has begun
-    CHANGED = "changed"  # the grant that it names is not the one in force
-    UNKNOWN = "unknown"  # no such duty
-    FULL = "full"
-    BAD = "bad"
+    OLD_LEADER = "old reign"  # the command comes from a leader that has a successor
+    CHANGED = "changed"  # the command does not match the current grant of the duty
+    UNKNOWN = "unknown"  # the duty is not declared
+    FULL = "full"  # the table has its maximum number of duties
+    BAD = "bad"  # the command is malformed or its values are out of bounds
 
 
 def _duty_fields(duty: Duty) -> list[Any]:
@@ -85,37 +91,40 @@
 
 
 def declare(duty: Duty) -> bytes:
-    """Return the command that adds or changes a duty."""
+    """Return the command DECLARE, which adds or changes a duty."""
     return _command(CommandKind.DECLARE, *_duty_fields(duty))
 
 
 def begin(member: str, life: int, term: int) -> bytes:
-    """Return the command that begins a leadership."""
+    """Return the command BEGIN, which starts a leadership."""
     return _command(CommandKind.BEGIN, member, life, term)
 
 
 def grant(name: str, holder: str, life: int, replaces: int, leader_epoch: int) -> bytes:
-    """Return the command that grants a duty, in place of the grant with the fence ``replaces``."""
+    """Return the command GRANT, which replaces the grant with the fence ``replaces`` (0 for none)."""
     return _command(CommandKind.GRANT, name, holder, life, replaces, leader_epoch)
 
 
 def back(name: str, fence: int) -> bytes:
-    """Return the command by which a holder gives its grant back."""
+    """Return the command BACK, with which a holder gives its grant back."""
     return _command(CommandKind.BACK, name, fence)
 
 
 def revoke(name: str, fence: int, leader_epoch: int) -> bytes:
-    """Return the command by which the leader ends a grant."""
+    """Return the command REVOKE, with which the leader ends a grant."""
     return _command(CommandKind.REVOKE, name, fence, leader_epoch)
 
 
 def retire(name: str) -> bytes:
-    """Return the command that removes a duty."""
+    """Return the command RETIRE, which removes a duty."""
     return _command(CommandKind.RETIRE, name)
 
 
 def waits(changes: dict[str, float], leader_epoch: int) -> bytes:
-    """Return the command that changes hold-downs: by key the wait in seconds, 0 for one that is forgiven."""
+    """Return the command WAITS, which changes hold-downs.
+
+    ``changes`` maps the key of a hold-down to its length in seconds; 0 removes it.
+    """
     return _command(CommandKind.WAITS, list(changes.items()), leader_epoch)
 
 
@@ -124,22 +133,23 @@
 
 
 class GrantTable:
-    """The table, the same at every member that applied the same entries."""
+    """Table of duties and grants, identical at every member that has applied the same log entries."""
 
     def __init__(self, without: frozenset[str] = frozenset()) -> None:
         self.without = without
         self.duties: dict[str, Duty] = {}
         self.held: dict[str, Grant] = {}
-        self.floor: dict[str, int] = {}  # by duty the highest fence ever given; outlives a RETIRE
-        self.waits: dict[str, float] = {}  # by key of a hold-down its wait in seconds, the oldest first
-        self.leader_epoch = 0  # index of the last BEGIN
+        self.floor: dict[str, int] = {}  # highest fence ever granted, by duty; a RETIRE does not remove it
+        self.waits: dict[str, float] = {}  # length of each hold-down in seconds, by key, the oldest first
+        self.leader_epoch = 0  # log index of the last BEGIN
         self.leader = ""
         self.leader_life = 0
         self.applied = 0
-        self.on_changed: Callable[[str], None] = _ignore_change  # set by the actor
+        # Called with the name of a changed duty, or ALL_DUTIES; the actor in part.py sets it.
+        self.on_changed: Callable[[str], None] = _ignore_change
 
     def shortest_s(self, default_s: float) -> float:
-        """Return the shortest of all leases that hold or may be given, and the default."""
+        """Return the shortest lease in seconds among ``default_s``, the duties and the current grants."""
         return min(
             [
                 default_s,
@@ -171,7 +181,7 @@
         return Result.DONE
 
     def _begin(self, index: int, fields: list[Any]) -> Result:
-        leader, life = str(fields[0]), int(fields[1])  # where the second is none, nothing has changed yet
+        leader, life = str(fields[0]), int(fields[1])  # both parsed first: an error must leave no change
         self.leader = leader
         self.leader_life = life
         self.leader_epoch = index
@@ -187,20 +197,20 @@
         if name not in self.duties:
             return Result.UNKNOWN
         if leader_epoch != self.leader_epoch and Guard.LEADER_EPOCH not in self.without:
-            # A proposal of a leader that lost its place may come in much later, through another member.
-            # It waited for what *it* renewed; its successor may have renewed since.
+            # A proposal of a former leader may be applied much later, forwarded by another member. That
+            # leader waited for the leases that it renewed itself; its successor may have renewed others.
             return Result.OLD_LEADER
         current = self.held.get(name)
         if (
             current.fence if current is not None else 0
         ) != replaces and Guard.REPLACED_FENCE not in self.without:
-            # Two proposals of one leader for one duty, the first of which was taken for lost.
+            # A leader that considers a proposal lost makes a second one; only one of the two may apply.
             return Result.CHANGED
         if new.fence <= self.floor.get(name, 0):
             raise BrokenInvariantError(
                 f"fence {new.fence} is not above {self.floor[name]}",
                 where=f"duty {name}",
-                wanted="log indices that grow",
+                wanted="increasing log indices",
                 do="keep this member's folder and report it",
             )
         self.held[name] = replace(new, lease_s=self.duties[name].lease_s)
@@ -249,7 +259,7 @@
     # --- snapshots
 
     def snapshot(self) -> bytes:
-        """Return the whole table."""
+        """Return the whole table, packed."""
         return _pack(
             VERSION,
             self.leader_epoch,
@@ -263,7 +273,10 @@
         )
 
     def restore(self, data: bytes) -> None:
-        """Set the table to a snapshot's. Raises GrantsUnreadableError for another version, or none."""
+        """Replace the table by that of a snapshot.
+
+        Raises GrantsUnreadableError if the format is unknown or the data is not a snapshot.
+        """
         try:
             version, *fields = msgpack.unpackb(data)
             if version not in (1, VERSION):
@@ -282,7 +295,7 @@
             self.waits = {str(key): float(wait_s) for key, wait_s in waits}
         except (ValueError, TypeError, LookupError, msgpack.UnpackException):
             raise GrantsUnreadableError(
-                "no snapshot of grants", where="snapshot of duties", do="take it again from another member"
+                "not a snapshot of grants", where="snapshot of duties", do="copy it again from another member"
             ) from None
         self.leader_epoch = int(leader_epoch)
         self.leader = str(leader)
--- a/beechrock/duties/holder.py
+++ b/beechrock/duties/holder.py
@@ -1,15 +1,20 @@
-"""One duty at one process: what the process may do of it now.
-
-States: IDLE (not this process's); TAKING (its own by the log: the predecessor's state is taken over up to the
-fence, nothing is done yet); HOLDING; YIELDING (nothing new; what is in hand is finished or given back); LOST
-(the lease ran out, or was not sure after a pause for too long; its own by the log still, perhaps).
-Events: a grant or its end in the log, answers to requests for renewal, a request to yield, the worker is
-done, ticks.
-
-Invariants: ``may`` gives a fence in HOLDING only, before the lease's end by this process's own clock; the
-lease is counted from when the request was *sent*, and is DRIFT shorter than the leader's; after a pause, or a
-clock that went back, no answer to a request sent before it counts (``PauseDetector``); a fence that was given
-back is never acted on again.
+"""State machine of one duty at one process: whether the process may act for the duty now.
+
+States:
+- IDLE: this process does not hold the duty.
+- TAKING: the log grants the duty to this process; its worker takes over the predecessor's state, up to the
+  fence, and has no effect yet.
+- HOLDING: the process may act while its lease is valid.
+- YIELDING: the worker starts no new work, and finishes or gives back the work in progress.
+- LOST: the lease expired, or the worker did not yield in time; the log may still contain the grant.
+
+Events: a grant or its end in the log, replies to renewal requests, a request to yield, the worker's report
+that it has taken over or given up, ticks.
+
+Invariants: ``may`` returns a fence only in HOLDING and before the end of the lease by this process's own
+clock. The lease starts when the request was *sent*, and is shorter than the leader's by the share DRIFT.
+After a pause, or a clock that went back, replies to earlier requests do not count (``PauseDetector``). A
+fence that was given back is never used again.
 """
 
 from dataclasses import dataclass
@@ -18,13 +23,14 @@
 from beechrock.duties.guards import Guard
 from beechrock.duties.model import DRIFT
 
-FINISH_SHARE = 0.5  # of the lease left, when one that is to FINISH without a quorum takes nothing new
-YIELD_TIMEOUT_LEASES = 3.0  # after which a worker that does not give up is stopped
-NO_PAUSE_COUNT = -1
+# Remaining share of the lease at which a holder with WithoutQuorum.FINISH starts to yield.
+FINISH_SHARE = 0.5
+YIELD_TIMEOUT_LEASES = 3.0  # Leases after which a worker that has not given up is stopped
+NO_PAUSE_COUNT = -1  # value of ``pauses_at_renewal`` before the first renewal
 
 
 class HolderState(Enum):
-    """State of a duty at this process; the values are shown to operators."""
+    """State of a duty at this process; operators see the values."""
 
     IDLE = "idle"
     TAKING = "taking"
@@ -34,27 +40,28 @@
 
 
 class Command(Enum):
-    """What the shell does for a duty."""
+    """Command that the caller of a holder executes for the duty."""
 
-    TAKE_OVER = "take over"  # the worker's ``take_over``; then ``on_taken_over``
-    GIVE_UP = "give up"  # the worker's ``give_up``; then ``on_given_up``
-    STOP = "stop"  # the worker's ``lost``: at once, whatever it was doing
-    GIVE_BACK = "give back"  # propose the end of the grant: nothing is done under this fence any more
+    TAKE_OVER = "take over"  # run the worker's ``take_over``, then call ``on_taken_over``
+    GIVE_UP = "give up"  # run the worker's ``give_up``, then call ``on_given_up``
+    STOP = "stop"  # call the worker's ``lost`` at once and cancel its task
+    GIVE_BACK = "give back"  # propose the end of the grant; the worker no longer acts under this fence
 
 
 @dataclass(frozen=True, slots=True)
 class HolderAction:
-    """A command for the grant with this fence."""
+    """Command for the grant with the given fence."""
 
     command: Command
     fence: int
 
 
 class PauseDetector:
-    """Notices that this process stood still, or that its clock did not go on as it should.
+    """Detector of pauses of this process and of jumps of its clock.
 
-    After either, what was sure is sure no more: a clock that does not count all of a pause (a machine that
-    was suspended) would else show a lease as good that ended long ago. ``pauses`` counts those moments.
+    After either, a lease obtained before is no longer trusted: a clock that does not advance during a pause,
+    such as a suspended machine's, would show a lease as valid that ended long ago. ``pauses`` is the number
+    of pauses and jumps detected so far.
     """
 
     def __init__(self, max_gap_s: float, now_s: float, without: frozenset[str] = frozenset()) -> None:
@@ -64,7 +71,7 @@
         self.without = without
 
     def observe(self, now_s: float) -> int:
-        """Take note of the time; return the count of pauses."""
+        """Record the current time and return the number of pauses so far."""
         paused = now_s - self.last_s > self.max_gap_s or now_s < self.last_s
         if paused and Guard.PAUSE not in self.without:
             self.pauses += 1
@@ -73,25 +80,29 @@
 
 
 class Holder:
-    """One duty. ``now_s`` is this process's own monotonic clock; ``pauses`` is its PauseDetector's count."""
+    """State of one duty at this process.
+
+    In all methods ``now_s`` is a reading of this process's own monotonic clock, and ``pauses`` the count of
+    its PauseDetector.
+    """
 
     def __init__(self, finish: bool = False, without: frozenset[str] = frozenset()) -> None:
-        self.finish = finish  # WithoutQuorum.FINISH
+        self.finish = finish  # whether the duty is declared with WithoutQuorum.FINISH
         self.without = without
         self.state = HolderState.IDLE
         self.state_since_s = 0.0
-        self.fence = 0  # of the grant in the log, 0 for none
-        self.highest_fence = 0  # ever given
-        self.lease_s = 0.0
-        self.lease_end_s = 0.0
-        self.leased = False  # the leader has renewed this fence
-        self.pauses_at_renewal = NO_PAUSE_COUNT  # the count of pauses when it did
-        self.taken_over = False
-        self.working = False  # the worker has something to stop
-        self.yield_reason = ""
+        self.fence = 0  # fence of this process's grant in the log; 0 without a grant
+        self.highest_fence = 0  # highest fence ever granted to this process
+        self.lease_s = 0.0  # length of the lease, in seconds
+        self.lease_end_s = 0.0  # clock time at which this process must stop acting
+        self.leased = False  # whether the leader has renewed this fence and the lease was not lost since
+        self.pauses_at_renewal = NO_PAUSE_COUNT  # number of pauses detected before the last renewal
+        self.taken_over = False  # whether the worker has taken over the predecessor's state
+        self.working = False  # whether the worker was started and has neither given up nor been stopped
+        self.yield_reason = ""  # reason of the last request to yield
 
     def may(self, now_s: float, pauses: int) -> int | None:
-        """Return the fence, if this process may act now."""
+        """Return the fence if this process may act now, else None."""
         acts = self.state is HolderState.HOLDING or (
             Guard.STOP_FIRST in self.without and self.state is HolderState.YIELDING
         )
@@ -105,8 +116,8 @@
         )
 
     def on_grant(self, now_s: float, fence: int, lease_s: float = 0.0) -> list[HolderAction]:
-        """Take note of the log: the duty is this process's under the fence; 0: it is not."""
-        if fence == self.fence or 0 < fence <= self.highest_fence:  # what was given back never comes back
+        """Process the grant in the log: ``fence`` is that of this process's grant, 0 if it has none."""
+        if fence == self.fence or 0 < fence <= self.highest_fence:  # a fence given back is never used again
             return []
         stop = [HolderAction(Command.STOP, self.fence)] if self.working else []
         self._forget_lease()
@@ -122,7 +133,7 @@
     def _take_over(self, now_s: float) -> list[HolderAction]:
         self._set_state(HolderState.TAKING, now_s)
         self.working = True
-        self.taken_over = Guard.TAKE_OVER in self.without
+        self.taken_over = Guard.TAKE_OVER_FIRST in self.without
         return [HolderAction(Command.TAKE_OVER, self.fence)]
 
     def on_renewed(
@@ -133,7 +144,10 @@
         fence: int,
         lease_s: float,
     ) -> list[HolderAction]:
-        """Take note of a renewal that was asked for at ``sent_s``; ``pauses`` is that of then and of now."""
+        """Process a renewal whose request was sent at ``sent_s``.
+
+        ``pauses`` is the count of pauses, the same when the request was sent as now.
+        """
         if fence != self.fence or self.state is HolderState.IDLE:
             return []
         lease_start_s = now_s if Guard.FROM_SENT in self.without else sent_s
@@ -146,13 +160,14 @@
         if not self._lease_valid(now_s, pauses):
             return []
         if self.state is HolderState.LOST:
-            # The same fence: nobody held it in between. The worker begins anew, from what it finds.
+            # The fence is the same, so no other member held the duty in between. The worker starts again
+            # with a take-over.
             return self._take_over(now_s)
         self._hold_if_ready(now_s, pauses)
         return []
 
     def on_taken_over(self, now_s: float, pauses: int, fence: int) -> None:
-        """Take note that the worker has the predecessor's state."""
+        """Record that the worker has taken over the predecessor's state."""
         if fence == self.fence and self.state is HolderState.TAKING:
             self.taken_over = True
             self._hold_if_ready(now_s, pauses)
@@ -162,7 +177,7 @@
             self._set_state(HolderState.HOLDING, now_s)
 
     def start_yield(self, now_s: float, fence: int, reason: str) -> list[HolderAction]:
-        """Yield: asked by the leader, an operator, or this process's own end."""
+        """Start to yield, at the request of the leader or an operator, or because this process is leaving."""
         if fence != self.fence or self.state in (HolderState.YIELDING, HolderState.IDLE):
             return []
         self.yield_reason = reason
@@ -177,14 +192,14 @@
         return actions
 
     def on_given_up(self, fence: int) -> list[HolderAction]:
-        """Take note that the worker has nothing in hand any more."""
+        """Record that the worker has no work in progress any more, and give the grant back."""
         if fence != self.fence or self.state is not HolderState.YIELDING:
             return []
         self.working = False
         return [HolderAction(Command.GIVE_BACK, fence)]
 
     def tick(self, now_s: float, pauses: int) -> list[HolderAction]:
-        """End what is overdue."""
+        """Handle an expired lease, a missing quorum and a worker that does not yield in time."""
         if self.state is HolderState.HOLDING:
             if not self.leased or now_s >= self.lease_end_s:
                 return self._lose(now_s)
@@ -193,7 +208,7 @@
                 return self.start_yield(now_s, self.fence, "no quorum")
         yield_s = now_s - self.state_since_s
         if self.state is HolderState.YIELDING and yield_s > YIELD_TIMEOUT_LEASES * self.lease_s:
-            # What was in hand hangs. The leader does not wait for it: the receiver refuses what comes late.
+            # The worker hangs. The leader does not wait for it, and receivers refuse its late effects.
             return self._lose(now_s)
         return []
 
@@ -203,7 +218,7 @@
         return [HolderAction(Command.STOP, self.fence)]
 
     def _forget_lease(self) -> None:
-        """Go back to what holds before a worker has begun."""
+        """Reset the lease and the worker's flags to their values before a worker was started."""
         self.leased = False
         self.taken_over = False
         self.working = False
--- a/beechrock/duties/leadership.py
+++ b/beechrock/duties/leadership.py
@@ -1,10 +1,11 @@
-"""The grantor of each leadership of this node, and what its actions cause: proposals and messages.
+"""Leadership of this node: it makes one grantor per leadership and executes the grantor's actions.
 
-States: another node leads (no grantor); this node leads, and its beginning is not in the log yet; it leads
-with a grantor. Events: ticks, members' requests, requests to move a duty. Invariants: a grantor serves one
-leadership, and ticks only while this node has the leader's lease; what an earlier one of this process
-proposed may still come in, and is refused by the log; the wait for old leases counts from no earlier than
-the last moment in which any grantor could answer (quiet_period.py).
+States: another node leads (no grantor); this node leads, but its BEGIN is not in the log yet; this node leads
+with a grantor. Events: ticks, members' requests, requests to move a duty.
+
+Invariants: a grantor serves one leadership, and ticks only while this node has the leader's lease. A proposal
+of an earlier grantor of this process may still arrive, and the log refuses it. The wait for old leases starts
+no earlier than the last moment at which an earlier grantor could answer (quiet_period.py).
 """
 
 from collections.abc import Callable
@@ -21,11 +22,14 @@
 from beechrock.duties.proposer import Proposer
 from beechrock.duties.quiet_period import QuietPeriod
 
-CHANNEL = "duties"
+CHANNEL = "duties"  # transport channel for messages about duties
 
 
 class Leadership:
-    """``grantor``: of the newest leadership, where that is this process's."""
+    """Runs the grantor while this node leads.
+
+    ``grantor`` is the grantor of the latest leadership if that belongs to this process, else None.
+    """
 
     def __init__(
         self,
@@ -42,8 +46,8 @@
         self._rules = rules
         self._proposer = proposer
         self._clock = clock
-        self._leader_epoch = 0  # of the newest leadership that was seen
-        self._leading = False  # at the last tick
+        self._leader_epoch = 0  # epoch of the latest leadership seen in the log
+        self._leading = False  # whether this node had the leader's lease at the last tick
         self._quiet = QuietPeriod()
         self.grantor: Grantor | None = None
         agree.on_lead(self._on_lead)
@@ -55,7 +59,7 @@
             self._quiet.end()
 
     def tick(self, now_s: float) -> None:
-        """Run the grantor, one for each leadership; without the leader's lease nothing is granted."""
+        """Run the grantor, or propose a BEGIN if there is none; do neither without the leader's lease."""
         self._quiet.tick(now_s, PAUSE * self._grants.shortest_s(self._rules.lease_s))
         if self._grants.leader_epoch != self._leader_epoch:
             self._on_new_leader(now_s)
@@ -86,7 +90,8 @@
             match action:
                 case Propose(name, command, reason):
                     logs.event("duties.grant", name=name, why=reason)
-                    # Of each leadership by itself: an earlier grantor's may be under way still, unanswered.
+                    # The key contains the epoch, because a proposal of an earlier grantor of this node may
+                    # still be pending and must not block this one.
                     self._proposer.propose(
                         f"grant {name} {grantor.leader_epoch}",
                         command,
@@ -97,7 +102,7 @@
                     self._transport.send(member, CHANNEL, encode(reply))
 
     def on_request(self, now_s: float, sender: str, request: RenewalRequest) -> None:
-        """Answer a member, where this node leads."""
+        """Answer a member's request if this node leads."""
         grantor = self.grantor
         if grantor is None or grantor.leader_epoch != self._grants.leader_epoch:
             return
@@ -106,21 +111,21 @@
             self._transport.send(sender, CHANNEL, encode(reply))
 
     def on_move_request(self, now_s: float, sender: str, name: str) -> None:
-        """Ask a holder to yield, as an operator wants at another node."""
+        """Ask a holder to yield, as requested by an operator at the node ``sender``."""
         if self.grantor is not None:
             reason = self._move(self.grantor, now_s, name)
             logs.event("duties.move", name=name, by=sender, refused=reason)
 
     def next_expiry_s(self, now_s: float) -> float:
-        """Return when the next lease runs out by this node's grantor; infinity where it has none."""
+        """Return the clock time at which the next lease expires, or infinity without a grantor or lease."""
         return self.grantor.next_expiry_s(now_s) if self.grantor is not None else float("inf")
 
     def leads_with_grantor(self) -> bool:
-        """Return whether this node grants now."""
+        """Return whether this node has a grantor and the leader's lease now."""
         return self.grantor is not None and self._agree.leading()
 
     def move(self, name: str) -> str:
-        """Ask a holder to yield; return why not, or empty."""
+        """Ask a holder to yield; return the reason why that is not possible, or an empty string."""
         if self.grantor is None:
             return "this node does not lead"
         return self._move(self.grantor, self._clock(), name)
--- a/beechrock/duties/member_duties.py
+++ b/beechrock/duties/member_duties.py
@@ -1,8 +1,10 @@
-"""All duties at one process: one request for renewal covers all that it holds, and shows that it lives.
+"""All duties at one process, and the renewal requests that it sends to the leader.
 
-Invariants: an answer counts only for the request that it names, by this process, sent since the last pause;
-the lease is counted from that request's sending. At most ``MAX_OPEN_REQUESTS`` requests are remembered; the
-oldest is forgotten, and its answer then counts for nothing.
+One request asks to renew every lease that the process holds, and is its heartbeat as well.
+
+Invariants: a renewal in a reply counts only if it answers a request that this process sent since the last
+pause; the lease starts when that request was sent. At most ``MAX_OPEN_REQUESTS`` unanswered requests are
+remembered; beyond that the oldest is dropped, and a reply to it renews nothing.
 """
 
 from collections.abc import Callable
@@ -14,35 +16,38 @@
 from beechrock.duties.messages import HeldFence, RenewalReply, RenewalRequest
 from beechrock.duties.model import PAUSE, RENEW_EACH_LEASES, Duty, WithoutQuorum
 
-MAX_OPEN_REQUESTS = 64
+MAX_OPEN_REQUESTS = 64  # maximum number of sent requests that are remembered
 
 
 class Progress(NamedTuple):
-    """What a worker did since its start, and how much it could do now and does not."""
+    """Progress of a duty's worker."""
 
-    done: int
-    waiting: int
+    done: int  # amount of work completed since the worker's start; it never decreases
+    waiting: int  # amount of work that could be done now but is not
 
 
-NO_PROGRESS = Progress(0, 1)
+NO_PROGRESS = Progress(0, 1)  # reported for a worker that is taking over, or whose ``progress`` fails
 
 
 class DutyAction(NamedTuple):
-    """An action of one duty's holder."""
+    """Action of the holder of one duty."""
 
     duty: str
     action: HolderAction
 
 
 class OpenRequest(NamedTuple):
-    """When a request was sent, and the count of pauses then."""
+    """Clock time at which a request was sent, in seconds, and the count of pauses at that time."""
 
     sent_s: float
     pauses: int
 
 
 class MemberDuties:
-    """The duties that this process has workers for. ``lease_s``: the shortest that a duty here has."""
+    """The duties for which this process has workers.
+
+    ``lease_s`` is the shortest lease assumed until a duty is declared.
+    """
 
     def __init__(
         self,
@@ -65,13 +70,13 @@
         self.holders: dict[str, Holder] = {}
         self.duty_by_fence: dict[int, str] = {}
         self.open_requests: dict[int, OpenRequest] = {}
-        self.seq = 0
-        self.next_request_s = now_s
-        self.send_supported = True
-        self.leaving = ""  # why all is given back, if it is
+        self.seq = 0  # sequence number of the last request
+        self.next_request_s = now_s  # clock time at which the next request is due
+        self.send_supported = True  # whether the next request lists the supported duties
+        self.leaving = ""  # non-empty once this process gives all duties back in order to leave
 
     def declare(self, duty: Duty) -> None:
-        """Add a duty, or change it."""
+        """Add a duty or change its declaration."""
         self.duties[duty.name] = duty
         if duty.name not in self.holders:
             finish = duty.without_quorum is WithoutQuorum.FINISH
@@ -82,13 +87,16 @@
         self.send_supported = True
 
     def may(self, name: str, now_s: float) -> int | None:
-        """Return the fence, if this process may act for the duty now."""
+        """Return the fence if this process may act for the duty now, else None."""
         pauses = self.pause_detector.observe(now_s)
         holder = self.holders.get(name)
         return holder.may(now_s, pauses) if holder is not None else None
 
     def update_grants(self, grants: GrantTable, now_s: float) -> list[DutyAction]:
-        """Take over this member's copy of the log; a renewal of what is new is asked for at once."""
+        """Apply the grants in this member's copy of the log.
+
+        A new grant for this process makes a renewal request due at once.
+        """
         self.pause_detector.observe(now_s)
         actions: list[DutyAction] = []
         for name, holder in self.holders.items():
@@ -109,9 +117,9 @@
         serving: bool,
         progress: Callable[[str], tuple[int, int]],
     ) -> RenewalRequest:
-        """Return the next request, which the caller sends now or never.
+        """Return the next request; the caller must send it at once, because the lease starts now.
 
-        ``progress`` returns what a duty's worker did, and what waits (``Progress``).
+        ``progress`` returns the fields of ``Progress`` for a duty.
         """
         pauses = self.pause_detector.observe(now_s)
         self.seq += 1
@@ -139,11 +147,12 @@
         )
 
     def _progress(self, name: str, progress: Callable[[str], tuple[int, int]]) -> tuple[int, int]:
-        # A take-over that hangs is no progress while work waits, whatever the worker says of itself.
+        # A worker in its take-over is reported as stalled, whatever its own progress, so that a take-over
+        # that hangs is detected by the leader.
         return NO_PROGRESS if self.holders[name].state is HolderState.TAKING else progress(name)
 
     def on_reply(self, now_s: float, reply: RenewalReply) -> list[DutyAction]:
-        """Take the leader's answer in."""
+        """Process a reply of the leader: renewals and requests to yield."""
         pauses = self.pause_detector.observe(now_s)
         if reply.life != self.life:
             return []
@@ -162,19 +171,22 @@
         return actions
 
     def on_taken_over(self, now_s: float, name: str, fence: int) -> None:
-        """Take note that the worker has the predecessor's state."""
+        """Record that the worker has taken over the predecessor's state."""
         self.holders[name].on_taken_over(now_s, self.pause_detector.observe(now_s), fence)
 
     def on_given_up(self, name: str, fence: int) -> list[DutyAction]:
-        """Take note that the worker has nothing in hand any more."""
+        """Record that the worker has no work in progress any more."""
         return [DutyAction(name, action) for action in self.holders[name].on_given_up(fence)]
 
     def tick(self, now_s: float, yield_reason: str = "") -> list[DutyAction]:
-        """End what is overdue; ``yield_reason``: why all is given back (drained, leaving), if it is."""
+        """Tick each holder.
+
+        A non-empty ``yield_reason`` (drained, leaving) makes the process give all its duties back.
+        """
         previous = self.pause_detector.pauses
         pauses = self.pause_detector.observe(now_s)
         if pauses != previous:
-            self.next_request_s = now_s  # ask again after every pause
+            self.next_request_s = now_s  # leases from before a pause do not count: request new ones at once
         actions: list[DutyAction] = []
         for name, holder in self.holders.items():
             new = holder.tick(now_s, pauses)
@@ -185,5 +197,5 @@
 
 
 def digest(names: tuple[str, ...]) -> int:
-    """Return the digest of sorted names; 0 is never one."""
+    """Return a digest of the sorted names, which is never 0."""
     return int.from_bytes(blake2b("\0".join(names).encode(), digest_size=6).digest(), "big") or 1
--- a/beechrock/duties/messages.py
+++ b/beechrock/duties/messages.py
@@ -1,8 +1,8 @@
-"""Messages between members and the leader about duties, and their bytes (msgpack, a version first).
+"""Messages between members and the leader about duties, and their encoding (msgpack, the version first).
 
-A ``RenewalRequest`` goes from a member to the leader some times a lease: it lives, supports these duties,
-holds those. A ``RenewalReply`` is the leader's volatile answer. Both may be lost, doubled, late and out of
-order.
+A member sends a ``RenewalRequest`` to the leader several times per lease, as a heartbeat with the duties that
+it supports and those that it holds. A ``RenewalReply`` is the leader's answer, which no log records. Both may
+be lost, duplicated, delayed and reordered.
 """
 
 from dataclasses import dataclass
@@ -11,8 +11,8 @@
 
 import msgpack
 
-VERSION = 1
-MAX_FENCES = 4096  # in one message
+VERSION = 1  # format version of the messages
+MAX_FENCES = 4096  # maximum number of fences read from one message
 
 
 class MessageKind(IntEnum):
@@ -25,31 +25,31 @@
 
 @dataclass(frozen=True, slots=True)
 class HeldFence:
-    """One fence of the sender; ``waiting`` is work that could be done now, ``done`` only grows."""
+    """Fence that the sender holds for a duty, with the progress of its worker."""
 
-    name: str
+    name: str  # name of the duty
     fence: int
-    done: int
-    waiting: int
+    done: int  # amount of work completed since the worker's start; it never decreases
+    waiting: int  # amount of work that could be done now but is not
 
 
 @dataclass(frozen=True, slots=True)
 class RenewalRequest:
-    """From a member to the leader."""
+    """Request from a member to the leader to renew its leases."""
 
-    seq: int
-    life: int
+    seq: int  # sequence number, copied to the reply
+    life: int  # incarnation number of the sender's process
     hall: str
     hardware: str
-    serving: bool
-    leaving: bool
-    supported_digest: int  # of the duties for which it has workers
-    supported: tuple[str, ...] | None  # those names, where the leader asked for them
-    held: tuple[HeldFence, ...]
+    serving: bool  # whether the sender may be granted duties
+    leaving: bool  # whether the sender gives its duties back in order to leave
+    supported_digest: int  # digest of the names of the duties for which the sender has workers
+    supported: tuple[str, ...] | None  # names of those duties if the leader needs them, else None
+    held: tuple[HeldFence, ...]  # fences that the sender holds
 
 
 class RenewedLease(NamedTuple):
-    """A lease that the leader renews, with its length."""
+    """Fence whose lease the leader renews, and the length of the lease in seconds."""
 
     fence: int
     lease_s: float
@@ -57,27 +57,30 @@
 
 @dataclass(frozen=True, slots=True)
 class RenewalReply:
-    """From the leader to a member. ``seq`` 0: nobody asked, and so nothing is renewed by it."""
+    """Reply from the leader to a member.
 
-    seq: int
-    life: int  # of the member: another process of its name is not meant
-    renewed: tuple[RenewedLease, ...]
-    yield_fences: tuple[int, ...]  # to be given back
-    send_supported: bool  # the next request is to list the names
+    ``seq`` 0 marks a message that answers no request, and therefore renews nothing.
+    """
+
+    seq: int  # sequence number of the request
+    life: int  # incarnation number of the member's process; another process ignores the reply
+    renewed: tuple[RenewedLease, ...]  # leases that the leader renews
+    yield_fences: tuple[int, ...]  # fences that the member must give back
+    send_supported: bool  # whether the next request must list the supported duties
 
 
 @dataclass(frozen=True, slots=True)
 class MoveRequest:
-    """An operator's request, on its way to the leader: ask the holder to yield."""
+    """Operator's request, forwarded to the leader, to ask a duty's holder to yield."""
 
-    name: str
+    name: str  # name of the duty
 
 
 Message = RenewalRequest | RenewalReply | MoveRequest
 
 
 def encode(message: Message) -> bytes:
-    """Return the message's bytes."""
+    """Return the encoded message."""
     match message:
         case MoveRequest():
             fields: list[Any] = [VERSION, int(MessageKind.MOVE_REQUEST), message.name]
@@ -111,7 +114,7 @@
 
 
 def decode(data: bytes) -> Message | None:
-    """Return the message; None for another version, or what is no message."""
+    """Return the decoded message, or None if the version is unknown or the data is malformed."""
     try:
         fields = msgpack.unpackb(data)
         if fields[0] != VERSION:
--- a/beechrock/duties/model.py
+++ b/beechrock/duties/model.py
@@ -1,28 +1,30 @@
-"""What a duty is, and which members may hold it.
+"""Data model of duties, grants and members, and the rule for which members may hold a duty.
 
-A duty is FLEET (one in all), HALL (one in each hall; ``scope`` is the hall) or SHARD (one for each shard;
-``scope`` names it). A member may hold it where its hall and its hardware class are among those listed (none
-listed: any), where it has a worker for it, and while it is neither drained nor leaving.
+A duty has the kind FLEET (one holder in the fleet), HALL (one holder per hall; ``scope`` is the hall) or
+SHARD (one holder per shard; ``scope`` is the shard's name). A member may hold a duty if the duty lists its
+hall and its hardware class (an empty list means any), if the member has a worker for the duty, and while it
+is neither drained nor leaving nor silent.
 """
 
 from dataclasses import dataclass
 from enum import Enum
 
-# Of a lease's length, by which a holder stops before its end. Safe while the rates of any two clocks differ
-# by less than this: the holder counts LEASE * (1 - DRIFT) from when it sent its request, the leader LEASE
-# from its answer.
+# Share of a lease by which a holder stops before the lease ends. Leases are safe while the rates of any two
+# clocks differ by less than this: the holder counts LEASE * (1 - DRIFT) from the sending of its request, the
+# leader counts LEASE from its reply.
 DRIFT = 0.05
-PAUSE = 0.25  # of the shortest lease: a gap between two readings of the clock that is a pause
-RENEW_EACH_LEASES = 0.2  # of the shortest lease: between two requests for renewal
-MIN_LEASE_S, MAX_LEASE_S = 0.2, 60.0
-MAX_DUTIES = 4096  # in the agreed table; a declaration beyond it is refused
-MAX_HOLD_DOWNS = 1024  # of members, and of members with a duty; beyond it the oldest is forgotten
-MAX_NAME_BYTES = 128  # of a duty's name and scope
-MAX_LISTED = 64  # halls, or hardware classes, of one duty
+PAUSE = 0.25  # Share of the shortest lease; a longer gap between two clock readings counts as a pause
+RENEW_EACH_LEASES = 0.2  # Interval between two renewal requests, as a share of the shortest lease
+MIN_LEASE_S, MAX_LEASE_S = 0.2, 60.0  # Bounds of a duty's lease, in seconds
+MAX_DUTIES = 4096  # Maximum number of declared duties; a further declaration is refused
+# Maximum number of hold-downs, of members and of pairs of member and duty; beyond it the oldest is dropped.
+MAX_HOLD_DOWNS = 1024
+MAX_NAME_BYTES = 128  # Maximum length of a duty's name, and of its scope, in UTF-8 bytes
+MAX_LISTED = 64  # Maximum number of halls, and of hardware classes, that a duty lists
 
 
 class Kind(Enum):
-    """How many holders a duty has; the values are in the agreed log."""
+    """Area in which a duty has one holder; the agreed log contains the values."""
 
     FLEET = "fleet"
     HALL = "hall"
@@ -30,10 +32,10 @@
 
 
 class WithoutQuorum(Enum):
-    """What a holder does without a quorum.
+    """Behaviour of a holder whose lease is not renewed, for example without a quorum.
 
-    STOP: it goes on until the lease ends, then stops. FINISH: at half the lease without an answer it takes
-    nothing new.
+    STOP: the holder continues until its lease ends, then stops. FINISH: when half the lease is left, the
+    holder yields: it starts no new work and finishes the work in progress.
     """
 
     STOP = "stop"
@@ -42,19 +44,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Duty:
-    """What one member may do at a time."""
+    """Work that only one member may do at a time."""
 
     name: str
     kind: Kind = Kind.FLEET
     scope: str = ""
-    halls: tuple[str, ...] = ()
-    hardware: tuple[str, ...] = ()
-    lease_s: float = 0.0  # 0: as the table [duties] says
+    halls: tuple[str, ...] = ()  # halls whose members may hold the duty; empty for any
+    hardware: tuple[str, ...] = ()  # hardware classes whose members may hold the duty; empty for any
+    lease_s: float = 0.0  # length of the lease in seconds; 0 for the default of the settings table [duties]
     without_quorum: WithoutQuorum = WithoutQuorum.STOP
 
     @property
     def is_valid(self) -> bool:
-        """Whether it is within the bounds of this module."""
+        """Whether the duty is within the bounds of this module."""
         return (
             0 < len(self.name.encode()) <= MAX_NAME_BYTES
             and len(self.scope.encode()) <= MAX_NAME_BYTES
@@ -66,30 +68,30 @@
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """A right from the log: ``fence`` is the index of its entry, unique, and grows."""
+    """Grant of a duty to a member's process, recorded in the agreed log."""
 
-    holder: str
-    life: int
-    fence: int
-    lease_s: float  # as it was when granted: a later declaration does not shorten what may be held
+    holder: str  # name of the member
+    life: int  # incarnation number of the member's process
+    fence: int  # log index of the grant; unique, and higher for each later grant
+    lease_s: float  # lease in seconds at the time of the grant; a later declaration does not change it
 
 
 @dataclass(slots=True)
 class Member:
-    """What the leader received from a member itself."""
+    """State of a member as reported in its latest requests to the leader."""
 
     name: str
     life: int
     hall: str
     hardware: str
-    serving: bool  # neither drained nor leaving
-    supported: frozenset[str]  # duties for which it has a worker
-    last_request_s: float  # when its last request came
-    silent: bool = False  # for so long that it gets nothing
+    serving: bool  # whether the member is neither drained nor leaving
+    supported: frozenset[str]  # names of the duties for which the member has workers
+    last_request_s: float  # leader's clock time of the last request
+    silent: bool = False  # whether the last request is so old that the member is granted nothing
 
 
 def ineligibility_reason(duty: Duty, member: Member) -> str:
-    """Return why the member may not hold the duty; empty: it may."""
+    """Return why the member may not hold the duty, or an empty string if it may."""
     if member.silent:
         return "silent"
     if not member.serving:
--- a/beechrock/duties/operators.py
+++ b/beechrock/duties/operators.py
@@ -1,4 +1,4 @@
-"""What operators see of the duties, and what they can ask."""
+"""Views and commands of the duties for operators."""
 
 from typing import TYPE_CHECKING, Any
 
@@ -12,10 +12,12 @@
 
 
 def view(duties: "Duties") -> dict[str, Any]:
-    """Return what ``/duties`` shows.
+    """Return the response body of ``/duties``.
 
-    ``since_s``: since this node saw the last change; ``why``: why nobody holds it; ``state``: at this
-    node; ``hold_downs``: what the log keeps for the next leader, in seconds.
+    ``since_s`` is the number of seconds since this node saw the grant change; ``why`` is the reason why no
+    member holds the duty; ``state`` is the duty's state at this node; ``hold_downs`` are the lengths, in
+    seconds, of the hold-downs in the log, which the next leader applies; ``held_down``, shown by the leader
+    only, are the remaining seconds of its current hold-downs.
     """
     now_s = duties.clock()
     grantor = duties.leadership.grantor
@@ -62,20 +64,21 @@
 
 
 def move(duties: "Duties", query: dict[str, str]) -> dict[str, Any]:
-    """Ask the holder to yield: ``/duties/yield?name=``, at any node.
+    """Ask the duty's holder to yield, for ``POST /duties/yield?name=`` at any node.
 
-    Raises UnknownDutyError, NotMovedError.
+    Raises UnknownDutyError if the duty is not declared, and NotMovedError if it has no holder, no other
+    member may hold it, or there is no leader.
     """
     name = _known_duty(duties, query)
     grant = duties.grants.held.get(name)
     if grant is None:
-        raise NotMovedError("nobody holds it", where=f"duty {name}", do="GET /duties at the leader tells why")
+        raise NotMovedError("nobody holds it", where=f"duty {name}", do="GET /duties at the leader shows why")
     if duties.leadership.leads_with_grantor():
         reason = duties.leadership.move(name)
         if reason:
             raise NotMovedError(reason, where=f"duty {name}", do="start a member that may hold it")
     elif not _send_to_leader(duties, MoveRequest(name)):
-        raise NotMovedError("there is no leader", where=f"duty {name}", do="ask again when there is a quorum")
+        raise NotMovedError("there is no leader", where=f"duty {name}", do="retry when there is a quorum")
     return {"name": name, "holder": grant.holder, "fence": grant.fence, "asked": True}
 
 
@@ -85,9 +88,10 @@
 
 
 def retire(duties: "Duties", query: dict[str, str]) -> dict[str, Any]:
-    """Remove a duty that no program declares any more and nobody holds: ``/duties/retire?name=``.
+    """Remove a duty that no node declares any more and no member holds, for ``/duties/retire?name=``.
 
-    Raises UnknownDutyError, NotMovedError.
+    Raises UnknownDutyError if the duty is not declared in the log, and NotMovedError if it is held or this
+    node has a worker for it.
     """
     name = _known_duty(duties, query)
     if name in duties.workers or name in duties.grants.held:
--- a/beechrock/duties/part.py
+++ b/beechrock/duties/part.py
@@ -1,9 +1,11 @@
-"""The thin actor of the duties: requests and answers over talk/, proposals through agree/, and the workers.
+"""Thin actor of the duties: it connects messages over talk/, proposals through agree/ and the workers.
 
-For the other parts: ``declare(duty, worker)``, and ``may(name)`` right before each effect and again after
-each await. All decisions are in ``member_duties``, ``holder``, ``grants`` and ``grantor``; ``leadership``
-runs the grantor, ``workers`` the workers, ``proposer`` the proposals. States: taking part; leaving; broken,
-after an invariant: then nothing is held here any more, and the node serves on.
+Other parts call ``declare(duty, worker)``, and ``may(name)`` right before each effect and again after each
+await. All decisions are made in ``member_duties``, ``holder``, ``grants`` and ``grantor``; ``leadership``
+runs the grantor, ``workers`` the workers and ``proposer`` the proposals.
+
+States: taking part; leaving; broken, after a violated invariant. A broken actor holds no duty any more, while
+the rest of the node continues to serve.
 """
 
 import asyncio
@@ -29,12 +31,15 @@
 from beechrock.duties.workers import WorkerTasks
 from beechrock.parts import Context
 
-TICK_LEASES = 0.08  # of the shortest lease, between two ticks; under a third of what counts as a pause
-MIN_WAIT_S = 0.002  # for the next tick: the timer's clock and the leases' differ a little
+# Interval between two ticks, as a share of the shortest lease; less than a third of PAUSE.
+TICK_LEASES = 0.08
+# Shortest wait for the next tick, in seconds. The clock of the event loop's timer may run slightly ahead of
+# the clock of the leases, so a tick can come just before a lease ends; without this bound ticks would spin.
+MIN_WAIT_S = 0.002
 
 
 class ReportedState(NamedTuple):
-    """The state of a duty that the last event showed."""
+    """State of a duty in the last log event about it."""
 
     state: HolderState
     fence: int
@@ -44,7 +49,7 @@
 
 
 class Duties:
-    """This node's duties, and the grantor of all while it leads."""
+    """This node's duties and, while it leads, the grantor of all nodes' duties."""
 
     def __init__(
         self,
@@ -60,7 +65,7 @@
         self.transport = transport
         self.clock = clock
         self.counters = context.counters
-        self.wakeup = asyncio.Event()
+        self.wakeup = asyncio.Event()  # set to make the next tick run at once
         self.grants = GrantTable()
         self.member_duties = MemberDuties(
             transport.name, transport.life, transport.hall, transport.hardware, settings.lease_s, clock()
@@ -69,12 +74,12 @@
         self.proposer = Proposer(agree, self.counters, clock, self.wakeup.set)
         rules = Rules(settings.lease_s, settings.hold_down_s, settings.max_moves_per_s)
         self.leadership = Leadership(agree, transport, self.grants, rules, self.proposer, clock)
-        self.generations: Generations | None = None  # where the program keeps an inventory
-        self.changed_s: dict[str, float] = {}  # by duty: when its grant changed last
-        self.broken: DutyError | None = None
-        self._fences_to_give_back: dict[str, int] = {}  # by duty
-        self._reported: dict[str, ReportedState] = {}  # by duty
-        self._all_idle = asyncio.Event()
+        self.generations: Generations | None = None  # None unless the program loads an inventory
+        self.changed_s: dict[str, float] = {}  # clock time of the last change of the grant, by duty
+        self.broken: DutyError | None = None  # violated invariant that stopped this actor
+        self._fences_to_give_back: dict[str, int] = {}  # fence to propose a BACK for, by duty
+        self._reported: dict[str, ReportedState] = {}  # state in the last log event, by duty
+        self._all_idle = asyncio.Event()  # set when this node holds no duty
         self.grants.on_changed = self._on_grant_changed
         agree.host(MACHINE, self.grants)
         transport.on(CHANNEL, self._receive)
@@ -82,9 +87,9 @@
     # --- for the other parts
 
     def declare(self, duty: Duty, worker: Worker) -> None:
-        """Add a duty that this node can hold, or change it; at any time.
+        """Add a duty that this node can hold, or change it; callable at any time.
 
-        Raises DutyError where it is not within the bounds of docs/duties.md.
+        Raises DutyError if the duty is not within the bounds of docs/duties.md.
         """
         duty = replace(duty, lease_s=duty.lease_s or self.settings.lease_s)
         if not duty.is_valid:
@@ -100,29 +105,29 @@
         self.wakeup.set()
 
     def may(self, name: str) -> int | None:
-        """Return the fence, if this process may act now.
+        """Return the fence if this process may act now, else None.
 
-        To be asked right before each effect, and again after each await.
+        Callers must check this right before each effect, and again after each await.
         """
         return self.member_duties.may(name, self.clock()) if self.broken is None else None
 
     def floor(self, name: str) -> int:
-        """Return the highest fence that this node's copy of the log knows; for Fences."""
+        """Return the highest fence of the duty in this node's copy of the log, for ``Fences``."""
         return self.grants.floor.get(name, 0)
 
-    # --- as a part of its node
+    # --- lifecycle as a part of the node
 
     async def listen(self) -> None:
-        """Do nothing: it uses the links of [fleet]."""
+        """Do nothing, because messages use the links of the part [fleet]."""
 
     async def run(self) -> None:
-        """Tick until cancelled, or until an invariant is broken."""
+        """Tick until cancelled or until an invariant is violated."""
         if self.generations is not None:
             self.counters.spawn(self.generations.run(), "duties.generations")
         while self.broken is None:
             try:
                 self._tick()
-            except DutyError as error:  # an invariant: this process takes no part any more
+            except DutyError as error:  # a violated invariant: this process stops taking part
                 self._stop_taking_part(error)
                 return
             self.wakeup.clear()
@@ -133,7 +138,7 @@
                 pass
 
     def _wait_s(self) -> float:
-        """Return how long to wait for the next tick: no longer than to the end of a lease that is granted."""
+        """Return the seconds until the next tick: an interval, or less if a granted lease ends sooner."""
         now_s = self.clock()
         left_s = max(MIN_WAIT_S, self.leadership.next_expiry_s(now_s) - now_s)
         return min(TICK_LEASES * self._shortest_lease_s(), left_s)
@@ -152,10 +157,10 @@
                 self.workers.stop(name)
 
     async def leave(self) -> None:
-        """Give all back; cancelled when the process has to end, and then the leases run out."""
+        """Give all duties back; if the process must end earlier, this is cancelled and the leases expire."""
         holders = self.member_duties.holders
         self.member_duties.leaving = "leaving"
-        # That the leader hears of it before it looks for the next holder.
+        # Send a request at once, so that the leader does not choose this node as the next holder.
         self.member_duties.next_request_s = self.clock()
         self.wakeup.set()
         held = [name for name, holder in holders.items() if holder.state is not HolderState.IDLE]
@@ -203,7 +208,7 @@
                 self.proposer.propose(f"declare {name}", log.declare(duty))
 
     def _yield_reason(self) -> str:
-        """Return why this node is to hold nothing; empty: it may."""
+        """Return why this node must hold no duty, or an empty string if it may."""
         serving = getattr(self.context.program, "serving", None)
         state = serving.state.value if serving is not None else ""
         if self.member_duties.leaving or state == "leaving":
@@ -264,7 +269,7 @@
 
 
 def begin(settings: DutiesSettings, context: Context) -> Duties:
-    """Make the actor, and show its views. Raises DutyError without [fleet] and [agree]."""
+    """Create the actor and register its views and calls. Raises DutyError without [fleet] and [agree]."""
     for table in ("fleet", "agree"):
         if table not in context.parts:
             raise DutyError(
--- a/beechrock/duties/ports.py
+++ b/beechrock/duties/ports.py
@@ -1,58 +1,68 @@
-"""What the actor of the duties uses of other parts, and what a duty's worker has to do."""
+"""Interfaces that the actor of the duties uses: the worker, the agreed log and the transport."""
 
 from collections.abc import Callable
 from typing import Any, Protocol
 
 
 class Worker(Protocol):
-    """What does the duty's work.
+    """Worker that does the work of one duty.
 
-    An error in taking over is logged, and it is tried again each lease; any other is logged, and the worker
-    is then as one that hangs.
+    An error in ``take_over`` is logged, and the take-over is retried after each lease time. Errors in other
+    methods are logged, and the worker is then treated as one that hangs.
     """
 
     async def take_over(self, fence: int) -> None:
-        """Get the predecessor's state, and let receivers know the fence; no effect yet. May be cancelled."""
+        """Get the predecessor's state and announce the fence to receivers, without an effect of the duty.
+
+        The call may be cancelled.
+        """
 
     async def give_up(self) -> None:
-        """Take nothing new; finish or give back what is in hand. ``may`` says no from here on."""
+        """Start no new work, and finish or give back the work in progress.
+
+        ``may`` returns None from this call on.
+        """
 
     def lost(self) -> None:
-        """Stop at once, whatever it is doing: the right has ended."""
+        """Stop all work at once, because the lease or the grant has ended."""
 
     def progress(self) -> tuple[int, int]:
-        """Return how much was done since the start, and how much could be done now and is not."""
+        """Return how much work was completed since the start, and how much could be done now but is not."""
 
 
 class AgreedLogPort(Protocol):
-    """Of the agreed log, what is used here."""
+    """The part of the agreed log's interface that duties use."""
 
-    leader: str
-    term: int
+    leader: str  # name of the leader; empty if none is known
+    term: int  # term of the agreed log
 
     def host(self, name: str, machine: Any) -> None:
-        """Register a machine."""
+        """Register a replicated state machine under a name."""
 
     async def propose(self, name: str, command: bytes, within_s: float) -> Any:
-        """Return the machine's result."""
+        """Propose a command to the machine ``name`` and return the machine's result."""
 
     def leading(self) -> bool:
         """Return whether this node holds the leader's lease now."""
 
     def on_lead(self, listener: Callable[[bool], None]) -> None:
-        """Register a listener: True, no other leader's lease holds any more; False, this node's may not."""
+        """Register a listener for changes of the leader's lease.
+
+        True means that no other leader's lease is valid any more; False means that this node's own lease may
+        have ended.
+        """
 
 
 class TransportPort(Protocol):
-    """Of the links to the others, what is used here."""
+    """The part of the transport's interface that duties use."""
 
-    name: str
-    life: int
-    hall: str
-    hardware: str
+    name: str  # name of this node
+    life: int  # incarnation number of this process
+    hall: str  # hall of this node
+    hardware: str  # hardware class of this node
 
     def send(self, to: str, channel: str, message: bytes) -> bool:
-        """Queue a message; False where it cannot be sent."""
+        """Queue a message; return False if it cannot be sent."""
 
     def on(self, channel: str, handler: Callable[[str, int, bytes], None]) -> None:
-        """Register the handler of a channel."""
+        """Register the handler of a channel; it receives the sender, its incarnation number and the data."""
--- a/beechrock/duties/proposer.py
+++ b/beechrock/duties/proposer.py
@@ -1,8 +1,8 @@
-"""This node's proposals of commands for the grant table: one at a time of a key, and again after a while.
+"""Sender of this node's proposals to the grant table, with at most one pending proposal per key.
 
-States of a key: free; under way, or answered a moment ago (not to be proposed before a time); refused for
-good. Events: a proposal, its answer, a change that makes the key free. Invariant: of one key at most one
-proposal is sent at a time; each may be applied late, or never.
+States of a key: free; pending or answered a moment ago (blocked until a given time); refused for good.
+Events: a proposal, its result, a change that frees the key. Invariant: at most one proposal of a key is
+pending at a time. Each proposal may be applied late or never.
 """
 
 import asyncio
@@ -14,14 +14,14 @@
 from beechrock.duties.ports import AgreedLogPort
 from beechrock.errors import OperatorError
 
-MACHINE = "duties"
-RETRY_S = 0.5  # until a proposal that was not accepted is made again
-PROPOSAL_TIMEOUT_S = 2.0  # for a proposal
-NEVER_S = float("inf")
+MACHINE = "duties"  # name of the grant table's machine in the agreed log
+RETRY_S = 0.5  # seconds until a proposal that was not accepted may be made again
+PROPOSAL_TIMEOUT_S = 2.0  # seconds to wait for the result of a proposal
+NEVER_S = float("inf")  # clock time for a key whose proposal was refused for good
 
 
 class Proposer:
-    """``on_answer`` is called after each answer."""
+    """Sender of proposals; it calls ``on_answer`` whenever a proposal has ended."""
 
     def __init__(
         self,
@@ -34,10 +34,10 @@
         self._counters = counters
         self._clock = clock
         self._on_answer = on_answer
-        self._not_before_s: dict[str, float] = {}  # by key
+        self._not_before_s: dict[str, float] = {}  # earliest clock time of the next proposal, by key
 
     def allow(self, key: str) -> None:
-        """Let the key be proposed at once."""
+        """Allow the next proposal of the key at once."""
         self._not_before_s.pop(key, None)
 
     def propose(
@@ -46,9 +46,9 @@
         command: bytes,
         on_settled: Callable[[], None] | None = None,
     ) -> None:
-        """Propose a command, unless one of its key is under way, or was a moment ago.
+        """Propose a command, unless a proposal of the same key is pending or ended a moment ago.
 
-        ``on_settled`` is called once the proposal was answered.
+        ``on_settled`` is called when the proposal has ended, whatever its result.
         """
         if self._clock() < self._not_before_s.get(key, 0.0):
             return
@@ -69,8 +69,8 @@
         if on_settled is not None and result is None:
             await asyncio.sleep(RETRY_S)
         if on_settled is not None or result is Result.DONE:
-            # The listener proposes again at once. Under a key that is not free that would not be sent, and
-            # the grantor would wait two leases for its answer.
+            # The listener may propose again at once. If the key were still blocked, that proposal would be
+            # dropped, and the grantor would wait REPROPOSE_LEASES for its answer.
             del self._not_before_s[key]
         if on_settled is not None:
             on_settled()
--- a/beechrock/duties/settings.py
+++ b/beechrock/duties/settings.py
@@ -1,4 +1,4 @@
-"""The table ``[duties]`` of the operator's file: parsing and checks."""
+"""Parsing and checks of the table ``[duties]`` in the settings file."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -17,16 +17,16 @@
 
 @dataclass(frozen=True, slots=True)
 class DutiesSettings:
-    """The checked table."""
+    """Checked settings of the table ``[duties]``."""
 
-    lease_s: float = DEFAULT_LEASE_S
-    hold_down_s: float = DEFAULT_HOLD_DOWN_S
-    max_moves_per_s: float = DEFAULT_MOVES_PER_S
-    trial: bool = False  # the laboratory's duty, which does nothing but send effects
+    lease_s: float = DEFAULT_LEASE_S  # default lease of a duty, in seconds
+    hold_down_s: float = DEFAULT_HOLD_DOWN_S  # shortest hold-down, in seconds
+    max_moves_per_s: float = DEFAULT_MOVES_PER_S  # maximum rate of moves of duties, per second
+    trial: bool = False  # whether the test duty of trial.py is enabled; it only sends effects
 
 
 def read(table: Mapping[str, Any], where: str, root: Path) -> DutiesSettings:
-    """Return the checked table. Raises ConfigError, which names file, table and key."""
+    """Return the checked settings. Raises ConfigError with the file, table and key of a bad value."""
     settings = DutiesSettings(
         number(table, "lease_s", DEFAULT_LEASE_S, where),
         number(table, "hold_down_s", DEFAULT_HOLD_DOWN_S, where),
--- a/beechrock/duties/trial.py
+++ b/beechrock/duties/trial.py
@@ -1,8 +1,9 @@
-"""The laboratory's duty: its holder sends an effect to every node each 20 ms; receivers keep the fence.
+"""Test duty for the laboratory: its holder sends an effect to every node every 20 ms.
 
-Only with ``trial = true`` in [duties]. Between the check and the act there is a gap of ``GAP_S`` in which the
-process does nothing else, so that a test that stops it hits that place about as often as not.
-``POST /duties/trial?works=no`` at a node: as holder it does nothing there, and reports that work waits.
+Receivers keep the highest fence and refuse effects under a lower one. The duty exists only with
+``trial = true`` in [duties]. Between the check of ``may`` and the effect, the process sleeps for
+``CHECK_TO_EFFECT_S``, so that a test that pauses the process hits this gap about every other time.
+``POST /duties/trial?works=no`` makes a node, while it is the holder, send nothing and report waiting work.
 """
 
 import asyncio
@@ -23,22 +24,23 @@
     from beechrock.duties.part import Duties
 
 CHANNEL = "duties.trial"
-EFFECT_INTERVAL_S = 0.02
-CHECK_TO_EFFECT_S = 0.01  # between the check and the act
-SEAL_RETRY_S = 0.1  # from one sending of the fence to the next
-SEAL_TIMEOUT_S = 0.5  # for receivers to say that they have the fence; one that is down has it from its log
+EFFECT_INTERVAL_S = 0.02  # seconds between two effects
+CHECK_TO_EFFECT_S = 0.01  # seconds between the check of ``may`` and the effect
+SEAL_RETRY_S = 0.1  # seconds after which the fence is sent again to the receivers
+# Seconds to wait for all receivers to confirm the fence. A receiver that is down learns it from its log.
+SEAL_TIMEOUT_S = 0.5
 
 
 class TrialMessage(StrEnum):
-    """The kinds of messages between holder and receivers."""
+    """Kind of a message between the holder and the receivers."""
 
-    SEAL = "seal"  # keep this fence
-    SEALED = "sealed"  # it is kept
-    EFFECT = "effect"
+    SEAL = "seal"  # the holder asks a receiver to make this fence durable
+    SEALED = "sealed"  # the receiver confirms that the fence is durable
+    EFFECT = "effect"  # the holder sends an effect under this fence
 
 
 class TrialWorker:
-    """The worker of the duty, and the receiver of its effects."""
+    """Worker of the duty and receiver of its effects."""
 
     DUTY: ClassVar[Duty] = Duty("trial", Kind.FLEET)
 
@@ -48,11 +50,11 @@
         self.counters = context.counters
         self.store = Store.open(open_folder(self.transport.settings.state), "trial")
         self.fences = Fences(self.store, floor=duties.floor)
-        self.task: asyncio.Task[None] | None = None
-        self.sealed: set[str] = set()  # receivers that have the fence
-        self.all_sealed = asyncio.Event()
-        self.effects = 0
-        self.working = True
+        self.task: asyncio.Task[None] | None = None  # task that sends effects while this node is the holder
+        self.sealed: set[str] = set()  # names of the receivers that have confirmed the fence
+        self.all_sealed = asyncio.Event()  # set when all receivers have confirmed the fence
+        self.effects = 0  # number of effects sent
+        self.working = True  # whether this node sends effects while it is the holder
         self.transport.on(CHANNEL, self._receive)
         context.calls["/duties/trial"] = self._set_working
 
@@ -61,7 +63,7 @@
         return {"works": self.working}
 
     async def take_over(self, fence: int) -> None:
-        """Let the receivers keep the fence, then send effects."""
+        """Ask the receivers to make the fence durable, then start to send effects."""
         self.sealed.clear()
         self.all_sealed.clear()
         try:
@@ -82,7 +84,7 @@
                 continue
 
     async def give_up(self) -> None:
-        """Stop: nothing is in hand."""
+        """Stop sending effects; no other work is in progress."""
         self.lost()
 
     def lost(self) -> None:
@@ -92,7 +94,7 @@
             self.task = None
 
     def progress(self) -> tuple[int, int]:
-        """Return the effects sent; there is always one more to send."""
+        """Return the number of effects sent, and 1, because there is always one more to send."""
         return self.effects, 1
 
     async def _run(self) -> None:
@@ -100,7 +102,7 @@
             fence = self.duties.may(self.DUTY.name)
             if fence is not None and self.working:
                 logs.event("trial.act", fence=fence)
-                time.sleep(CHECK_TO_EFFECT_S)  # here a test stops the process
+                time.sleep(CHECK_TO_EFFECT_S)  # a test pauses the process here, between check and effect
                 self.effects += 1
                 self._send(TrialMessage.EFFECT, fence)
             await asyncio.sleep(EFFECT_INTERVAL_S - CHECK_TO_EFFECT_S)
--- a/beechrock/duties/workers.py
+++ b/beechrock/duties/workers.py
@@ -1,8 +1,8 @@
-"""The workers of this node's duties, and the task in which each takes over or gives up.
+"""Workers of this node's duties, and the tasks in which they take over or give up.
 
-States of a worker, here: idle; a task takes over, and is tried again after a fault; a task gives up. Events:
-the actions of the duties' holders (``execute``), the end of a task. Invariant: a duty has at most one task;
-one worker's fault costs no other its lease.
+States of a worker here: no task; a task runs its take-over and retries it after an error; a task runs its
+giving up. Events: the actions of the duties' holders (``execute``), the end of a task. Invariants: a duty has
+at most one task; an error in one worker does not cost another worker its lease.
 """
 
 import asyncio
@@ -16,7 +16,10 @@
 
 
 class WorkerTasks:
-    """``on_taken_over`` and ``on_given_up`` are called with duty and fence."""
+    """Registry of the workers, and runner of their tasks.
+
+    ``on_taken_over`` and ``on_given_up`` are called with the duty's name and the fence when a task succeeds.
+    """
 
     def __init__(
         self,
@@ -26,11 +29,11 @@
         on_given_up: Callable[[str, int], None],
     ) -> None:
         self._counters = counters
-        self._retry_s = retry_s  # after a fault in taking over
+        self._retry_s = retry_s  # seconds until a failed take-over is retried
         self._on_taken_over = on_taken_over
         self._on_given_up = on_given_up
-        self._workers: dict[str, Worker] = {}  # by duty
-        self._tasks: dict[str, asyncio.Task[None]] = {}  # by duty: its worker's take-over or giving up
+        self._workers: dict[str, Worker] = {}  # worker by duty
+        self._tasks: dict[str, asyncio.Task[None]] = {}  # task that takes over or gives up, by duty
 
     def __contains__(self, name: object) -> bool:
         return name in self._workers
@@ -40,15 +43,15 @@
         self._workers[name] = worker
 
     def progress(self, name: str) -> tuple[int, int]:
-        """Return how much was done, and how much could be done now and is not."""
+        """Return how much work the worker completed, and how much it could do now but does not."""
         try:
             return self._workers[name].progress()
-        except Exception as error:  # one worker's fault must not cost the others their leases
+        except Exception as error:  # an error in one worker must not cost the others their leases
             self._counters.record_error(f"duties.{name}", error)
             return NO_PROGRESS
 
     def execute(self, name: str, action: HolderAction) -> None:
-        """Start, end or stop the worker of a duty; GIVE_BACK is none of its business."""
+        """Start, end or stop the worker of a duty; the caller handles GIVE_BACK itself."""
         match action.command:
             case Command.TAKE_OVER:
                 self._start_task(name, self._take_over(name, self._workers[name], action.fence))
@@ -59,7 +62,7 @@
                 self.stop(name)
 
     def stop(self, name: str) -> None:
-        """Tell the worker that its right has ended."""
+        """Notify the worker that its lease or grant has ended."""
         try:
             self._workers[name].lost()
         except Exception as error:
@@ -83,7 +86,7 @@
             try:
                 await worker.take_over(fence)
                 break
-            except Exception as error:  # of one worker; where no other node may, it has to try again
+            except Exception as error:  # retried, because there may be no other eligible node
                 self._counters.record_error(f"duties.{name}", error)
                 await asyncio.sleep(self._retry_s)
         self._on_taken_over(name, fence)
