--- a/tests/duties/test_part.py
+++ b/tests/duties/test_part.py
@@ -1,4 +1,4 @@
-"""The actor of the duties: three nodes in one loop, with one log that all of them have at once."""
+"""Tests of the actor of the duties: three nodes in one event loop, with one log that all see at once."""
 
 import asyncio
 from collections.abc import AsyncIterator, Callable
@@ -27,7 +27,7 @@
 from beechrock.duties.settings import DutiesSettings, read
 from beechrock.parts import Context
 
-LEASE_S = 0.4
+LEASE_S = 0.4  # default lease of the duties, in seconds
 
 
 class Log:
@@ -37,7 +37,7 @@
 
 
 class Node:
-    """What the actor uses of talk/ and agree/, and a worker, of one member."""
+    """One member: fakes of the transport and the agreed log for its actor, and the worker of its duty."""
 
     def __init__(self, log: Log, name: str) -> None:
         self.log, self.name, self.life, self.hall, self.hardware, self.term = log, name, 1, "east", "big", 1
@@ -47,7 +47,7 @@
         self.serving = Serving(lambda: True)
         self.context = Context(name, 1, Counters(), None, SimpleNamespace(serving=self.serving))  # type: ignore[arg-type]
         self.duties = Duties(DutiesSettings(LEASE_S, 0.2), self.context, self, self)
-        self.effects = self.faults = self.unproposed = 0
+        self.effects = self.faults = self.grant_proposals_to_fail = 0
         self.hangs_s: float | None = None
         self.stops: list[str] = []
         self.duties.declare(Duty("d", Kind.FLEET), self)
@@ -63,12 +63,12 @@
         return self.log.leader == self.name
 
     def on_lead(self, listener: Callable[[bool], None]) -> None:
-        """Nothing is told: a leader then counts from its BEGIN."""
+        """Ignore the listener: without its calls a leader counts the wait for old leases from its BEGIN."""
 
     async def propose(self, name: str, command: bytes, within_s: float) -> Any:
         await asyncio.sleep(0.001)
-        if self.unproposed and msgpack.unpackb(command)[0] == "grant":
-            self.unproposed -= 1
+        if self.grant_proposals_to_fail and msgpack.unpackb(command)[0] == "grant":
+            self.grant_proposals_to_fail -= 1
             if self.hangs_s is None:
                 return Result.CHANGED
             await asyncio.sleep(self.hangs_s)
@@ -112,7 +112,7 @@
 
 
 @asynccontextmanager
-async def three() -> AsyncIterator[Log]:
+async def three_nodes() -> AsyncIterator[Log]:
     log = Log()
     nodes = [Node(log, name) for name in "abc"]
     tasks = [asyncio.ensure_future(node.duties.run()) for node in nodes]
@@ -135,11 +135,11 @@
 
 def test_holder_changes_at_yield_drain_cut_and_leave() -> None:
     async def scenario() -> None:
-        async with three() as log:
+        async with three_nodes() as log:
             first = await holder(log)
             with pytest.raises(UnknownDutyError):
                 move(first.duties, {"name": "x"})
-            # Asked to yield, at a node that does not lead.
+            # The request to yield goes to a node that is not the leader.
             other = next(node for node in log.nodes.values() if not node.leading())
             assert move(other.duties, {"name": "d"})["holder"] == first.name
             second = await holder(log, first.name)
@@ -150,7 +150,7 @@
             row = view(log.nodes["a"].duties)["duties"][0]
             assert row["holder"] == third.name and row["fence"] == third.duties.may("d") and row["why"] == ""
             second.serving.ok()
-            log.leader = next(name for name in log.nodes if name != third.name)  # another leads
+            log.leader = next(name for name in log.nodes if name != third.name)  # another node becomes leader
             log.cut.add(third.name)
             fourth = await holder(log, third.name)
             assert third.stops[-1] == "lost" and third.duties.may("d") is None
@@ -167,7 +167,7 @@
 
 def test_failing_worker_is_retried_and_affects_no_other() -> None:
     async def scenario() -> None:
-        async with three() as log:
+        async with three_nodes() as log:
             first = await holder(log)
             other = next(node for node in log.nodes.values() if node is not first)
             for node in log.nodes.values():
@@ -182,11 +182,15 @@
     asyncio.run(scenario())
 
 
-async def unproposed(log: Log, count: int, hangs_s: float | None) -> Duties:
-    """A duty whose lease is long, and the leader's part once the first proposal to grant it is under way."""
+async def fail_grant_proposals(log: Log, count: int, hangs_s: float | None) -> Duties:
+    """Declare a duty with a long lease, and let the first ``count`` proposals to grant it fail.
+
+    ``hangs_s`` is the time until a proposal fails without an answer; None refuses it with a result. Return
+    the leader's ``Duties`` once the first proposal is pending.
+    """
     duties = log.nodes["a"].duties
     await holder(log)
-    log.nodes["a"].unproposed, log.nodes["a"].hangs_s = count, hangs_s
+    log.nodes["a"].grant_proposals_to_fail, log.nodes["a"].hangs_s = count, hangs_s
     for node in log.nodes.values():
         node.duties.declare(Duty("long", Kind.FLEET, lease_s=30.0), node)
     async with asyncio.timeout(10.0):
@@ -196,30 +200,30 @@
 
 
 @pytest.mark.parametrize("hangs_s", [None, 0.0])
-def test_refused_grant_is_proposed_again_before_its_lease(hangs_s: float | None) -> None:
+def test_refused_grant_is_proposed_again_well_before_its_lease_ends(hangs_s: float | None) -> None:
     async def scenario() -> None:
-        async with three() as log:
-            await unproposed(log, 2, hangs_s)
-            await holder(log, "", "long")  # 10 s at most; the leader waits 60 for a lost answer
-            assert not log.nodes["a"].unproposed
+        async with three_nodes() as log:
+            await fail_grant_proposals(log, 2, hangs_s)
+            await holder(log, "", "long")  # within 10 s; after a lost proposal it would take two leases, 60 s
+            assert not log.nodes["a"].grant_proposals_to_fail
 
     asyncio.run(scenario())
 
 
 def test_grant_that_is_never_accepted_is_not_proposed_each_tick() -> None:
     async def scenario() -> None:
-        async with three() as log:
-            await unproposed(log, 100, 0.0)
-            await asyncio.sleep(1.0)  # some 30 ticks
-            assert log.nodes["a"].unproposed >= 95
+        async with three_nodes() as log:
+            await fail_grant_proposals(log, 100, 0.0)
+            await asyncio.sleep(1.0)  # about 30 ticks
+            assert log.nodes["a"].grant_proposals_to_fail >= 95
 
     asyncio.run(scenario())
 
 
 def test_proposal_of_the_leaders_earlier_leadership_delays_no_grant() -> None:
     async def scenario() -> None:
-        async with three() as log:
-            await unproposed(log, 1, 2.0)
+        async with three_nodes() as log:
+            await fail_grant_proposals(log, 1, 2.0)
             log.index += 1
             for node in log.nodes.values():
                 node.machines["duties"].apply(log.index, begin("a", 1, 2))
@@ -230,7 +234,7 @@
 
 def test_view_shows_why_nobody_may_hold_a_duty() -> None:
     async def scenario() -> None:
-        async with three() as log:
+        async with three_nodes() as log:
             await holder(log)
             for node in log.nodes.values():
                 node.serving.fail()
@@ -275,11 +279,11 @@
     assert agreed.apply(11, command(4, 3, "old holder")) is ProposalResult.OLD_FENCE
     assert agreed.apply(12, command(6, 2, "repeated")) is ProposalResult.NOT_NEXT
     assert agreed.apply(13, b"") is ProposalResult.BAD
-    assert behind.compare(2.0, "one", agreed) == (False, False)  # its files are behind: no proposal
+    assert behind.compare(2.0, "one", agreed) == (False, False)  # outdated files are not proposed
     assert behind.compare(2.1 + REPORT_DIFFERENCE_AFTER_S, "one", agreed) == (False, True)
     assert behind.compare(2.2 + REPORT_DIFFERENCE_AFTER_S, "one", agreed) == (False, False)
     local.compare(3.0, "two", agreed)
-    assert local.compare(4.0, "one", agreed)[0]  # an operator went back
+    assert local.compare(4.0, "one", agreed)[0]  # an operator restored the earlier files
     other = AgreedGeneration()
     other.restore(agreed.snapshot())
     assert other.snapshot() == agreed.snapshot() and other.fence == 6
--- a/tests/duties/test_parts.py
+++ b/tests/duties/test_parts.py
@@ -1,4 +1,4 @@
-"""Placement, pace, the table in the log, messages, holders, fences: each by its own rules."""
+"""Unit tests of placement, rate limit, hold-downs, grant table, messages, holders and fences."""
 
 import random
 from collections import Counter
@@ -40,7 +40,7 @@
 
 
 def led_table() -> GrantTable:
-    """Return a table with the duty d of 1 s that nobody holds, and a as the leader, since entry 2."""
+    """Return a table with the duty d (lease of 1 s, no holder) and, since entry 2, with a as the leader."""
     grants = GrantTable()
     grants.apply(1, log.declare(Duty("d", lease_s=1.0)))
     grants.apply(2, log.begin("a", 1, 1))
@@ -72,7 +72,7 @@
     lost_member = members[lost % size]
     lost_duties = load.pop(lost_member.name, 0)
     living = [living_member for living_member in members if living_member is not lost_member]
-    assert place(living) == lost_duties  # the least possible
+    assert place(living) == lost_duties  # only the duties of the lost member move
     assert max(load.values()) <= max(1.25 * count / len(living), -(-count // len(living)))
 
 
@@ -102,10 +102,11 @@
     held.record_failure("m", at + 400.0)
     assert held.remaining_s("m", at + 400.0) == 1.0
     moves = MoveRateLimit(10.0)
-    assert sum(moves.try_move(n / 100) for n in range(300)) == 10 + 29  # a second's worth, then ten a second
+    # A burst of one second's worth of moves, then ten per second.
+    assert sum(moves.try_move(n / 100) for n in range(300)) == 10 + 29
 
 
-def test_lost_hall_moves_at_the_limited_rate_and_a_member_that_left_is_not_held_down() -> None:
+def test_duties_of_a_lost_hall_move_at_the_limited_rate_and_a_member_that_left_is_not_held_down() -> None:
     grants, index = GrantTable(), 0
     names = frozenset(f"d{n:02}" for n in range(40))
     for name in sorted(names):
@@ -118,7 +119,7 @@
         grants.apply(index, log.grant(name, "a", 1, 0, grants.leader_epoch))
     grantor, now, made = Grantor(0.0, grants, Rules(1.0, 1.0, 10.0)), 0.0, []
     for name, grant in grants.held.items():
-        grantor.renewals.unclaimed.on_renewed(name, grant.fence)  # a held them up to now
+        grantor.renewals.unclaimed.on_renewed(name, grant.fence)  # member a has claimed and held them
     renewal = request(1, 1, tuple(names), hall="west")
     while now < 3.6:
         now += 0.1
@@ -133,7 +134,7 @@
     assert 30 <= len(made) <= 40
     grantor.on_request(now, "b", request(2, 1, None, hall="west", serving=False, leaving=True), True)
     grantor.on_request(now, "b", request(3, 2, None, hall="west"), True)
-    assert not grantor.hold_down.waits  # it had announced that it leaves
+    assert not grantor.hold_down.waits  # member b had announced that it leaves
     grantor.on_request(now, "b", request(4, 3, None, hall="west"), True)
     assert grantor.hold_down.remaining_s("b", now) == pytest.approx(1.0)
 
@@ -153,7 +154,7 @@
         return grants.waits
 
     first = start_leadership(1)
-    for life in (1, 2, 3):  # it comes back twice without having left
+    for life in (1, 2, 3):  # member b restarts twice without having announced that it leaves
         first.on_request(0.1, "b", request(1, life, (), hall="west"), True)
     late = next(action.command for action in first.tick(0.1) if isinstance(action, Propose))
     first.on_proposal_settled("")
@@ -163,7 +164,7 @@
     second.on_request(0.1, "b", request(1, 3, (), hall="west"), True)
     assert second.hold_down.remaining_s("b", 0.1) == pytest.approx(1.9)
     second.on_request(2.5, "b", request(1, 4, (), hall="west"), True)
-    assert logged(second, 2.5) == {"b": 4.0}  # and it grows on from there
+    assert logged(second, 2.5) == {"b": 4.0}  # the new leader doubles the wait from the log
     assert logged(second, 6.4 + 41.0) == {}
 
 
@@ -173,7 +174,7 @@
     assert grantor.on_request(0.1, "b", request(1, 2), True) is not None
     assert grantor.on_request(0.1, "b", request(2, 1), True) is None
     (proposed,) = grantor.tick(0.6)
-    assert isinstance(proposed, Propose) and grantor.tick(0.7) == []  # one at a time
+    assert isinstance(proposed, Propose) and grantor.tick(0.7) == []  # one proposal at a time
     assert grants.apply(3, proposed.command) is Result.DONE
 
     held = MemberDuties("b", 2, "east", "big", 1.0, 0.6)
@@ -181,9 +182,9 @@
     held.update_grants(grants, 0.6)
     held.on_taken_over(0.6, "d", 3)
     seq = held.next_request(0.6, True, lambda _: (0, 0)).seq
-    held.on_reply(0.7, RenewalReply(seq, 1, ((3, 1.0),), (), False))  # to another process of its name
+    held.on_reply(0.7, RenewalReply(seq, 1, ((3, 1.0),), (), False))  # addressed to an earlier process of b
     assert held.may("d", 0.7) is None
-    held.pause_detector.observe(1.2)  # a pause
+    held.pause_detector.observe(1.2)  # 0.5 s after the last reading: a pause
     held.on_reply(1.2, RenewalReply(seq, 2, ((3, 1.0),), (), False))
     assert held.may("d", 1.2) is None
     seq = held.next_request(1.2, True, lambda _: (0, 0)).seq
@@ -191,7 +192,7 @@
     assert held.may("d", 1.25) == 3
 
 
-def test_holder_that_does_not_yield_is_renewed_no_more() -> None:
+def test_holder_that_does_not_yield_is_no_longer_renewed() -> None:
     grants = led_table()
     grants.apply(3, log.grant("d", "a", 1, 0, 2))
     grantor, now = Grantor(0.0, grants, Rules(1.0, 1.0, 10.0)), 0.0
@@ -199,12 +200,12 @@
         now += 0.1
         for name, held in (("a", (HeldFence("d", 3, 0, 1),)), ("b", ())):
             grantor.on_request(now, name, request(1, 1, ("d",), held, serving=name == "b"), True)
-    assert 3.0 < now < 3.5  # two leases, and the last one
+    assert 3.0 < now < 3.5  # two leases of grace, then the last renewed lease
     assert grants.apply(4, found[0].command) is Result.DONE
     assert grants.held["d"].holder == "b"
 
 
-def test_bounds_of_the_grant_table_and_of_the_fences() -> None:
+def test_grant_table_hold_downs_and_fences_are_bounded() -> None:
     grants, full = GrantTable(), Fences(Kept())
     for n in range(MAX_DUTIES):
         assert grants.apply(n + 1, log.declare(Duty(f"d{n}", lease_s=1.0))) is Result.DONE
@@ -271,7 +272,7 @@
             assert other.snapshot() == table.snapshot()
             table = other
     _, *before_waits, _ = msgpack.unpackb(table.snapshot())
-    other.restore(msgpack.packb([1, *before_waits]))  # as the program wrote it before there were waits
+    other.restore(msgpack.packb([1, *before_waits]))  # snapshot format 1, which had no hold-downs
     assert other.held == table.held and not other.waits
     with pytest.raises(GrantsUnreadableError):
         table.restore(table.snapshot()[:-1])
@@ -287,8 +288,8 @@
         assert decode(encode(renewal)[:end]) is None
 
 
-def held(finish: bool) -> Holder:
-    """Holding under fence 5 from 0.0, asked and answered at once, lease of 1 s."""
+def holding_holder(finish: bool) -> Holder:
+    """Return a holder in HOLDING under fence 5, with a lease of 1 s that starts at 0.0."""
     holder = Holder(finish)
     assert holder.on_grant(0.0, 5, 1.0) == [HolderAction(Command.TAKE_OVER, 5)]
     assert holder.on_renewed(0.0, 0, 0.0, 5, 1.0) == [] and holder.may(0.0, 0) is None
@@ -298,10 +299,10 @@
 
 
 def test_without_a_quorum_holders_finish_or_stop_and_a_hanging_worker_is_stopped() -> None:
-    stops, finishes = held(False), held(True)
+    stops, finishes = holding_holder(False), holding_holder(True)
     assert stops.tick(0.6, 0) == [] and stops.may(0.6, 0) == 5
     assert stops.tick(0.96, 0) == [HolderAction(Command.STOP, 5)] and stops.state is HolderState.LOST
-    # The same fence is renewed later: nobody held it in between, and the worker begins anew.
+    # The same fence is renewed later: no other member held the duty meanwhile, and the worker starts again.
     assert stops.on_renewed(2.0, 0, 1.9, 5, 1.0) == [HolderAction(Command.TAKE_OVER, 5)]
     assert stops.may(2.0, 0) is None
     stops.on_taken_over(2.1, 0, 5)
@@ -309,27 +310,28 @@
     assert finishes.tick(0.4, 0) == []
     assert finishes.tick(0.6, 0) == [HolderAction(Command.GIVE_UP, 5)] and finishes.may(0.6, 0) is None
     assert finishes.tick(2.0, 0) == []
-    assert finishes.tick(3.7, 0) == [HolderAction(Command.STOP, 5)]  # it hangs
+    assert finishes.tick(3.7, 0) == [HolderAction(Command.STOP, 5)]  # the worker hangs
     assert finishes.start_yield(3.8, 5, "leaving") == [HolderAction(Command.GIVE_BACK, 5)]
     assert finishes.on_grant(4.0, 0) == [] and finishes.state is HolderState.IDLE
-    assert finishes.on_grant(4.1, 5, 1.0) == [] and finishes.state is HolderState.IDLE  # given back for good
+    # A fence that was given back is not used again.
+    assert finishes.on_grant(4.1, 5, 1.0) == [] and finishes.state is HolderState.IDLE
 
 
-class Full(Kept):
+class FullDiskStore(Kept):
     def sync(self) -> None:
         raise OSError(28, "No space left on device")
 
 
-def test_fences_after_restarts_with_a_floor_and_on_a_full_disk() -> None:
+def test_fences_survive_restarts_respect_the_floor_and_reject_on_a_full_disk() -> None:
     store = Kept()
     fences = Fences(store)
     assert fences.accept("d", 5) and fences.accept("d", 5) and not fences.accept("d", 4)
-    assert fences.accept("e", 3)  # each duty has its own
+    assert fences.accept("e", 3)  # each duty has its own highest fence
     reopened = Fences(store)
     assert not reopened.accept("d", 4) and reopened.accept("d", 5)
-    old_copy = Fences(Kept(), floor=lambda duty: 5)  # the agreed log remembers
+    old_copy = Fences(Kept(), floor=lambda duty: 5)  # the agreed log knows fence 5
     assert not old_copy.accept("d", 4)
-    full = Fences(Full())
+    full = Fences(FullDiskStore())
     with pytest.raises(FenceUnkeptError, match="No space"):
         full.accept("d", 5)
     assert full.highest == {}
--- a/tests/duties/test_processes.py
+++ b/tests/duties/test_processes.py
@@ -1,4 +1,4 @@
-"""Real processes: one duty whose holder sends effects, and faults between them. Waits are for events."""
+"""Tests with real processes: one duty whose holder sends effects, under faults. They wait for log events."""
 
 import asyncio
 import json
@@ -12,7 +12,7 @@
 
 Scenario = Callable[[Fleet], Awaitable[None]]
 NAMES = ["a", "b", "c"]
-LEASE_S = 1.0
+LEASE_S = 1.0  # lease of the duty, in seconds
 DUTIES = {"lease_s": LEASE_S, "hold_down_s": 0.5, "trial": True}
 
 
@@ -36,9 +36,9 @@
 
 
 def check_history(fleet: Fleet, single: bool) -> None:
-    """Check all events of every process: fences at receivers, and, where ``single``, one holder at a time.
+    """Check the log events of all processes: fences at receivers and, if ``single``, one holder at a time.
 
-    ``single`` is False where a clock did what no lease bears: then two may hold by this machine's clock.
+    ``single`` is False if a clock violates the assumptions of leases: then two processes may act at once.
     """
     saved = fleet.save_history()
     history = fleet.history()
@@ -46,14 +46,14 @@
     assert not (found := check(history, ("agree", "duties", "sound"))), (found, saved)
     highest = 0
     acts = [event for event in history if event["event"] == "trial.act"]
-    for event in acts:  # each logged right after the check, before the act
+    for event in acts:  # each is logged between the check of ``may`` and the effect
         assert event["fence"] >= highest or not single, (event, highest, saved)
         highest = event["fence"]
     assert acts and any(event["accepted"] for event in history if event["event"] == "effect"), saved
 
 
-def acted(fleet: Fleet, name: str | None = None, above: int = 0, count: int = 3) -> str:
-    """Who acts under a fence above that one; empty: nobody has, so often."""
+def acting_node(fleet: Fleet, name: str | None = None, above: int = 0, count: int = 3) -> str:
+    """Return the node that acted last under a fence above ``above``, or "" before ``count`` such acts."""
     events = [e for e in fleet.events(name, "trial.act") if e["fence"] > above]
     return str(events[-1]["node"]) if len(events) >= count else ""
 
@@ -63,7 +63,9 @@
 
 
 async def holder(fleet: Fleet, above: int = 0) -> str:
-    return str(await fleet.until(lambda: acted(fleet, None, above), what=f"a holder above fence {above}"))
+    return str(
+        await fleet.until(lambda: acting_node(fleet, None, above), what=f"a holder above fence {above}")
+    )
 
 
 async def leader(fleet: Fleet) -> str:
@@ -75,17 +77,19 @@
 
 
 def lost(fleet: Fleet, name: str) -> bool:
-    """Whether the duty's last state there is not holding."""
+    """Return whether the node logged no state of the duty, or a last one other than "holding"."""
     states = [e["state"] for e in fleet.events(name, "duty") if e["name"] == "trial"]
     return not states or states[-1] != "holding"
 
 
-def test_holder_stopped_between_check_and_act_beyond_its_lease(tmp_path: Path) -> None:
+def test_effects_of_a_holder_paused_between_check_and_effect_beyond_its_lease_are_refused(
+    tmp_path: Path,
+) -> None:
     async def scenario(fleet: Fleet) -> None:
         def refused() -> list[dict[str, Any]]:
             return [e for e in fleet.events(None, "effect") if not e["accepted"]]
 
-        for _ in range(20):  # it is stopped in the gap about every other time
+        for _ in range(20):  # the pause hits the gap between check and effect about every other time
             first, old = await holder(fleet), fence(fleet)
             fleet.stop(first)
             await holder(fleet, old)
@@ -93,13 +97,13 @@
             await fleet.until(lambda f=first: lost(fleet, f))  # type: ignore[misc]
             if len({e["fence"] for e in refused()}) >= 2:
                 break
-        # What was checked before the stop and sent after it came late, and was refused; no other effect was.
+        # Effects checked before the pause and sent after it arrived late and were refused; no others were.
         assert refused() and all(e["fence"] < fence(fleet) for e in refused())
 
     run_scenario(tmp_path, scenario)
 
 
-def test_holder_cut_off_in_each_direction(tmp_path: Path) -> None:
+def test_holder_cut_off_in_either_direction_is_replaced(tmp_path: Path) -> None:
     async def scenario(fleet: Fleet) -> None:
         for outwards in (True, False):
             first, old = await holder(fleet, 0), fence(fleet)
@@ -129,7 +133,7 @@
     run_scenario(tmp_path, scenario, names)
 
 
-def test_replies_slower_than_the_lease_then_quorum_lost_and_restored(tmp_path: Path) -> None:
+def test_duty_moves_when_replies_outlast_the_lease_and_stops_without_a_quorum(tmp_path: Path) -> None:
     async def scenario(fleet: Fleet) -> None:
         first, old = await holder(fleet), fence(fleet)
         others = [name for name in NAMES if name != first]
@@ -147,7 +151,7 @@
     run_scenario(tmp_path, scenario)
 
 
-def test_receivers_remember_fences_after_all_processes_were_killed(tmp_path: Path) -> None:
+def test_receivers_keep_fences_after_all_processes_were_killed(tmp_path: Path) -> None:
     async def scenario(fleet: Fleet) -> None:
         await holder(fleet)
         for _ in range(2):
@@ -156,7 +160,7 @@
             await fleet.start()
             await holder(fleet, old)
 
-    # SIGKILL does what a power cut does: what was not synced is gone.
+    # With ``lying``, SIGKILL loses all writes that were not synced, as a power cut does.
     run_scenario(tmp_path, scenario, lying=True)
 
 
@@ -185,13 +189,13 @@
     run_scenario(tmp_path, scenario)
 
 
-def grants(fleet: Fleet) -> list[str]:
-    """Why the leaders gave the duty, one for each time."""
+def grant_reasons(fleet: Fleet) -> list[str]:
+    """Return the reason of each proposed grant of the duty."""
     return [e["why"] for e in fleet.events(None, "duties.grant") if e["name"] == "trial"]
 
 
-async def apart(fleet: Fleet) -> tuple[str, str]:
-    """The holder and the leader, not the same process."""
+async def distinct_holder_and_leader(fleet: Fleet) -> tuple[str, str]:
+    """Move the duty until the holder is not the leader; return the holder and the leader."""
     while True:
         first, old, lead = await holder(fleet), fence(fleet), await leader(fleet)
         if first != lead:
@@ -200,36 +204,36 @@
         await holder(fleet, old)
 
 
-async def goes_on(fleet: Fleet, count: int = 10) -> None:
+async def wait_for_more_effects(fleet: Fleet, count: int = 10) -> None:
     done = len(fleet.events(None, "effect"))
     await fleet.until(lambda: len(fleet.events(None, "effect")) >= done + 3 * count, what="effects")
 
 
-def test_clocks_that_leap_and_differ_within_the_drift(tmp_path: Path) -> None:
+def test_duty_keeps_one_holder_while_clocks_jump_and_drift_within_the_bound(tmp_path: Path) -> None:
     async def scenario(fleet: Fleet) -> None:
         for rate, name in zip((0.976, 1.0, 1.024), NAMES, strict=True):
             fleet.clock(name, rate=rate)
         for of_leader in (False, True):
-            first, lead = await apart(fleet)
-            fleet.clock(lead if of_leader else first, leap_s=30.0)  # ends each lease, by its own clock
-            await goes_on(fleet)
+            first, lead = await distinct_holder_and_leader(fleet)
+            fleet.clock(lead if of_leader else first, leap_s=30.0)  # every lease has expired by this clock
+            await wait_for_more_effects(fleet)
         await holder(fleet)
 
     run_scenario(tmp_path, scenario, clocks=True)
 
 
-def test_holder_whose_clock_stands_is_refused_by_its_fence(tmp_path: Path) -> None:
-    """No lease bears such a clock: it acts beside the next one. Its receivers know.
+def test_effects_of_a_holder_whose_clock_has_stopped_are_refused_by_the_fence(tmp_path: Path) -> None:
+    """A lease cannot stop a holder whose clock stands still: only the fence at receivers refuses its effects.
 
-    It does not hear the others meanwhile: the log would report the next grant to it, maybe before any effect
-    under the old fence has gone out.
+    Messages to the holder are cut meanwhile, because the log would otherwise report the next grant to it,
+    possibly before it has sent an effect under the old fence.
     """
 
     async def scenario(fleet: Fleet) -> None:
         def refused() -> list[dict[str, Any]]:
             return [e for e in fleet.events(None, "effect") if not e["accepted"] and e["sender"] == first]
 
-        (first, _), old = await apart(fleet), fence(fleet)
+        (first, _), old = await distinct_holder_and_leader(fleet), fence(fleet)
         fleet.links.cut([name for name in NAMES if name != first], first, Cut.SILENT)
         fleet.clock(first, rate=0.0)
         second = await holder(fleet, old)
@@ -238,21 +242,21 @@
         fleet.links.heal()
         fleet.clock(first, rate=1.0)
         await fleet.until(lambda: lost(fleet, first))
-        await goes_on(fleet)
+        await wait_for_more_effects(fleet)
 
     run_scenario(tmp_path, scenario, single=False, clocks=True)
 
 
-def test_two_leaders_with_late_and_doubled_messages_and_cut_connections(tmp_path: Path) -> None:
+def test_one_holder_despite_two_leaders_late_doubled_messages_and_cut_connections(tmp_path: Path) -> None:
     async def scenario(fleet: Fleet) -> None:
         fleet.links.set(NAMES, NAMES, double=0.5, delay_s=0.1, short=0.01)
         lead, reigns = await leader(fleet), len(fleet.events(None, "agree.lead"))
-        fleet.stop(lead)  # what it had sent is still on its way while the next one leads
+        fleet.stop(lead)  # its messages are still in transit while the next leader leads
         await fleet.until(lambda: len(fleet.events(None, "agree.lead")) > reigns, what="the next leader")
         fleet.go_on(lead)
-        await goes_on(fleet)
+        await wait_for_more_effects(fleet)
         fleet.links.heal()
-        await goes_on(fleet)
+        await wait_for_more_effects(fleet)
 
     run_scenario(tmp_path, scenario)
 
@@ -277,28 +281,31 @@
         await fleet.until(agreed, what="its hold-down in the log")
         await fleet.kill(lead)
         assert key in (await fleet.view(await leader(fleet), "/duties"))["held_down"]
-        await goes_on(fleet)
+        await wait_for_more_effects(fleet)
 
     run_scenario(tmp_path, scenario, duties={"hold_down_s": 60.0})
 
 
 def test_duty_is_given_back_at_drain_and_at_leave(tmp_path: Path) -> None:
-    """No grant says then that somebody was not heard. It may say so for another cause: tried again then."""
+    """After a drain or a leave, every grant's reason is "free" and not an expired lease.
+
+    A lease may expire for another cause in the meantime, so each case is tried up to five times.
+    """
 
     async def scenario(fleet: Fleet) -> None:
         for drained in (True, False):
             for _ in range(5):
                 old = fence(fleet)
-                now, given = await holder(fleet, old - 1), len(grants(fleet))
+                now, given = await holder(fleet, old - 1), len(grant_reasons(fleet))
                 if drained:
                     await fleet.call(now, "POST", "/healthcheck/fail")
                 else:
                     assert await fleet.term(now) == [0]
                 await holder(fleet, old)
-                if all(why.endswith("free") for why in grants(fleet)[given:]):
+                if all(why.endswith("free") for why in grant_reasons(fleet)[given:]):
                     break
                 await (fleet.call(now, "POST", "/healthcheck/ok") if drained else fleet.start(now))
             else:
-                raise AssertionError(grants(fleet))
+                raise AssertionError(grant_reasons(fleet))
 
     run_scenario(tmp_path, scenario)
--- a/tests/duties/test_takeover_time.py
+++ b/tests/duties/test_takeover_time.py
@@ -1,4 +1,7 @@
-"""How long a duty is without a holder once its holder, which led as well, is gone. Driven clocks, seconds."""
+"""Time for which a duty has no holder after its holder, which was also the leader, has failed.
+
+Clocks are driven by the tests; times are in seconds.
+"""
 
 import asyncio
 import selectors
@@ -19,13 +22,13 @@
 from beechrock.lab.duties_sim import World
 from beechrock.parts import Context
 
-LEASE_S = 2.0
-SHORT_S = 0.01  # far under a tick
-STEP_S = 0.01
+LEASE_S = 2.0  # lease of the duty, in seconds
+SHORT_S = 0.01  # time that a proposal takes, much shorter than a tick
+STEP_S = 0.01  # step of the simulation while it waits for an election, in seconds
 
 
 class DrivenSelector(selectors.SelectSelector):
-    """Waits no time; the loop's clock goes on by what it would have waited."""
+    """Selector that does not wait, but advances the event loop's clock by the timeout."""
 
     now_s = 0.0
 
@@ -50,15 +53,15 @@
 
 
 class Successor:
-    """Node b: its log, its links, and its duties; a held the duty and led, and is gone."""
+    """Node b with its duties and fakes of its log and links; node a, holder and leader, has failed."""
 
     name, life, hall, hardware, leader, term = "b", 1, "east", "big", "b", 2
 
     def __init__(self, begin_s: float, rate: float = 1.0) -> None:
-        self.begin_s = begin_s  # how long a BEGIN takes to the log
+        self.begin_s = begin_s  # seconds until a proposed BEGIN is in the log
         self.leads = False
         self.listeners: list[Callable[[bool], None]] = []
-        self.granted: list[float] = []  # when a grant was proposed
+        self.granted: list[float] = []  # clock times at which a grant was proposed
         true_s = asyncio.get_running_loop().time
         self.clock = lambda: rate * true_s()
         self.duties = Duties(
@@ -80,7 +83,7 @@
         for listener in self.listeners:
             listener(on)
 
-    # --- of the agreed log
+    # --- fake of the agreed log
 
     def host(self, name: str, machine: Any) -> None:
         self.machine = machine
@@ -98,7 +101,7 @@
         await asyncio.sleep(self.begin_s if kind == "begin" else SHORT_S)
         return self.apply(command)
 
-    # --- of the links
+    # --- fake of the transport
 
     def send(self, to: str, channel: str, message: bytes) -> bool:
         if to == self.name:
@@ -124,7 +127,7 @@
 
 
 @pytest.mark.parametrize("begin_s", [0.001, 0.1, 0.4, 0.8])
-def test_way_of_a_begin_into_the_log_is_no_part_of_the_wait_for_the_old_lease(begin_s: float) -> None:
+def test_slow_begin_does_not_prolong_the_wait_for_the_old_lease(begin_s: float) -> None:
     async def scenario() -> None:
         successor = Successor(begin_s)
         running = asyncio.ensure_future(successor.duties.run())
@@ -132,7 +135,7 @@
         elected_s = successor.clock()
         successor.lead(True)
         await asyncio.sleep(LEASE_S - SHORT_S)
-        assert not successor.granted, "a may act for a whole lease after its last answer"
+        assert not successor.granted, "node a may act for a whole lease after its last reply"
         await asyncio.sleep(LEASE_S)
         assert successor.granted[0] <= elected_s + LEASE_S + TICK_LEASES * LEASE_S + SHORT_S
         running.cancel()
@@ -142,7 +145,9 @@
 
 @pytest.mark.parametrize("rate", RATES)
 @pytest.mark.parametrize("elected_s", [0.30, 0.34, 0.38, 0.42])
-def test_old_lease_that_runs_out_between_two_ticks_is_replaced_at_once(elected_s: float, rate: float) -> None:
+def test_grant_whose_lease_expires_between_two_ticks_is_replaced_at_once(
+    elected_s: float, rate: float
+) -> None:
     async def scenario() -> None:
         successor = Successor(0.05, rate)
         ticks, tick = list[float](), successor.duties.leadership.tick
@@ -160,13 +165,13 @@
         assert led_s + LEASE_S <= successor.granted[0] <= led_s + LEASE_S + SHORT_S
         running.cancel()
         near = [at for at in ticks if led_s + LEASE_S - TICK_LEASES * LEASE_S <= at <= successor.granted[0]]
-        assert len(near) <= 5, "a timer that runs a little ahead of the clock is no reason to spin"
+        assert len(near) <= 5, "a timer that runs slightly ahead of the clock must not make ticks spin"
 
     run(scenario())
 
 
-def test_re_elected_leader_that_went_on_renewing_counts_from_its_last_begin() -> None:
-    """A copy of its own BEGIN comes late, when its grantor has renewed a's grant again."""
+def test_re_elected_leader_that_kept_renewing_waits_from_its_last_begin() -> None:
+    """A duplicate of b's own BEGIN is applied after b's grantor has renewed a's grant again."""
 
     async def scenario() -> None:
         successor = Successor(0.05)
@@ -189,8 +194,8 @@
     run(scenario())
 
 
-def given_after(seed: int, begin_s: float) -> float:
-    """How long after its election a new leader proposes a grant in place of the one of its predecessor."""
+def grant_delay_after_election(seed: int, begin_s: float) -> float:
+    """Return the seconds from a leader's election to its proposal to replace its predecessor's grant."""
     world = World(seed, members=4, duties=1, faults=0.0)
     world.run(3.0)
     old = world.members[world.lead]
@@ -224,9 +229,9 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_drawn_leader_and_holder_killed_together_the_next_grant_comes_a_lease_after_the_election(
+def test_after_leader_and_holder_die_together_the_next_grant_comes_one_lease_after_the_election(
     seed: int,
 ) -> None:
-    least_s = SIM_LEASE_S / RATES[1] - STEP_S
-    most_s = SIM_LEASE_S / RATES[0] + 1.2 * TICK_S + STEP_S
-    assert least_s <= given_after(seed, begin_s=0.4) <= most_s
+    min_s = SIM_LEASE_S / RATES[1] - STEP_S
+    max_s = SIM_LEASE_S / RATES[0] + 1.2 * TICK_S + STEP_S
+    assert min_s <= grant_delay_after_election(seed, begin_s=0.4) <= max_s
--- a/tests/duties/test_unclaimed.py
+++ b/tests/duties/test_unclaimed.py
@@ -1,4 +1,4 @@
-"""Grants that are not claimed, and members not heard from lately. Driven clock, seconds."""
+"""Tests of unclaimed grants and of recently active members, on a driven clock; times are in seconds."""
 
 import pytest
 
@@ -10,12 +10,12 @@
 from beechrock.duties.model import Duty, Grant
 from beechrock.duties.unclaimed import MAX_PASSED_OVER, UnclaimedGrants
 
-LEASE_S = 1.0
-STEP_S = 0.05
+LEASE_S = 1.0  # lease of each duty, in seconds
+STEP_S = 0.05  # step of the driven clock, in seconds
 
 
 class Leader:
-    """One grantor, and members whose requests the test sends."""
+    """A leader's grantor, with members whose requests the test sends."""
 
     def __init__(self, duties: int = 1) -> None:
         self.grants, self.now = GrantTable(), 0.0
@@ -24,13 +24,13 @@
             self.apply(log.declare(Duty(name, lease_s=LEASE_S)))
         self.apply(log.begin("x", 1, 1))
         self.grantor = Grantor(0.0, self.grants, Rules(LEASE_S, 1.0, 1e5))
-        self.given: list[tuple[float, str, str, str]] = []  # when, duty, holder, reason
+        self.given: list[tuple[float, str, str, str]] = []  # time, duty, holder and reason of each grant
 
     def apply(self, command: bytes) -> Result:
         return self.grants.apply(self.grants.applied + 1, command)
 
     def run(self, seconds: float, alive: str, claim: str = "") -> None:
-        """Send requests of the members ``alive``; those of ``claim`` also claim what they are granted."""
+        """Send requests of the members ``alive``; members in ``claim`` also claim their grants."""
         end = self.now + seconds
         while self.now < end:
             self.now += STEP_S
@@ -61,17 +61,17 @@
     second = leader.holder()
     assert second != first and "did not take it" in leader.given[-1][3]
     leader.run(0.3, "abcd")
-    assert leader.holder() == second  # twice as long for the second one
+    assert leader.holder() == second  # the wait for the second member is twice as long
     leader.run(0.2, "abcd")
     third = leader.holder()
     assert third not in (first, second)
     leader.run(5.0, "abcd", claim="abcd")
     assert leader.holder() == third and len(leader.given) == 3
-    assert not leader.grantor.renewals.unclaimed.passed_over  # the next one is given as if nothing had been
+    assert not leader.grantor.renewals.unclaimed.passed_over  # a claim clears the list
 
 
-def test_where_all_members_are_slow_a_member_is_waited_for() -> None:
-    """Each takes it 0.7 leases after it was granted: it is held all the same."""
+def test_growing_claim_wait_lets_one_of_all_slow_members_claim() -> None:
+    """Each member claims a grant only after 0.7 leases, and still one of them becomes the holder."""
     leader = Leader()
     leader.run(0.6, "ab")
     while leader.now < 12.0:
@@ -81,7 +81,7 @@
             leader.run(0.2, "ab", claim="ab")
             assert not leader.grantor.renewals.unclaimed.is_unclaimed(leader.grants.held["d0"])
             return
-    pytest.fail(f"nobody was waited for: {leader.given}")
+    pytest.fail(f"no member had enough time to claim the duty: {leader.given}")
 
 
 def test_only_member_is_not_passed_over() -> None:
@@ -89,12 +89,12 @@
     leader.run(0.6, "a")
     leader.run(0.9, "a")
     assert len(leader.given) == 1 and leader.holder() == "a"
-    leader.run(0.2, "a")  # a lease is over
+    leader.run(0.2, "a")  # more than one lease has passed since the grant
     assert len(leader.given) == 2 and leader.holder() == "a"
 
 
-def test_duties_of_a_lost_hall_go_to_members_heard_from_lately() -> None:
-    """Half are lost within 0.4 leases: the first one's lease is out before the last one is gone."""
+def test_duties_of_a_lost_hall_go_to_recently_active_members() -> None:
+    """Half of the members fail within 0.4 leases, so some are not yet silent when the first lease expires."""
     leader = Leader(40)
     leader.run(3.0, "abcdefgh", claim="abcdefgh")
     lost = "abcd"
