--- a/beechrock/duties/fences.py
+++ b/beechrock/duties/fences.py
@@ -91,10 +91,10 @@
         if fence < max(highest, self.floor(duty)) and Guard.FENCE not in self.without:
             return False
         if fence > highest:
-            self._keep(duty, fence)
+            self._store_fence(duty, fence)
         return True
 
-    def _keep(self, duty: str, fence: int) -> None:
+    def _store_fence(self, duty: str, fence: int) -> None:
         if duty not in self.highest and len(self.highest) >= MAX_DUTIES:
             raise FenceUnkeptError(
                 f"fences of {MAX_DUTIES} duties are kept already",
--- a/beechrock/duties/generations.py
+++ b/beechrock/duties/generations.py
@@ -146,8 +146,8 @@
         self.keeper = context.program.keeper
         self.agreed = AgreedGeneration()
         self.files = FilesComparison()
-        self.done = 0
-        self.waiting = False
+        self.done = 0  # number of generations that were agreed through this node
+        self.waiting = False  # whether this node's files should be proposed
         duties.agree.host(MACHINE, self.agreed)
         context.views["/inventory/agreed"] = self.view
 
--- a/beechrock/duties/grantor.py
+++ b/beechrock/duties/grantor.py
@@ -23,9 +23,9 @@
 from beechrock.duties.placement import can_relieve, max_per_member
 from beechrock.duties.renewals import Renewals
 
-RECENT_LEASES = 0.5  # Leases since a member's last request within which it is preferred as a holder
-SETTLE_LEASES = 0.5  # Leases for which a new leader collects requests before it places duties
-REPROPOSE_LEASES = 2.0  # Leases after which an unanswered proposal is made again
+RECENT_LEASES = 0.5  # Maximum age of a member's last request, in leases, for it to be preferred as a holder
+SETTLE_LEASES = 0.5  # Time, in leases, for which a new leader collects requests before it places duties
+REPROPOSE_LEASES = 2.0  # Time, in leases, after which an unanswered proposal is made again
 MAX_LOGGED_WAITS = 64  # Maximum number of changed hold-downs in one log entry; later entries contain the rest
 TOO_MANY = "too many on one"  # reason for a yield: the member holds more duties than its limit
 # Rank of a duty's kind when duties are placed: duties on which more work depends are placed first.
@@ -53,8 +53,8 @@
         self.rules = rules
         self.without = without
         self.leader_epoch = grants.leader_epoch
-        self.began_s = now_s
-        self.last_tick_s = now_s
+        self.began_s = now_s  # clock time of the start of this leadership
+        self.last_tick_s = now_s  # clock time of the last tick
         self.proposed_s: dict[str, float] = {}  # clock time of the pending proposal, by duty
         self.unheld_reasons: dict[str, str] = {}  # reason why no member holds the duty, by duty
         self.moves = MoveRateLimit(rules.max_moves_per_s)
--- a/beechrock/duties/holder.py
+++ b/beechrock/duties/holder.py
@@ -25,7 +25,7 @@
 
 # Remaining share of the lease at which a holder with WithoutQuorum.FINISH starts to yield.
 FINISH_SHARE = 0.5
-YIELD_TIMEOUT_LEASES = 3.0  # Leases after which a worker that has not given up is stopped
+YIELD_TIMEOUT_LEASES = 3.0  # Time, in leases, after which a worker that has not given up is stopped
 NO_PAUSE_COUNT = -1  # value of ``pauses_at_renewal`` before the first renewal
 
 
--- a/beechrock/duties/messages.py
+++ b/beechrock/duties/messages.py
@@ -16,7 +16,7 @@
 
 
 class MessageKind(IntEnum):
-    """The number of a message's type on the wire."""
+    """Number that identifies the kind of a message on the wire."""
 
     RENEWAL_REQUEST = 0
     RENEWAL_REPLY = 1
--- a/beechrock/duties/model.py
+++ b/beechrock/duties/model.py
@@ -48,7 +48,7 @@
 
     name: str
     kind: Kind = Kind.FLEET
-    scope: str = ""
+    scope: str = ""  # hall of a HALL duty, name of the shard of a SHARD duty
     halls: tuple[str, ...] = ()  # halls whose members may hold the duty; empty for any
     hardware: tuple[str, ...] = ()  # hardware classes whose members may hold the duty; empty for any
     lease_s: float = 0.0  # length of the lease in seconds; 0 for the default of the settings table [duties]
--- a/beechrock/duties/operators.py
+++ b/beechrock/duties/operators.py
@@ -98,7 +98,7 @@
         raise NotMovedError(
             "it is held, or this program declares it",
             where=f"duty {name}",
-            wanted="one that no node has a worker for",
+            wanted="a duty that no node has a worker for",
             do="take it out of the files first",
         )
     duties.proposer.propose(f"retire {name}", log.retire(name))
--- a/beechrock/duties/part.py
+++ b/beechrock/duties/part.py
@@ -269,7 +269,10 @@
 
 
 def begin(settings: DutiesSettings, context: Context) -> Duties:
-    """Create the actor and register its views and calls. Raises DutyError without [fleet] and [agree]."""
+    """Create the actor and register its views and calls.
+
+    Raises DutyError if [fleet] or [agree] is not enabled.
+    """
     for table in ("fleet", "agree"):
         if table not in context.parts:
             raise DutyError(
--- a/beechrock/duties/renewals.py
+++ b/beechrock/duties/renewals.py
@@ -18,8 +18,9 @@
 from beechrock.duties.model import Duty, Grant
 from beechrock.duties.unclaimed import UnclaimedGrants
 
-STALL_LEASES = 3.0  # Leases without progress, while work waits, after which a holder counts as stalled
-YIELD_GRACE_LEASES = 2.0  # Leases for which a holder that was asked to yield is still renewed
+# Time without progress, in leases, after which a holder with waiting work counts as stalled.
+STALL_LEASES = 3.0
+YIELD_GRACE_LEASES = 2.0  # Time, in leases, for which a holder that was asked to yield is still renewed
 
 
 class Renewals:
@@ -31,10 +32,11 @@
     def __init__(self, quiet_since_s: float, grants: GrantTable, without: frozenset[str]) -> None:
         first_s = float("-inf") if Guard.NEW_LEADER_WAITS in without else quiet_since_s
         self._without = without
+        # Clock time of the last renewal, or of the first check of a grant not renewed yet, by fence.
         self._renewed_s = {grant.fence: first_s for grant in grants.held.values()}
-        self._ending: set[int] = set()
-        self._progress: dict[int, LastProgress] = {}
-        self.yield_requests: dict[int, YieldRequest] = {}
+        self._ending: set[int] = set()  # fences that are not renewed any more
+        self._progress: dict[int, LastProgress] = {}  # last progress of the holder, by fence
+        self.yield_requests: dict[int, YieldRequest] = {}  # pending requests to yield, by fence
         self.unclaimed = UnclaimedGrants(grants.leader_epoch, without)
 
     # --- a member's request
--- a/beechrock/duties/unclaimed.py
+++ b/beechrock/duties/unclaimed.py
@@ -18,7 +18,7 @@
 from beechrock.duties.guards import Guard
 from beechrock.duties.model import Grant
 
-CLAIM_LEASES = 0.2  # Leases for which the first holder may leave a grant unclaimed
+CLAIM_LEASES = 0.2  # Time, in leases, for which the first holder may leave a grant unclaimed
 MAX_PASSED_OVER = 8  # Maximum number of passed-over members remembered per duty
 
 
--- a/tests/duties/test_parts.py
+++ b/tests/duties/test_parts.py
@@ -23,8 +23,10 @@
 from beechrock.lab.duties_member import Kept
 
 
-def member(name: str, hall: str = "east", able: frozenset[str] = frozenset(), serving: bool = True) -> Member:
-    return Member(name, 1, hall, "big", serving, able, 0.0)
+def member(
+    name: str, hall: str = "east", supported: frozenset[str] = frozenset(), serving: bool = True
+) -> Member:
+    return Member(name, 1, hall, "big", serving, supported, 0.0)
 
 
 def request(
@@ -51,8 +53,8 @@
 @given(count=st.integers(1, 200), size=st.integers(2, 30), lost=st.integers(0, 29), salt=st.integers(0, 99))
 def test_load_is_bounded_and_a_loss_moves_the_minimum(count: int, size: int, lost: int, salt: int) -> None:
     duties = [Duty(f"{salt}.{n}") for n in range(count)]
-    able = frozenset(duty.name for duty in duties)
-    members = [member(f"m{n}", able=able) for n in range(size)]
+    supported = frozenset(duty.name for duty in duties)
+    members = [member(f"m{n}", supported=supported) for n in range(size)]
     placed: dict[str, str] = {}
     load: Counter[str] = Counter()
 
@@ -117,7 +119,7 @@
     for name in sorted(names):
         index += 1
         grants.apply(index, log.grant(name, "a", 1, 0, grants.leader_epoch))
-    grantor, now, made = Grantor(0.0, grants, Rules(1.0, 1.0, 10.0)), 0.0, []
+    grantor, now, move_times = Grantor(0.0, grants, Rules(1.0, 1.0, 10.0)), 0.0, []
     for name, grant in grants.held.items():
         grantor.renewals.unclaimed.on_renewed(name, grant.fence)  # member a has claimed and held them
     renewal = request(1, 1, tuple(names), hall="west")
@@ -128,10 +130,10 @@
             assert isinstance(action, Propose)
             index += 1
             assert grants.apply(index, action.command) is Result.DONE
-            made.append(now)
+            move_times.append(now)
     for start in range(30):
-        assert sum(start / 10 <= at < start / 10 + 1.0 for at in made) <= 20
-    assert 30 <= len(made) <= 40
+        assert sum(start / 10 <= at < start / 10 + 1.0 for at in move_times) <= 20
+    assert 30 <= len(move_times) <= 40
     grantor.on_request(now, "b", request(2, 1, None, hall="west", serving=False, leaving=True), True)
     grantor.on_request(now, "b", request(3, 2, None, hall="west"), True)
     assert not grantor.hold_down.waits  # member b had announced that it leaves
--- a/tests/duties/test_processes.py
+++ b/tests/duties/test_processes.py
@@ -58,7 +58,7 @@
     return str(events[-1]["node"]) if len(events) >= count else ""
 
 
-def fence(fleet: Fleet) -> int:
+def highest_fence(fleet: Fleet) -> int:
     return max((e["fence"] for e in fleet.events(None, "trial.act")), default=0)
 
 
@@ -76,7 +76,7 @@
     return str(await fleet.until(found, what="a leader"))
 
 
-def lost(fleet: Fleet, name: str) -> bool:
+def is_not_holding(fleet: Fleet, name: str) -> bool:
     """Return whether the node logged no state of the duty, or a last one other than "holding"."""
     states = [e["state"] for e in fleet.events(name, "duty") if e["name"] == "trial"]
     return not states or states[-1] != "holding"
@@ -90,15 +90,15 @@
             return [e for e in fleet.events(None, "effect") if not e["accepted"]]
 
         for _ in range(20):  # the pause hits the gap between check and effect about every other time
-            first, old = await holder(fleet), fence(fleet)
+            first, old = await holder(fleet), highest_fence(fleet)
             fleet.stop(first)
             await holder(fleet, old)
             fleet.go_on(first)
-            await fleet.until(lambda f=first: lost(fleet, f))  # type: ignore[misc]
+            await fleet.until(lambda f=first: is_not_holding(fleet, f))  # type: ignore[misc]
             if len({e["fence"] for e in refused()}) >= 2:
                 break
         # Effects checked before the pause and sent after it arrived late and were refused; no others were.
-        assert refused() and all(e["fence"] < fence(fleet) for e in refused())
+        assert refused() and all(e["fence"] < highest_fence(fleet) for e in refused())
 
     run_scenario(tmp_path, scenario)
 
@@ -106,14 +106,14 @@
 def test_holder_cut_off_in_either_direction_is_replaced(tmp_path: Path) -> None:
     async def scenario(fleet: Fleet) -> None:
         for outwards in (True, False):
-            first, old = await holder(fleet, 0), fence(fleet)
+            first, old = await holder(fleet, 0), highest_fence(fleet)
             for other in NAMES:
                 if other != first:
                     fleet.links.cut(*((first, other) if outwards else (other, first)), Cut.SILENT)
             second = await holder(fleet, old)
             assert second != first
             fleet.links.heal()
-            await fleet.until(lambda f=first: lost(fleet, f))  # type: ignore[misc]
+            await fleet.until(lambda f=first: is_not_holding(fleet, f))  # type: ignore[misc]
 
     run_scenario(tmp_path, scenario)
 
@@ -122,7 +122,7 @@
     names = [*NAMES, "d", "e"]
 
     async def scenario(fleet: Fleet) -> None:
-        first, old = await holder(fleet), fence(fleet)
+        first, old = await holder(fleet), highest_fence(fleet)
         at = time.monotonic()
         await fleet.kill(*{first, await leader(fleet)})
         await holder(fleet, old)
@@ -135,18 +135,22 @@
 
 def test_duty_moves_when_replies_outlast_the_lease_and_stops_without_a_quorum(tmp_path: Path) -> None:
     async def scenario(fleet: Fleet) -> None:
-        first, old = await holder(fleet), fence(fleet)
+        first, old = await holder(fleet), highest_fence(fleet)
         others = [name for name in NAMES if name != first]
         fleet.links.delay(others, first, 4.0)
         second = await holder(fleet, old)
         assert second != first
         fleet.links.heal()
-        first, old = await holder(fleet), fence(fleet)
+        first, old = await holder(fleet), highest_fence(fleet)
         fleet.links.split(*([name] for name in NAMES))
-        await fleet.until(lambda: all(lost(fleet, name) for name in NAMES), what="nobody, without a quorum")
+        await fleet.until(
+            lambda: all(is_not_holding(fleet, name) for name in NAMES), what="no holder, without a quorum"
+        )
         fleet.links.heal()
         count = len(fleet.events(None, "trial.act"))
-        await fleet.until(lambda: len(fleet.events(None, "trial.act")) > count, what="again with a quorum")
+        await fleet.until(
+            lambda: len(fleet.events(None, "trial.act")) > count, what="effects after the quorum is restored"
+        )
 
     run_scenario(tmp_path, scenario)
 
@@ -155,7 +159,7 @@
     async def scenario(fleet: Fleet) -> None:
         await holder(fleet)
         for _ in range(2):
-            old = fence(fleet)
+            old = highest_fence(fleet)
             await fleet.kill(*NAMES)
             await fleet.start()
             await holder(fleet, old)
@@ -172,11 +176,11 @@
             left = [e for e in fleet.events(name) if e["event"] == "duties.left"]
             assert codes == [0] and left, f"{name} gave back all before it ended"
             await fleet.start(name)
-        first, old = await holder(fleet), fence(fleet)
+        first, old = await holder(fleet), highest_fence(fleet)
         other = next(name for name in NAMES if name != first)
         status, body = await fleet.call(other, "POST", "/duties/yield?name=trial")
         assert status == 200 and json.loads(body)["holder"] == first
-        second, old = await holder(fleet, old), fence(fleet)
+        second, old = await holder(fleet, old), highest_fence(fleet)
         assert second != first
         status, _ = await fleet.call(second, "POST", "/healthcheck/fail")
         assert status == 200
@@ -197,7 +201,7 @@
 async def distinct_holder_and_leader(fleet: Fleet) -> tuple[str, str]:
     """Move the duty until the holder is not the leader; return the holder and the leader."""
     while True:
-        first, old, lead = await holder(fleet), fence(fleet), await leader(fleet)
+        first, old, lead = await holder(fleet), highest_fence(fleet), await leader(fleet)
         if first != lead:
             return first, lead
         await fleet.call(lead, "POST", "/duties/yield?name=trial")
@@ -233,7 +237,7 @@
         def refused() -> list[dict[str, Any]]:
             return [e for e in fleet.events(None, "effect") if not e["accepted"] and e["sender"] == first]
 
-        (first, _), old = await distinct_holder_and_leader(fleet), fence(fleet)
+        (first, _), old = await distinct_holder_and_leader(fleet), highest_fence(fleet)
         fleet.links.cut([name for name in NAMES if name != first], first, Cut.SILENT)
         fleet.clock(first, rate=0.0)
         second = await holder(fleet, old)
@@ -241,7 +245,7 @@
         await fleet.until(refused, what="an effect under the old fence, refused")
         fleet.links.heal()
         fleet.clock(first, rate=1.0)
-        await fleet.until(lambda: lost(fleet, first))
+        await fleet.until(lambda: is_not_holding(fleet, first))
         await wait_for_more_effects(fleet)
 
     run_scenario(tmp_path, scenario, single=False, clocks=True)
@@ -250,9 +254,9 @@
 def test_one_holder_despite_two_leaders_late_doubled_messages_and_cut_connections(tmp_path: Path) -> None:
     async def scenario(fleet: Fleet) -> None:
         fleet.links.set(NAMES, NAMES, double=0.5, delay_s=0.1, short=0.01)
-        lead, reigns = await leader(fleet), len(fleet.events(None, "agree.lead"))
+        lead, leaderships = await leader(fleet), len(fleet.events(None, "agree.lead"))
         fleet.stop(lead)  # its messages are still in transit while the next leader leads
-        await fleet.until(lambda: len(fleet.events(None, "agree.lead")) > reigns, what="the next leader")
+        await fleet.until(lambda: len(fleet.events(None, "agree.lead")) > leaderships, what="the next leader")
         fleet.go_on(lead)
         await wait_for_more_effects(fleet)
         fleet.links.heal()
@@ -264,7 +268,7 @@
 def test_holder_without_progress_is_replaced_and_its_hold_down_known_to_the_next_leader(
     tmp_path: Path,
 ) -> None:
-    def deposed(fleet: Fleet) -> list[str]:
+    def stalled_holders(fleet: Fleet) -> list[str]:
         return [e["holder"] for e in fleet.events(None, "duties.ask_back") if "no progress" in e["why"]]
 
     async def scenario(fleet: Fleet) -> None:
@@ -272,8 +276,11 @@
         for works in ("no", "yes"):
             for name in NAMES:
                 await fleet.call(name, "POST", f"/duties/trial?works={works}")
-            await fleet.until(lambda: deposed(fleet), what="one that answers and does nothing, deposed")
-        key, other = f"{deposed(fleet)[0]}/trial", next(name for name in NAMES if name != lead)
+            await fleet.until(lambda: stalled_holders(fleet), what="a stalled holder, asked to yield")
+        key, other = (
+            f"{stalled_holders(fleet)[0]}/trial",
+            next(name for name in NAMES if name != lead),
+        )
 
         async def agreed() -> bool:
             return key in (await fleet.view(other, "/duties"))["hold_downs"]
@@ -295,7 +302,7 @@
     async def scenario(fleet: Fleet) -> None:
         for drained in (True, False):
             for _ in range(5):
-                old = fence(fleet)
+                old = highest_fence(fleet)
                 now, given = await holder(fleet, old - 1), len(grant_reasons(fleet))
                 if drained:
                     await fleet.call(now, "POST", "/healthcheck/fail")
--- a/tests/duties/test_takeover_time.py
+++ b/tests/duties/test_takeover_time.py
@@ -152,11 +152,11 @@
         successor = Successor(0.05, rate)
         ticks, tick = list[float](), successor.duties.leadership.tick
 
-        def counted(now_s: float) -> None:
+        def record_tick(now_s: float) -> None:
             ticks.append(now_s)
             tick(now_s)
 
-        successor.duties.leadership.tick = counted  # type: ignore[method-assign]
+        successor.duties.leadership.tick = record_tick  # type: ignore[method-assign]
         running = asyncio.ensure_future(successor.duties.run())
         await asyncio.sleep(elected_s)
         led_s = successor.clock()
@@ -164,8 +164,12 @@
         await asyncio.sleep(2 * LEASE_S)
         assert led_s + LEASE_S <= successor.granted[0] <= led_s + LEASE_S + SHORT_S
         running.cancel()
-        near = [at for at in ticks if led_s + LEASE_S - TICK_LEASES * LEASE_S <= at <= successor.granted[0]]
-        assert len(near) <= 5, "a timer that runs slightly ahead of the clock must not make ticks spin"
+        ticks_near_expiry = [
+            at for at in ticks if led_s + LEASE_S - TICK_LEASES * LEASE_S <= at <= successor.granted[0]
+        ]
+        assert len(ticks_near_expiry) <= 5, (
+            "a timer that runs slightly ahead of the clock must not make ticks spin"
+        )
 
     run(scenario())
 
--- a/tests/duties/test_unclaimed.py
+++ b/tests/duties/test_unclaimed.py
@@ -24,7 +24,7 @@
             self.apply(log.declare(Duty(name, lease_s=LEASE_S)))
         self.apply(log.begin("x", 1, 1))
         self.grantor = Grantor(0.0, self.grants, Rules(LEASE_S, 1.0, 1e5))
-        self.given: list[tuple[float, str, str, str]] = []  # time, duty, holder and reason of each grant
+        self.granted: list[tuple[float, str, str, str]] = []  # time, duty, holder and reason of each grant
 
     def apply(self, command: bytes) -> Result:
         return self.grants.apply(self.grants.applied + 1, command)
@@ -47,7 +47,7 @@
                 assert self.apply(action.command) is Result.DONE
                 self.grantor.on_proposal_settled(action.name)
                 if name := action.name:
-                    self.given.append((self.now, name, self.grants.held[name].holder, action.reason))
+                    self.granted.append((self.now, name, self.grants.held[name].holder, action.reason))
 
     def holder(self) -> str:
         return self.grants.held["d0"].holder
@@ -59,14 +59,14 @@
     first = leader.holder()
     leader.run(0.3, "abcd")
     second = leader.holder()
-    assert second != first and "did not take it" in leader.given[-1][3]
+    assert second != first and "did not take it" in leader.granted[-1][3]
     leader.run(0.3, "abcd")
     assert leader.holder() == second  # the wait for the second member is twice as long
     leader.run(0.2, "abcd")
     third = leader.holder()
     assert third not in (first, second)
     leader.run(5.0, "abcd", claim="abcd")
-    assert leader.holder() == third and len(leader.given) == 3
+    assert leader.holder() == third and len(leader.granted) == 3
     assert not leader.grantor.renewals.unclaimed.passed_over  # a claim clears the list
 
 
@@ -81,16 +81,16 @@
             leader.run(0.2, "ab", claim="ab")
             assert not leader.grantor.renewals.unclaimed.is_unclaimed(leader.grants.held["d0"])
             return
-    pytest.fail(f"no member had enough time to claim the duty: {leader.given}")
+    pytest.fail(f"no member had enough time to claim the duty: {leader.granted}")
 
 
 def test_only_member_is_not_passed_over() -> None:
     leader = Leader()
     leader.run(0.6, "a")
     leader.run(0.9, "a")
-    assert len(leader.given) == 1 and leader.holder() == "a"
+    assert len(leader.granted) == 1 and leader.holder() == "a"
     leader.run(0.2, "a")  # more than one lease has passed since the grant
-    assert len(leader.given) == 2 and leader.holder() == "a"
+    assert len(leader.granted) == 2 and leader.holder() == "a"
 
 
 def test_duties_of_a_lost_hall_go_to_recently_active_members() -> None:
@@ -100,9 +100,11 @@
     lost = "abcd"
     for count in range(len(lost)):
         leader.run(0.1, lost[count + 1 :] + "efgh", claim="abcdefgh")
-    given = len(leader.given)
+    granted_before = len(leader.granted)
     leader.run(3.0, "efgh", claim="efgh")
-    assert leader.given[given:] and all(to in "efgh" for _, _, to, _ in leader.given[given:])
+    assert leader.granted[granted_before:] and all(
+        to in "efgh" for _, _, to, _ in leader.granted[granted_before:]
+    )
 
 
 def test_memory_of_unclaimed_grants_is_bounded() -> None:
