--- a/beechrock/duties/candidates.py
+++ b/beechrock/duties/candidates.py
@@ -15,7 +15,7 @@
 class Candidates(NamedTuple):
     """Members that may be granted a duty, in three groups."""
 
-    all: list[Member]
+    all: list[Member]  # all members known to the leader
     recent: list[Member]  # members whose last request arrived recently
     not_held_down: list[Member]  # recent members without a hold-down
 
--- a/beechrock/duties/holder.py
+++ b/beechrock/duties/holder.py
@@ -177,7 +177,10 @@
             self._set_state(HolderState.HOLDING, now_s)
 
     def start_yield(self, now_s: float, fence: int, reason: str) -> list[HolderAction]:
-        """Start to yield, at the request of the leader or an operator, or because this process is leaving."""
+        """Start to yield, for the reason given.
+
+        The leader may have asked for it, this process may be drained or leaving, or there may be no quorum.
+        """
         if fence != self.fence or self.state in (HolderState.YIELDING, HolderState.IDLE):
             return []
         self.yield_reason = reason
@@ -199,7 +202,7 @@
         return [HolderAction(Command.GIVE_BACK, fence)]
 
     def tick(self, now_s: float, pauses: int) -> list[HolderAction]:
-        """Handle an expired lease, a missing quorum and a worker that does not yield in time."""
+        """Handle an expired or soon expiring lease, and a worker that does not yield in time."""
         if self.state is HolderState.HOLDING:
             if not self.leased or now_s >= self.lease_end_s:
                 return self._lose(now_s)
--- a/beechrock/duties/member_duties.py
+++ b/beechrock/duties/member_duties.py
@@ -3,7 +3,7 @@
 One request asks to renew every lease that the process holds, and is its heartbeat as well.
 
 Invariants: a renewal in a reply counts only if it answers a request that this process sent since the last
-pause; the lease starts when that request was sent. At most ``MAX_OPEN_REQUESTS`` unanswered requests are
+pause; the lease starts when that request was sent. At most ``MAX_OPEN_REQUESTS`` sent requests are
 remembered; beyond that the oldest is dropped, and a reply to it renews nothing.
 """
 
@@ -65,11 +65,11 @@
         self.hardware = hardware
         self.without = without
         self.pause_detector = PauseDetector(PAUSE * lease_s, now_s, without)
-        self.renew_each_s = RENEW_EACH_LEASES * lease_s
-        self.duties: dict[str, Duty] = {}
-        self.holders: dict[str, Holder] = {}
-        self.duty_by_fence: dict[int, str] = {}
-        self.open_requests: dict[int, OpenRequest] = {}
+        self.renew_each_s = RENEW_EACH_LEASES * lease_s  # seconds between two requests
+        self.duties: dict[str, Duty] = {}  # declared duties by name
+        self.holders: dict[str, Holder] = {}  # state of each declared duty, by name
+        self.duty_by_fence: dict[int, str] = {}  # name of the duty, by fence of this process's grant
+        self.open_requests: dict[int, OpenRequest] = {}  # sent requests by sequence number, the oldest first
         self.seq = 0  # sequence number of the last request
         self.next_request_s = now_s  # clock time at which the next request is due
         self.send_supported = True  # whether the next request lists the supported duties
--- a/tests/duties/test_part.py
+++ b/tests/duties/test_part.py
@@ -48,8 +48,8 @@
         self.context = Context(name, 1, Counters(), None, SimpleNamespace(serving=self.serving))  # type: ignore[arg-type]
         self.duties = Duties(DutiesSettings(LEASE_S, 0.2), self.context, self, self)
         self.effects = self.faults = self.grant_proposals_to_fail = 0
-        self.hangs_s: float | None = None
-        self.stops: list[str] = []
+        self.hangs_s: float | None = None  # seconds until a failing proposal raises, or None to refuse it
+        self.stops: list[str] = []  # calls of the worker's ``give_up`` ("up") and ``lost``
         self.duties.declare(Duty("d", Kind.FLEET), self)
 
     @property
