--- a/tests/handover/test_node_alone.py
+++ b/tests/handover/test_node_alone.py
@@ -1,4 +1,4 @@
-"""A process on a shared socket whose other process is absent, gone or stopped: what it does."""
+"""A process on a shared socket whose other process is absent, has ended or is late."""
 
 import asyncio
 import socket
@@ -6,12 +6,12 @@
 
 import pytest
 from callers import Caller, request
-from pair import CHECK, WORD, Pair, run
+from pair import CHECK, DRAIN_COMMAND, Pair, run
 from test_closing import CHECK_1, leave
 
 
-@pytest.mark.parametrize("count", [1, 40])  # as many as are accepted in one turn of the loop, and more
-def test_without_another_process_the_backlog_of_the_shared_socket_is_answered_before_the_end(
+@pytest.mark.parametrize("count", [1, 40])  # one loop iteration accepts 1, but not 40
+def test_a_lone_process_answers_the_backlog_of_the_shared_socket_before_it_ends(
     folder: Path, count: int
 ) -> None:
     async def work(pair: Pair) -> None:
@@ -32,8 +32,8 @@
     run(work, folder)
 
 
-def test_who_connects_to_a_shared_socket_after_the_end_waits_for_the_next_process(folder: Path) -> None:
-    """A process refuses what comes as it closes a socket of its own; others go on with this one."""
+def test_connections_after_the_end_wait_in_the_backlog_of_the_shared_socket(folder: Path) -> None:
+    """Closing a socket of its own refuses connections, but other processes still use a shared one."""
 
     async def work(pair: Pair) -> None:
         one = await pair.start()
@@ -48,11 +48,11 @@
     run(work, folder)
 
 
-def test_beside_a_successor_the_backlog_of_the_shared_socket_is_left_to_it(folder: Path) -> None:
+def test_the_backlog_of_the_shared_socket_is_left_to_a_successor(folder: Path) -> None:
     async def work(pair: Pair) -> None:
-        old, new = await pair.both()
+        old, new = await pair.start_both()
         assert new.program.frames is not None
-        new.program.frames.pause()  # it is late
+        new.program.frames.pause()  # the successor accepts late
         leave(old)
         with socket.create_connection(pair.shared.getsockname()):
             await old.program._end_connections()
@@ -63,8 +63,8 @@
     run(work, folder)
 
 
-def test_reports_follow_who_takes_connections_whatever_becomes_of_successors(folder: Path) -> None:
-    """Ready while another process goes on as this node; draining as soon as none does."""
+def test_heartbeats_report_draining_only_while_no_successor_serves(folder: Path) -> None:
+    """Heartbeats report ready while a successor serves the node, and draining as soon as none does."""
 
     async def work(pair: Pair) -> None:
         old = await pair.start()
@@ -77,7 +77,7 @@
             old.beats.clear()
             await old.play("beat BEAT n1 ready\n")
             old.beats.clear()
-            await old.play("beat BEAT n1 ready\n")  # and goes on so
+            await old.play("beat BEAT n1 ready\n")  # the next heartbeats stay the same
             assert set(old.beats) == {"BEAT n1 ready"} == set(new.beats)
             await pair.end(new)
             await pair.serving(old)
@@ -90,8 +90,8 @@
     run(work, folder)
 
 
-def test_an_operators_drain_and_its_end_are_told_by_health_checks_and_not_by_reports(folder: Path) -> None:
-    """The platform takes the node off its list by the checks, and may take it back at once after ``ok``."""
+def test_an_operators_drain_shows_in_health_checks_and_not_in_heartbeats(folder: Path) -> None:
+    """The platform removes the node by its health checks, and may list it again at once after ``ok``."""
 
     async def work(pair: Pair) -> None:
         one = await pair.start(admin=True)
@@ -99,11 +99,11 @@
         await one.play(
             "a = connect frames\n"
             + CHECK % (1, 1)
-            + WORD % ("fail", "failed")
+            + DRAIN_COMMAND % ("fail", "failed")
             + 'a > {04 00000002 00}\na < {05 00000002 01 01 06"advice" 0006"0.0000"}\n'
         )
         one.beats.clear()
-        await one.play("beat BEAT n1 ready\n" + WORD % ("ok", "ready") + CHECK % (3, 3))
+        await one.play("beat BEAT n1 ready\n" + DRAIN_COMMAND % ("ok", "ready") + CHECK % (3, 3))
         one.beats.clear()
         await one.play("beat BEAT n1 ready\n")
         assert set(one.beats) == {"BEAT n1 ready"}
