--- a/beechrock/__main__.py
+++ b/beechrock/__main__.py
@@ -1,10 +1,10 @@
-"""The command: without arguments one real api node, with some the command line for operators."""
+"""Entry point: runs one API node without arguments, the operators' command line with arguments."""
 
 import sys
 
 if __name__ == "__main__":
-    # asyncio and hashlib bring OpenSSL where they find it. Nothing here speaks TLS, and a small node may have
-    # to hold two processes: without it a started one is 4.5 MB smaller (1.3 MB of that shared with nobody).
+    # asyncio and hashlib import OpenSSL if they find it. beechrock uses no TLS, and a small node may have to
+    # hold two processes: without OpenSSL a started process is 4.5 MB smaller (1.3 MB of it private memory).
     for name in ("ssl", "_hashlib"):
         sys.modules.setdefault(name, None)  # type: ignore[arg-type]
 
@@ -14,7 +14,7 @@
 
 
 def main() -> int:
-    """Without arguments a node is run; with some, the command line for operators."""
+    """Run a node, or the operators' command line if there are arguments; return the exit code."""
     if len(sys.argv) < 2:
         end_process(serve_from_environment())
     try:
--- a/beechrock/configuration_file.py
+++ b/beechrock/configuration_file.py
@@ -1,4 +1,4 @@
-"""The configuration's file after the start: when it is read anew, and what becomes of an unusable one."""
+"""Reloads of the configuration file: detects its changes, and keeps the running one if it is unusable."""
 
 import logging
 from collections.abc import Callable
@@ -9,9 +9,9 @@
 
 log = logging.getLogger("beechrock")
 
-Stamp = tuple[int, ...]
-# What a reload does not change; ``seed`` is new with each start, and means nothing later.
-FIXED = (
+Stamp = tuple[int, ...]  # fingerprint of the file's version, see ``config.stamp``
+# Keys that a reload does not apply. ``seed`` is not listed: it differs at each start, and is not used later.
+START_ONLY_KEYS = (
     "name",
     "listen",
     "admin",
@@ -27,15 +27,15 @@
 )
 
 
-def warn_of_fixed(running: config.Config, configuration: config.Config) -> None:
-    """Warn of what was changed and is read at a start only."""
-    fixed = [key for key in FIXED if getattr(configuration, key) != getattr(running, key)]
-    if fixed:
-        log.warning("%s: changed, but read at a start only", ", ".join(fixed))
+def warn_of_start_only_changes(running: config.Config, configuration: config.Config) -> None:
+    """Log a warning that names the changed keys which a reload does not apply."""
+    changed = [key for key in START_ONLY_KEYS if getattr(configuration, key) != getattr(running, key)]
+    if changed:
+        log.warning("%s: changed, but read at a start only", ", ".join(changed))
 
 
 class ConfigurationFile:
-    """Knows the file by its stamp, which changes with its content."""
+    """Detects changes of the configuration file by its stamp, and loads it again."""
 
     def __init__(
         self,
@@ -43,37 +43,37 @@
         stamp: Callable[[], Stamp] = tuple,
         seen: Stamp = (),
     ) -> None:
-        """``read_anew`` reads the file beside a running configuration; ``seen``: its stamp at the start."""
+        """``read_anew`` loads the file, given the running configuration; ``seen``: its stamp at the start."""
         self.read_anew = read_anew
         self.stamp = stamp
-        self.seen = seen  # when it was read last
-        self.seen_changed = seen  # when it was looked at last
+        self.seen = seen  # the file's stamp when it was last read
+        self.seen_changed = seen  # its stamp at the last call of ``has_stable_change``
 
-    def differs(self) -> bool:
-        """Return whether the file was changed since it was read."""
+    def has_changed(self) -> bool:
+        """Return whether the file has changed since it was last read."""
         return self.stamp() != self.seen
 
-    def differs_completely(self) -> bool:
-        """Return whether the file was changed since it was read, and not since the last look at it.
+    def has_stable_change(self) -> bool:
+        """Return whether the file has changed since it was last read, but not since the last call.
 
-        A file that is being written changes between two looks, and must not be read half written.
+        A file that is still being written changes between two calls, and must not be read half written.
         """
         stamp = self.stamp()
-        complete = stamp != self.seen and stamp == self.seen_changed
+        stable = stamp != self.seen and stamp == self.seen_changed
         self.seen_changed = stamp
-        return complete
+        return stable
 
     def read(self, running: config.Config, counters: Counters) -> config.Config | None:
-        """Return the file's configuration; None, counted and logged, where it cannot be used."""
+        """Return the file's configuration, or None, counted and logged, if it cannot be used."""
         self.seen = self.stamp()
         try:
             configuration = running if self.read_anew is None else self.read_anew(running)
-        except OperatorError as error:  # nobody is helped by a node that ends over a bad file
+        except OperatorError as error:  # an unusable file must not end a running node
             counters.add("reload.refused")
             log.error("%s; the old configuration stays", error)
             return None
         except Exception as error:
-            # A reload is asked for by links too: its fault must not end their search for a peer.
+            # Links ask for reloads too: an unexpected error must not end their search for a peer.
             counters.add("reload.refused")
             counters.record_error("reload", error)
             return None
--- a/beechrock/departure.py
+++ b/beechrock/departure.py
@@ -1,4 +1,4 @@
-"""The wait from the notice to leave to the moment at which the last connections are ended."""
+"""Graceful shutdown of one process, from the notice to leave to the end of the last connections."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -8,52 +8,52 @@
 from beechrock.net.connection_server import ConnectionServer
 from beechrock.net.direct_endpoint import load_input_check
 
-LOOK_S = 0.05  # between two looks: how late is the loop, and is anything left to do
-# Looks in a row that must find nothing where there is a successor: a connection that has just been accepted
-# shows up some turns of the loop later.
-IDLE_LOOKS = 3
+POLL_INTERVAL_S = 0.05  # between two checks of the event loop's lag and of whether the process is idle
+# Number of successive checks that must find a process with a successor idle before it ends early: a newly
+# accepted connection becomes visible only some turns of the event loop later.
+MIN_IDLE_CHECKS = 3
 
 
-class Departure:
-    """Owns the times of one process's graceful shutdown; ``began_at`` is of the loop's time."""
+class GracefulShutdown:
+    """Schedule of one process's graceful shutdown; ``began_at`` is its start, in the event loop's time."""
 
     def __init__(self, stop_s: float) -> None:
         self.steps: Schedule = schedule(stop_s)
         self.began_at = 0.0
 
     def begin(self) -> None:
-        """Note the notice to leave."""
+        """Record the start of the shutdown, and import what its end needs."""
         load_input_check()
         self.began_at = asyncio.get_running_loop().time()
 
-    async def wait(self, idle: Callable[[], bool], on_sooner: Callable[[float], None]) -> None:
-        """Wait until connections have to be ended, or ``idle`` has been true for some looks.
+    async def wait(self, is_idle: Callable[[], bool], on_earlier: Callable[[float], None]) -> None:
+        """Wait until connections must be ended, or ``is_idle`` was true in MIN_IDLE_CHECKS successive checks.
 
-        ``on_sooner`` hears how many seconds the decision module has left, should the loop run so late that
-        all is done earlier than was planned.
+        If the event loop lags, the steps are moved earlier; ``on_earlier`` is then called with the seconds
+        that the decision module has left.
         """
         loop = asyncio.get_running_loop()
         planned = self.steps
         lag = LoopLag()
-        idle_looks = 0
-        while (now := loop.time()) < self.began_at + self.steps.close_s and idle_looks < IDLE_LOOKS:
-            due = min(now + LOOK_S, self.began_at + self.steps.close_s)
+        idle_checks = 0
+        while (now := loop.time()) < self.began_at + self.steps.close_s and idle_checks < MIN_IDLE_CHECKS:
+            due = min(now + POLL_INTERVAL_S, self.began_at + self.steps.close_s)
             await asyncio.sleep(due - now)
             lag.note(loop.time(), due)
-            self._hasten(hastened(planned, lag.worst_s()), on_sooner)
-            idle_looks = idle_looks + 1 if idle() else 0
+            self._adopt_earlier(hastened(planned, lag.worst_s()), on_earlier)
+            idle_checks = idle_checks + 1 if is_idle() else 0
 
-    def _hasten(self, steps: Schedule, on_sooner: Callable[[float], None]) -> None:
-        """Go by ``steps`` where they are earlier."""
+    def _adopt_earlier(self, steps: Schedule, on_earlier: Callable[[float], None]) -> None:
+        """Adopt ``steps`` if they end connections earlier than the steps in force."""
         if steps.close_s >= self.steps.close_s:
             return
-        sooner = steps.answered_s < self.steps.answered_s
+        answers_earlier = steps.answered_s < self.steps.answered_s
         self.steps = steps
-        if sooner:
-            on_sooner(steps.module_s(asyncio.get_running_loop().time() - self.began_at))
+        if answers_earlier:
+            on_earlier(steps.module_s(asyncio.get_running_loop().time() - self.began_at))
 
     async def end_connections(self, fronts: Iterable[ConnectionServer[Any]]) -> None:
-        """Answer what was read, and end each connection in order, in time for the process to end itself."""
+        """Answer all requests read, and end each connection in order, in time for the process to exit."""
         cut_at = self.began_at + self.steps.cut_s
         exit_at = self.began_at + self.steps.exit_s
         end_at = self.began_at + self.steps.end_s
--- a/beechrock/errors.py
+++ b/beechrock/errors.py
@@ -1,16 +1,19 @@
-"""The one root of all errors that reach an operator: what, where, what was wanted, and what to do now.
+"""Base class of all errors that reach an operator: problem, place, expected value, and remedy.
 
-Each part keeps its own types in its ``errors.py``; the exit code and the log event come from the type.
+Each part defines its own types in its ``errors.py``; the type sets the exit code and the log event.
 """
 
 from typing import Any, ClassVar
 
 
 class OperatorError(Exception):
-    """``what`` was found ``where`` (file, line, key, node, duty, edge, rule); ``wanted``; ``do`` now."""
+    """Error with the problem ``what``, its place ``where``, the value ``wanted`` there and the remedy ``do``.
 
-    exit_code: ClassVar[int] = 2
-    event: ClassVar[str] = "error"
+    The place is a file, line, key, node, duty, edge or rule.
+    """
+
+    exit_code: ClassVar[int] = 2  # of a process that the error ends
+    event: ClassVar[str] = "error"  # name of the log event that reports the error
 
     def __init__(self, what: str, *, where: str = "", wanted: str = "", do: str = "") -> None:
         self.what, self.where, self.wanted, self.do = what, where, wanted, do
@@ -23,7 +26,7 @@
         return f"{text}; {self.do}" if self.do else text
 
     def fields(self) -> dict[str, Any]:
-        """Return the fields of a structured log line; what is empty is left out."""
+        """Return the fields of a structured log line, without empty ones."""
         parts = {"what": self.what, "where": self.where, "wanted": self.wanted, "do": self.do}
         return {"error": type(self).__name__, **{key: value for key, value in parts.items() if value}}
 
--- a/beechrock/optional_parts.py
+++ b/beechrock/optional_parts.py
@@ -1,6 +1,6 @@
-"""Parts that most nodes do without: the record, the inventory's keeper and the operators' second address.
+"""Factories of parts that most nodes lack: trace recorder, inventory keeper, operators' HTTP calls.
 
-Each is made from its settings by a function here, which imports what it needs when it is called.
+Each function imports the modules of its part only when it is called.
 """
 
 from collections.abc import Callable
@@ -21,7 +21,7 @@
 def recorder(
     settings: config.Trace, name: str, module: ModuleActor, unix_clock: Callable[[], float]
 ) -> "Recorder":
-    """Return a recorder that the module reports to from now on."""
+    """Create a trace recorder, to which the module reports from now on."""
     from beechrock.trace.flow import Rules
     from beechrock.trace.recorder import Recorder
 
@@ -31,7 +31,7 @@
         segment_s=settings.segment_s,
         most_bytes=int(settings.most_mb * 2**20),
     )
-    made = Recorder(
+    created = Recorder(
         settings.folder,
         name,
         module.counters,
@@ -41,18 +41,18 @@
         settings.key,
         unix_clock,
     )
-    module.trace(made)
-    return made
+    module.trace(created)
+    return created
 
 
 def inventory_keeper(
     settings: config.Scgi, module: ModuleActor, adopt: "Callable[[Generation], bool]"
 ) -> "Keeper":
-    """Return the keeper of the inventory, which has new generations adopted by ``adopt``."""
+    """Create the inventory keeper, which calls ``adopt`` with each new generation."""
     from beechrock.inventory import keeper, watch
 
     rules = watch.Rules(settle_s=settings.settle_s, confirm_s=settings.confirm_s)
-    made = keeper.Keeper(
+    created = keeper.Keeper(
         settings.path,
         settings.generation,
         rules,
@@ -63,11 +63,11 @@
         settings.state,
     )
     module.counters.set("inventory.generation", settings.generation.number)
-    return made
+    return created
 
 
 def serving_state(module: ModuleActor, handover: "Handover | None") -> "Serving":
-    """Return the operators' view of whether this node serves, joined with the handover's."""
+    """Create the serving state that operators see and set, shared with the hand-over's other process."""
     from beechrock.admin.serving import Serving
 
     serving = Serving(lambda: module.able() and (handover is None or handover.serving))
@@ -80,11 +80,11 @@
 
 
 def operator_calls(module: ModuleActor, serving: "Serving", dispatches: Callable[[], int] | None) -> "Calls":
-    """Return the calls of the second address; without ``dispatches`` each launch counts as one."""
+    """Create the HTTP calls of the second address; without ``dispatches`` each launch counts as one."""
     from beechrock.admin.http import Calls
 
     def launches() -> int:
-        """Return how many runs were launched: with SCGI servers each launch is a dispatch."""
+        """Return the number of launched runs: with SCGI servers each launch is one dispatch."""
         return int(module.counters["sent.launches"])
 
     return Calls(module, serving, launches if dispatches is None else dispatches)
--- a/beechrock/parts.py
+++ b/beechrock/parts.py
@@ -1,8 +1,8 @@
-"""What a node needs beside its service to be one of a fleet: parts, each a table of the operator's file.
+"""Parts that make a node, beside its service, a member of a fleet; each has a table in the operator's file.
 
-Nothing of a part is imported unless its table is enabled. A part has ``settings.py`` in its package (KEYS and
-``read``, which checks the table) and ``part.py`` (``begin``, which makes the actor). They begin in order of
-``TABLES`` and find those before them in ``Context.parts``.
+A part's modules are imported only if its table is enabled. Its package has ``settings.py`` (KEYS, and
+``read``, which checks the table) and ``part.py`` (``begin``, which creates the actor). Parts are created in
+the order of ``TABLES``, and find those created before them in ``Context.parts``.
 """
 
 from collections.abc import Callable, Mapping
@@ -16,7 +16,7 @@
     from beechrock.core.actor import ModuleActor
     from beechrock.core.counters import Counters
 
-# Table of the operator's file, and the package that means it.
+# Package of the part that each table of the operator's file configures.
 TABLES = {
     "fleet": "beechrock.talk",
     "agree": "beechrock.agree",
@@ -27,9 +27,9 @@
     "replica": "beechrock.replica",
     "limits": "beechrock.limits",
 }
-# Packages whose settings still stand in ``told.py``; each goes off the list with its conversion.
+# Tables whose part reads its settings in ``told.py``; remove an entry once that file is ``settings.py``.
 OLD_SETTINGS_MODULE = {"edges", "lowering", "releases", "replica", "limits"}
-# Which others a table cannot be without; they begin before it.
+# Tables that a table requires; their parts are created before its own.
 NEEDS = {
     "agree": ("fleet",),
     "duties": ("fleet", "agree"),
@@ -41,60 +41,61 @@
 
 
 class Part(Protocol):
-    """A thin actor of the fleet: made by its package, started, and closed by the program."""
+    """Actor of one part of the fleet, created by its package, and started and closed by the program."""
 
     async def listen(self) -> None:
-        """Open its sockets before anything runs; OSError or OperatorError ends the start."""
+        """Open the part's sockets before anything runs; an OSError or OperatorError ends the start."""
 
     async def run(self) -> None:
-        """Run until it is cancelled."""
+        """Run until cancelled."""
 
     async def leave(self) -> None:
-        """Give back what others wait for, at the notice to leave; cancelled when the process has to end."""
+        """Release what other nodes wait for, as the shutdown begins; cancelled when the process must end."""
 
     def close(self) -> None:
-        """Stop listening and close files, at the end."""
+        """Stop listening and close files, at the end of the process."""
 
 
 class Host(Protocol):
-    """What the program offers to parts that steer its work; None where the node has no such part."""
+    """The program as the fleet's parts see it; an attribute is None if the node lacks that component."""
 
     configuration: Any  # beechrock.config.Config
-    frames: Any  # net.frames.FrameServer
+    frames: Any  # net.frame_server.FrameServer
     scgi: Any  # net.scgi.ScgiServer
     servers: Any  # net.scgi_work.ScgiWork
     keeper: Any  # inventory.keeper.Keeper
-    meaning: Any  # the inventory's meaning in force; there with a keeper alone
+    meaning: Any  # inventory.model.Inventory in force; set only on a node with a keeper
     serving: Any  # admin.serving.Serving
     members: Any  # members.actor.MembersActor
 
     def leave(self) -> None:
-        """Act on the notice to leave."""
+        """Begin the graceful shutdown of the node."""
 
 
 @dataclass(slots=True)
 class Context:
-    """What a part may use of its node."""
+    """Objects of the node that its parts may use."""
 
     name: str
     seed: int
     counters: "Counters"
     module: "ModuleActor"
     program: Host
-    parts: dict[str, Any] = field(default_factory=dict)  # by table; those that began before
-    # GET at the second address, as JSON.
+    parts: dict[str, Any] = field(default_factory=dict)  # parts created so far, by table
+    # Views at the second address, by path: a GET returns the result as JSON.
     views: dict[str, Callable[[], object]] = field(default_factory=dict)
-    # POST at the second address: the query's parameters in, JSON out; OperatorError is answered as 409.
+    # Calls at the second address, by path: a POST passes the query's parameters and returns the result as
+    # JSON; an OperatorError is answered with 409.
     calls: dict[str, Callable[[dict[str, str]], object]] = field(default_factory=dict)
 
 
 def keys(table: str) -> set[str]:
-    """Return the table's keys, without ``enabled``. ImportError where a library of the part is missing."""
+    """Return the table's keys, without ``enabled``. Raises ImportError if the part lacks a library."""
     return set(_settings_module(table).KEYS)
 
 
 def read(table: str, values: Mapping[str, Any], where: str, root: "Path") -> object:
-    """Return the part's checked settings. ConfigError names file, table and key."""
+    """Return the part's checked settings. Raises ConfigError, which names file, table and key."""
     return _settings_module(table).read(values, where, root)
 
 
@@ -103,7 +104,7 @@
 
 
 def create_parts(settings: Mapping[str, object], context: Context) -> dict[str, Part]:
-    """Make the actors of all parts that have settings, in the order of ``TABLES``."""
+    """Create the actors of all parts that have settings, in the order of ``TABLES``."""
     for table, package in TABLES.items():
         if table in settings:
             context.parts[table] = import_module(package + ".part").begin(settings[table], context)
--- a/beechrock/program.py
+++ b/beechrock/program.py
@@ -1,4 +1,4 @@
-"""One real api node: its parts wired together, signals and the way out."""
+"""One API node: composes its parts, handles signals and shuts down gracefully."""
 
 import asyncio
 import gc
@@ -8,11 +8,11 @@
 from typing import TYPE_CHECKING
 
 from beechrock import clocks, config
-from beechrock.configuration_file import ConfigurationFile, warn_of_fixed
+from beechrock.configuration_file import ConfigurationFile, warn_of_start_only_changes
 from beechrock.core.actor import ModuleActor
 from beechrock.core.counters import Counters
 from beechrock.core.requests import ShutdownRequested, Work
-from beechrock.departure import Departure
+from beechrock.departure import GracefulShutdown
 from beechrock.net.agent import Agent
 from beechrock.net.frame_server import FrameServer
 from beechrock.net.ledger import Ledger
@@ -20,7 +20,7 @@
 from beechrock.net.registry import Registry
 from beechrock.settings import settings_from
 
-if TYPE_CHECKING:  # loaded where the second address, the SCGI front, or the record, is on
+if TYPE_CHECKING:  # at run time these are imported only if the configuration enables their part
     from pathlib import Path
 
     from beechrock.admin.http import AdminFront
@@ -43,19 +43,19 @@
     return "{}:{}".format(*server.sockets[0].getsockname()[:2]) if server is not None else "nothing"
 
 
-def _module(
+def _create_module(
     configuration: config.Config,
     clock: Callable[[], float],
     counters: Counters,
     unix_clock: Callable[[], float],
 ) -> ModuleActor:
-    """Return the module's actor; two processes that follow one another share the node's memory."""
+    """Create the module's actor; two processes may share a socket, and then each has half the memory."""
     memory_mb = configuration.memory_mb / (2 if configuration.listen_fd is not None else 1)
     return ModuleActor(configuration.settings, configuration.seed, clock, counters, memory_mb, unix_clock)
 
 
 class Program:
-    """Composes a node of its parts, and runs them from the start to the way out."""
+    """Composes a node of its parts, and runs them until the graceful shutdown is complete."""
 
     def __init__(
         self,
@@ -65,16 +65,16 @@
         unix_clock: Callable[[], float] = clocks.unix,
         origin_s: float = clocks.ORIGIN_S,
     ) -> None:
-        """``file``: where the configuration was read, if it may change; ``origin_s``: of ``clock``."""
+        """``file`` is reloaded; ``origin_s``: seconds by which ``clock`` leads the monotonic clock."""
         self.configuration = configuration
         self.origin_s = origin_s
         self.counters = Counters()
         self.configuration_file = file or ConfigurationFile()
-        self.module = _module(configuration, clock, self.counters, unix_clock)
+        self.module = _create_module(configuration, clock, self.counters, unix_clock)
         self.tasks: list[asyncio.Task[None]] = []
-        self.leaving = asyncio.Event()  # the notice to leave
-        self.departure = Departure(configuration.stop_s)
-        self.replaced = False  # another process goes on as this node
+        self.leaving = asyncio.Event()  # set when the graceful shutdown begins
+        self.shutdown = GracefulShutdown(configuration.stop_s)
+        self.replaced = False  # whether another process continues as this node
         self.recorder: Recorder | None = None
         self.scgi: ScgiServer | None = None
         self.servers: ScgiWork | None = None
@@ -96,7 +96,7 @@
         self._add_optional_parts()
 
     def _connect_platform(self) -> None:
-        """Make the front of the platform and the links to its agent, ledger and registry, and the work."""
+        """Create the frame server, the links to agent, ledger and registry, and what runs requests."""
         configuration = self.configuration
         sockets = configuration.sockets
         # Front ends use up to half of the descriptors; the agent, the ledger and SCGI share the rest.
@@ -115,8 +115,8 @@
             )
         work: Work | None = self.agent
         if configuration.scgi is not None:
-            work = self._speak_scgi(configuration.scgi)
-            self._keep_inventory(configuration.scgi)
+            work = self._create_scgi_front(configuration.scgi)
+            self._create_inventory_keeper(configuration.scgi)
         self.module.ports.work = work
         self.ledger: Ledger | None = None
         if configuration.ledger:
@@ -124,19 +124,19 @@
         self.module.ports.calls = self.ledger
 
     def _add_optional_parts(self) -> None:
-        """Make the parts that the configuration turns on; nothing of the others is imported."""
+        """Create the parts that the configuration enables; modules of the others are not imported."""
         configuration = self.configuration
         if configuration.listen_fd is not None and self.frames is not None and configuration.listen:
             self._share_socket(self.frames, configuration.listen, configuration.handover)
         if configuration.members is not None:
-            self._join(configuration.members)
+            self._create_members(configuration.members)
         if configuration.parts:
-            self._start_parts(configuration.parts)
+            self._create_parts(configuration.parts)
         if configuration.admin is not None:
-            self._open_to_operators()
+            self._create_admin_front()
 
     def _share_socket(self, frames: FrameServer, listen: tuple[str, int], folder: "Path | None") -> None:
-        """Take an older process's place, and leave ours to a newer one."""
+        """Set up the hand-over from an older process of this node, and to a newer one, on a shared socket."""
         from beechrock.handover.node import Handover
         from beechrock.shared_socket import SharedSocket
 
@@ -144,21 +144,21 @@
         self.handover = Handover(self.module, folder, node, lambda: len(frames.peers), self.origin_s)
         self.shared_socket = SharedSocket(self.configuration, frames, self.handover, self.counters)
         self.module.ports.partner = self.handover.keys
-        self.handover.on_change = self._steer
+        self.handover.on_change = self._follow_handover
 
-    def _steer(self) -> None:
-        """Go by the state of the handover: accept connections or not, leave alone or replaced."""
+    def _follow_handover(self) -> None:
+        """Apply the hand-over's state: accept connections or not, and announce whether it is replaced."""
         if self.handover is None or self.shared_socket is None:
             return
         self.shared_socket.follow_handover()
-        # A successor's consent may be read after the notice to leave; or it has ended, and this node leaves.
-        life = self.handover.lifecycle
-        if self.leaving.is_set() and self.replaced is not life.replaced and not life.ended:
-            self.replaced = life.replaced
+        # After the shutdown began, a successor may agree to take over, or end and leave this node unreplaced.
+        lifecycle = self.handover.lifecycle
+        if self.leaving.is_set() and self.replaced is not lifecycle.replaced and not lifecycle.ended:
+            self.replaced = lifecycle.replaced
             self._announce_leave()
 
-    def _open_to_operators(self) -> None:
-        """Make the second address, with what the parts offer there."""
+    def _create_admin_front(self) -> None:
+        """Create the operators' HTTP front at the second address, with the calls that the parts offer."""
         from beechrock import optional_parts
         from beechrock.admin.http import MOST_CONNECTIONS, AdminFront
 
@@ -173,19 +173,19 @@
         max_connections = min(MOST_CONNECTIONS, self.configuration.sockets // 8)
         self.admin = AdminFront(self.module, calls, max_connections)
 
-    def _join(self, settings: "MembersSettings") -> None:
+    def _create_members(self, settings: "MembersSettings") -> None:
         from beechrock.members import actor
         from beechrock.store import life
 
         try:
-            number = life.next_life(settings.state, clocks.wall())
+            life_number = life.next_life(settings.state, clocks.wall())
         except OSError as error:
             raise config.ConfigError(str(error), where="members: state") from None
         self.members = actor.MembersActor(
-            settings, self.configuration.name, number, self.counters, self.configuration.seed
+            settings, self.configuration.name, life_number, self.counters, self.configuration.seed
         )
 
-    def _start_parts(self, settings: Mapping[str, object]) -> None:
+    def _create_parts(self, settings: Mapping[str, object]) -> None:
         from beechrock import parts
 
         self.context = parts.Context(
@@ -193,9 +193,9 @@
         )
         self.parts = parts.create_parts(settings, self.context)
 
-    def _speak_scgi(self, settings: config.Scgi) -> Work:
-        """Make the SCGI front, and return the work of the services behind it."""
-        # Loaded here, as the platform's nodes speak none of it and have little memory.
+    def _create_scgi_front(self, settings: config.Scgi) -> Work:
+        """Create the SCGI front, and return the work that runs requests at its services' upstreams."""
+        # Imported here, as platform nodes do not use SCGI and have little memory.
         from beechrock.core.work_router import WorkRouter
         from beechrock.net.scgi import ScgiServer
         from beechrock.net.scgi_work import ScgiWork
@@ -207,7 +207,7 @@
         self.servers = ScgiWork(self.module, meaning.upstreams)
         return WorkRouter(self.servers, self.agent) if self.agent is not None else self.servers
 
-    def _keep_inventory(self, settings: config.Scgi) -> None:
+    def _create_inventory_keeper(self, settings: config.Scgi) -> None:
         from beechrock import optional_parts
         from beechrock.inventory import layout
 
@@ -216,19 +216,20 @@
         self.keeper = optional_parts.inventory_keeper(settings, self.module, self.adopt_generation)
 
     def adopt_generation(self, new: "Generation") -> bool:
-        """Go by a new generation from here on; what was read before goes on as it was promised.
+        """Apply a new inventory generation to new requests; open requests keep the contract they began with.
 
-        In this order: the module's lists, the servers, then those who take requests in. False: not now.
+        The module's settings change first, then the upstream servers, then the fronts that accept requests.
+        Return False, with nothing changed, if the generation cannot be applied now.
         """
         from beechrock.inventory import layout, model
 
         if self.scgi is None or self.servers is None:
             return False
         places, meaning = layout.follow(self.places, self.meaning, new.meaning, self.module.clock())
-        settled = meaning.settings
+        settings = meaning.settings
         if self.configuration.raw is not None:
-            settled = model.over(self.configuration.raw, meaning)
-        if not self.module.update_settings(settings_from(settled)[0]):
+            settings = model.over(self.configuration.raw, meaning)
+        if not self.module.update_settings(settings_from(settings)[0]):
             return False
         self.places, self.meaning = places, meaning
         self.servers.renew(meaning.upstreams)
@@ -240,34 +241,34 @@
         return True
 
     def leave(self) -> None:
-        """Act on the notice to leave: every part learns of it, and goes on listening and reading."""
+        """Begin the graceful shutdown: notify every part; connections are still accepted and read."""
         if self.leaving.is_set():
             return
         self.leaving.set()
-        self.departure.begin()
+        self.shutdown.begin()
         if self.serving is not None:
             self.serving.leave()
         self.replaced = self.handover is not None and self.handover.leave()
         self._announce_leave()
         if self.frames is not None:
             self.frames.leave()
-        if self.recorder is not None:  # the end has little time, and the first write begins a file
+        if self.recorder is not None:  # now: the first write creates a file, and the end has little time
             self.tasks.append(self.counters.spawn(self.recorder.write(), "trace"))
         if self.members is not None:
             self.members.leave()
         for name, part in self.parts.items():
             self.tasks.append(self.counters.spawn(part.leave(), f"{name}.leave"))
         if self.handover is not None:
-            self._steer()
+            self._follow_handover()
 
     def _announce_leave(self) -> None:
-        """Tell the module and, unless another process goes on as this node, the registry."""
-        self._module_ends_in(self.departure.steps.module_s())
+        """Tell the module its time limit, and the registry whether this node is draining or replaced."""
+        self._limit_module(self.shutdown.steps.module_s())
         if self.registry is not None:
             self.registry.mailbox.put("ready" if self.replaced else "draining")
 
     def reload(self) -> None:
-        """Go on under a new configuration: peers may have moved; all that is open goes on."""
+        """Reload the configuration: links move to new peer addresses; open connections and requests go on."""
         configuration = self.configuration_file.read(self.configuration, self.counters)
         if configuration is None:
             return
@@ -279,20 +280,20 @@
             self.registry.move(configuration.registry)
         if self.keeper is not None:
             self.keeper.word()
-        warn_of_fixed(self.configuration, configuration)
+        warn_of_start_only_changes(self.configuration, configuration)
 
     def reload_if_changed(self) -> None:
-        """Read a file that was changed since it was read, though nobody asked for it.
+        """Reload the configuration file if it has changed, without a SIGHUP.
 
-        A node that starts while the file is replaced, or that met it half written, would else look for its
-        agent for ever where that no longer is.
+        Otherwise a node that started while the file was being replaced, or that read it half written, would
+        look for its agent at the old address for ever.
         """
-        if self.configuration_file.differs_completely():
+        if self.configuration_file.has_stable_change():
             self.counters.add("reload.unasked")
             self.reload()
 
     async def listen(self) -> None:
-        """Open all listening sockets. ConfigError where one cannot be had."""
+        """Open the listening sockets. Raises ConfigError, or OSError for frames and SCGI, if one fails."""
         if self.admin is not None and self.configuration.admin is not None:
             try:
                 await self.admin.start(*self.configuration.admin)
@@ -319,7 +320,7 @@
             log.info("%s: SCGI on %s", self.configuration.name, _address_of(self.scgi.server))
 
     async def start(self) -> None:
-        """Listen, and let the actors run."""
+        """Open the listening sockets and start the actors."""
         await self.listen()
         actors = {
             "module": self.module,
@@ -335,7 +336,7 @@
             self.agent.start()
 
     def close(self) -> None:
-        """Stop listening."""
+        """Close the listening sockets, and the parts in reverse order of their creation."""
         if self.handover is not None:
             self.handover.end()
         for front in (self.frames, self.scgi, self.admin):
@@ -345,50 +346,50 @@
             part.close()
 
     async def run(self) -> None:
-        """Run from the first connection to the way out, as the signals ask."""
+        """Run the node until its graceful shutdown, which a signal or a part begins, is complete."""
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.leave)
         loop.add_signal_handler(signal.SIGHUP, self.reload)
         loop.add_signal_handler(signal.SIGUSR1, self.module.report)
-        if self.configuration_file.differs():  # SIGHUP was ignored until here
+        if self.configuration_file.has_changed():  # SIGHUP was ignored until here
             self.reload()
         await self.start()
-        gc.freeze()  # what is here now stays; full collections look at the rest only, and so come in time
+        gc.freeze()  # full collections examine only objects made later, and so are not put off
         await self.leaving.wait()
-        await self.departure.wait(self._may_go, self._module_ends_in)
+        await self.shutdown.wait(self._may_exit, self._limit_module)
         await self._end_connections()
         self.close()
         for task in self.tasks:
             if task.get_name() != "trace":
                 task.cancel()
-        if self.recorder is not None:  # nothing comes any more, and a write may be under way
+        if self.recorder is not None:  # no more events to record; a write may be in progress
             await self.recorder.finish()
         for task in self.tasks:
             task.cancel()
         if self.keeper is not None:
             await self.keeper.finish()
-        if self.handover is not None:  # last, as until here a run may begin
+        if self.handover is not None:  # last, as a run may start until here
             self.handover.close()
         self.module.report()
 
     @property
     def has_tasks_to_end(self) -> bool:
-        """Return whether parts of the fleet run, whose tasks may have work to end after ``run``."""
+        """Return whether fleet parts are enabled, whose tasks may have work left after ``run``."""
         return self.members is not None or bool(self.parts)
 
-    def _may_go(self) -> bool:
+    def _may_exit(self) -> bool:
         return self.handover is not None and self.handover.may_go()
 
-    def _module_ends_in(self, remaining_s: float) -> None:
+    def _limit_module(self, remaining_s: float) -> None:
         self.module.post(ShutdownRequested(remaining_s, self.replaced))
 
     async def _end_connections(self) -> None:
-        """Answer what was read, and end each connection in order; in time for the process to end by itself.
+        """Answer all requests read, and end each connection in order, in time for the process to exit itself.
 
-        Requests in the backlog of a listening socket are ours too: it is read to its end before it is closed.
+        Requests in the backlog of a listening socket are answered too: it is emptied before it is closed.
         """
-        # Only where another process accepts: alone on the socket, the backlog is answered here.
+        # With no other process that accepts from a shared socket, its backlog is answered here as well.
         if self.handover is not None and not self.handover.lifecycle.accepting:
-            self.handover.end()  # what comes now is the other's
-        await self.departure.end_connections(front for front in (self.frames, self.scgi) if front is not None)
+            self.handover.end()  # new connections are the other process's
+        await self.shutdown.end_connections(front for front in (self.frames, self.scgi) if front is not None)
--- a/beechrock/shared_socket.py
+++ b/beechrock/shared_socket.py
@@ -1,4 +1,4 @@
-"""Connections from a listening socket that two processes of one node share while one takes over."""
+"""Accepting connections from a listening socket that two processes of one node share during a hand-over."""
 
 import asyncio
 import logging
@@ -11,11 +11,11 @@
 
 log = logging.getLogger("beechrock")
 
-RETRY_S = 0.05  # between two attempts to listen at a shared socket
+RETRY_S = 0.05  # between two attempts to listen on the shared socket
 
 
 class SharedSocket:
-    """Accepts from the socket while the handover has this process do so."""
+    """Accepts connections from the shared socket while the hand-over's state allows this process to."""
 
     def __init__(
         self, configuration: config.Config, frames: FrameServer, handover: Handover, counters: Counters
@@ -24,39 +24,39 @@
         self._frames = frames
         self._handover = handover
         self._counters = counters
-        self._open = False
-        self._opening = asyncio.Lock()  # one attempt at a time: a second listener would outlive a pause
+        self._accepting = False  # whether this process is to accept connections
+        self._listen_lock = asyncio.Lock()  # one attempt at a time: a second listener would outlive a pause
 
     def follow_handover(self) -> None:
-        """Accept connections, or leave them to the other process; share the descriptors with it."""
+        """Accept connections or leave them to the other process, and share the connection limit with it."""
         sockets = self._configuration.sockets
         self._frames.max_connections = max(
             sockets // 16, sockets * 5 // 8 - self._handover.load.other_connections
         )
         accepting = self._handover.lifecycle.accepting
-        if accepting is self._open:
+        if accepting is self._accepting:
             return
-        self._open = accepting
+        self._accepting = accepting
         if accepting:
             self._counters.spawn(self.listen(), "listen")
         else:
             self._frames.pause()
 
     async def listen(self) -> None:
-        """Listen as soon as a descriptor can be had, unless the other process accepts by then."""
+        """Listen as soon as a descriptor is available, unless the other process accepts by then."""
         name, listen = self._configuration.name, self._configuration.listen
         if listen is None:
             return
-        async with self._opening:
-            while self._open and self._frames.server is None:
+        async with self._listen_lock:
+            while self._accepting and self._frames.server is None:
                 try:
                     await self._frames.start(*listen, self._configuration.listen_fd)
                     log.info("%s: frames on %s", name, _address_of(self._frames.server))
-                except OSError as error:  # no descriptor now: nobody else may accept what comes
+                except OSError as error:  # no descriptor: retry, as no other process accepts
                     self._counters.add("handover.no_listener")
                     log.error("%s: frames: %s", name, error)
                     await asyncio.sleep(RETRY_S)
-            if not self._open:
+            if not self._accepting:
                 self._frames.pause()
 
 
--- a/beechrock/start.py
+++ b/beechrock/start.py
@@ -1,4 +1,4 @@
-"""From the environment to a node that runs: what can't be used ends here, with its exit code."""
+"""Starts a node from its environment, and turns errors of the start into exit codes."""
 
 import asyncio
 import contextlib
@@ -14,7 +14,8 @@
 from beechrock.program import Program
 
 log = logging.getLogger("beechrock")
-_held_errors: list[OSError] = []  # with asyncio's half-made loop, which would fail as it is collected
+# Errors kept alive: their tracebacks hold asyncio's half-made loop, whose destructor would fail.
+_held_errors: list[OSError] = []
 
 
 class EventLoopError(OperatorError):
@@ -32,11 +33,11 @@
 
 
 async def serve(configuration: config.Config, seen: tuple[int, ...]) -> None:
-    """Run until the notice to leave has been worked off; without parts of the fleet the process ends then."""
+    """Run a node until its graceful shutdown is complete; if no fleet parts run, end the process then."""
 
-    def read_anew(before: config.Config) -> config.Config:
-        """Read the file beside the configuration that runs."""
-        return config.load(os.environ, running=before.scgi.generation if before.scgi else None)
+    def read_anew(running: config.Config) -> config.Config:
+        """Load the configuration, without reading the inventory that the running one already holds."""
+        return config.load(os.environ, running=running.scgi.generation if running.scgi else None)
 
     file = ConfigurationFile(read_anew, lambda: config.stamp(os.environ), seen)
     program = Program(configuration, file=file)
@@ -46,8 +47,8 @@
 
 
 def serve_from_environment() -> int:
-    """Run a node as the environment tells; return the exit code."""
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until it can be acted on, it must not end the process
+    """Run a node that the environment configures; return the exit code."""
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # must not end the process before its handler is set
     seen = config.stamp(os.environ)
     try:
         configuration = config.load(os.environ)
@@ -55,7 +56,7 @@
         for note in configuration.scgi.notes if configuration.scgi is not None else ():
             log.warning("inventory: %s", note)
         run_event_loop(configuration, seen)
-    except OperatorError as error:  # also an address that is well written and cannot be opened
+    except OperatorError as error:  # also raised for a valid address that cannot be opened
         return logs.stopped_by(error)
     except OSError as error:
         print(f"beechrock: {error}", file=sys.stderr)
@@ -64,11 +65,11 @@
 
 
 def run_event_loop(configuration: config.Config, seen: tuple[int, ...]) -> None:
-    """Run the node. Raises EventLoopError where the system does not give it an event loop."""
+    """Run the node on a new event loop. Raises EventLoopError if the system cannot provide one."""
     runner = asyncio.Runner()
     try:
         runner.get_loop()
-    except OSError as error:  # of epoll(7), or of the socket pair for signals
+    except OSError as error:  # from epoll(7), or from the socket pair for signals
         _held_errors.append(error)
         raise EventLoopError(error) from error
     with runner:
@@ -76,15 +77,15 @@
 
 
 def end_process(code: int) -> NoReturn:
-    """End the process with ``code``, and without the interpreter's teardown.
+    """End the process with the exit code ``code``, without the interpreter's teardown.
 
-    All that has to outlive the process is written by then. The teardown frees objects one by one, which the
-    kernel does at once; on a busy machine it takes longer than is left before the process is killed. So does
-    the end of the event loop, which cancels tasks that own nothing any more.
+    Everything that must outlive the process has been written by then. The teardown frees objects one by one,
+    which the kernel does at once; on a busy machine it takes longer than the time left before the process is
+    killed. So does closing the event loop, which cancels tasks that no longer own anything.
     """
     logging.shutdown()
     for stream in (sys.stdout, sys.stderr):
-        if stream is not None:  # it is where the process began without that descriptor
-            with contextlib.suppress(OSError, ValueError):  # nobody reads it any more
+        if stream is not None:  # None if the process was started without this descriptor
+            with contextlib.suppress(OSError, ValueError):  # the stream's reader is gone
                 stream.flush()
     os._exit(code)
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -247,13 +247,13 @@
     The bounds are those of no machine, so that a slow one proves the same.
     """
     program = stand.program
-    departure = program.departure
-    close_s = departure.steps.close_s
-    departure.steps = replace(
-        departure.steps, cut_s=close_s + cut_s, exit_s=close_s + 20.0, end_s=close_s + 20.0
+    shutdown = program.shutdown
+    close_s = shutdown.steps.close_s
+    shutdown.steps = replace(
+        shutdown.steps, cut_s=close_s + cut_s, exit_s=close_s + 20.0, end_s=close_s + 20.0
     )
     program.leave()
-    departure.began_at -= close_s
+    shutdown.began_at -= close_s
     stand.now += close_s * answered
 
 
--- a/tests/test_log_writes.py
+++ b/tests/test_log_writes.py
@@ -17,7 +17,7 @@
 from play import SETTINGS
 from test_program import CHECK, message
 
-from beechrock.logs import Lines
+from beechrock.logs import NonBlockingHandler
 
 
 def full_pipe(flags: int) -> tuple[int, int]:
@@ -96,10 +96,10 @@
 def test_lines_that_nobody_took_are_counted_in_the_next_one() -> None:
     reading, writing = full_pipe(0)
     with os.fdopen(writing, "w") as stream:
-        lines = Lines(stream)
+        handler = NonBlockingHandler(stream)
 
         def say(text: str) -> None:
-            lines.emit(logging.LogRecord("x", logging.INFO, "", 0, text, None, None))
+            handler.emit(logging.LogRecord("x", logging.INFO, "", 0, text, None, None))
 
         try:
             say("\u20ac" * 30_000)  # longer than the pipe, and than what a write may bring at once
