--- a/beechrock/program.py
+++ b/beechrock/program.py
@@ -73,7 +73,7 @@
         self.module = _create_module(configuration, clock, self.counters, unix_clock)
         self.tasks: list[asyncio.Task[None]] = []
         self.leaving = asyncio.Event()  # set when the graceful shutdown begins
-        self.shutdown = GracefulShutdown(configuration.stop_s)
+        self.graceful_shutdown = GracefulShutdown(configuration.stop_s)
         self.replaced = False  # whether another process continues as this node
         self.recorder: Recorder | None = None
         self.scgi: ScgiServer | None = None
@@ -245,7 +245,7 @@
         if self.leaving.is_set():
             return
         self.leaving.set()
-        self.shutdown.begin()
+        self.graceful_shutdown.begin()
         if self.serving is not None:
             self.serving.leave()
         self.replaced = self.handover is not None and self.handover.leave()
@@ -263,7 +263,7 @@
 
     def _announce_leave(self) -> None:
         """Tell the module its time limit, and the registry whether this node is draining or replaced."""
-        self._limit_module(self.shutdown.steps.module_s())
+        self._limit_module(self.graceful_shutdown.steps.module_s())
         if self.registry is not None:
             self.registry.mailbox.put("ready" if self.replaced else "draining")
 
@@ -357,7 +357,7 @@
         await self.start()
         gc.freeze()  # full collections examine only objects made later, and so are not put off
         await self.leaving.wait()
-        await self.shutdown.wait(self._may_exit, self._limit_module)
+        await self.graceful_shutdown.wait(self._may_exit, self._limit_module)
         await self._end_connections()
         self.close()
         for task in self.tasks:
@@ -392,4 +392,6 @@
         # With no other process that accepts from a shared socket, its backlog is answered here as well.
         if self.handover is not None and not self.handover.lifecycle.accepting:
             self.handover.end()  # new connections are the other process's
-        await self.shutdown.end_connections(front for front in (self.frames, self.scgi) if front is not None)
+        await self.graceful_shutdown.end_connections(
+            front for front in (self.frames, self.scgi) if front is not None
+        )
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -247,7 +247,7 @@
     The bounds are those of no machine, so that a slow one proves the same.
     """
     program = stand.program
-    shutdown = program.shutdown
+    shutdown = program.graceful_shutdown
     close_s = shutdown.steps.close_s
     shutdown.steps = replace(
         shutdown.steps, cut_s=close_s + cut_s, exit_s=close_s + 20.0, end_s=close_s + 20.0
--- a/tests/test_closing_late.py
+++ b/tests/test_closing_late.py
@@ -33,7 +33,7 @@
 
     ``left_s``: until nothing is read any more.
     """
-    shutdown = program.shutdown
+    shutdown = program.graceful_shutdown
     close_s = shutdown.steps.close_s
     shutdown.steps = replace(shutdown.steps, cut_s=close_s, exit_s=close_s, end_s=close_s + left_s)
     program.leave()
@@ -151,7 +151,7 @@
         waiting = [connect(front) for _ in range(3 * MAX_REJECTED)]
         for caller in waiting:
             caller.send(CHECK_1 + request(2))
-        shutdown = stand.program.shutdown
+        shutdown = stand.program.graceful_shutdown
         close_s = shutdown.steps.close_s
         shutdown.steps = replace(
             shutdown.steps, cut_s=close_s + 0.02, exit_s=close_s + 0.04, end_s=close_s + 20.0
@@ -276,14 +276,14 @@
         await node(stand)
         program = stand.program
         program.leave()
-        planned = program.shutdown.steps
+        planned = program.graceful_shutdown.steps
         await until(lambda: program.module.leaving_until is not None, lambda: "no notice")
         first = program.module.node.shutdown.kill_s
         stand.now += 3.0
-        program.shutdown.began_at -= 3.0
-        program.shutdown._adopt_earlier(hastened(planned, 0.5), program._limit_module)
+        program.graceful_shutdown.began_at -= 3.0
+        program.graceful_shutdown._adopt_earlier(hastened(planned, 0.5), program._limit_module)
         await until(lambda: program.module.node.shutdown.kill_s < first, lambda: "no second notice")
-        left_s = program.shutdown.steps.close_s - 3.0
+        left_s = program.graceful_shutdown.steps.close_s - 3.0
         assert program.module.node.shutdown.kill_s - stand.now < left_s < planned.close_s - 3.0
 
     run(work)
