--- a/tests/platform_process.py
+++ b/tests/platform_process.py
@@ -1,4 +1,4 @@
-"""A whole node in a process of its own, started as the platform does."""
+"""Starts a whole node in a process of its own, as the platform does."""
 
 import os
 import re
@@ -14,7 +14,7 @@
 
 
 def platform_configuration(stop_ms: int) -> dict[str, Any]:
-    """Return what the platform writes for a node whose agent is not there."""
+    """Return the configuration that the platform writes for a node; no agent listens at its address."""
     return {
         "name": "n1",
         "listen": "127.0.0.1:0",
@@ -26,14 +26,14 @@
 
 
 def write_configuration(folder: Path, stop_ms: int) -> Path:
-    """Write such a configuration into a folder, and return the file."""
+    """Write a platform configuration into a folder, and return the path of the file."""
     path = folder / "config.json"
     path.write_text(ujson.dumps(platform_configuration(stop_ms)))
     return path
 
 
 def start_node(configuration: Path, *command: str, **options: Any) -> "subprocess.Popen[str]":
-    """Start a node, or ``command`` of the interpreter's arguments in its place; its log is piped."""
+    """Start a node, or the interpreter with the arguments ``command``; its standard error is piped."""
     return subprocess.Popen(
         [sys.executable, *(command or ("-m", "beechrock"))],
         cwd=ROOT,
@@ -44,17 +44,17 @@
     )
 
 
-def line_with(node: "subprocess.Popen[str]", words: str) -> str:
-    """The next line of the log that has these words; others may come between, as nothing else is quiet."""
+def line_with(node: "subprocess.Popen[str]", text: str) -> str:
+    """Return the next line of the log that contains ``text``; other lines before it are skipped."""
     assert node.stderr is not None
     while line := node.stderr.readline():
-        if words in line:
+        if text in line:
             return line
-    raise AssertionError(f"the log ended without {words!r}")
+    raise AssertionError(f"the log ended without {text!r}")
 
 
 def frames_address(node: "subprocess.Popen[str]") -> tuple[str, int]:
-    """Wait until a node that was just started listens for frames, and return where."""
+    """Wait until a node that was just started listens for frames, and return its address."""
     found = re.search(r"frames on 127\.0\.0\.1:(\d+)", line_with(node, "frames on"))
     assert found is not None
     return "127.0.0.1", int(found[1])
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -1,4 +1,4 @@
-"""Connections that the node ends, and requests that come in that moment."""
+"""Connections that the node closes, and requests that arrive at that moment."""
 
 import asyncio
 import contextlib
@@ -26,7 +26,7 @@
 
 
 async def node(stand: Stand, callers: int = 1) -> tuple[FrameServer, list[Caller]]:
-    """A node, and connections that each carried a check."""
+    """Return a new node's frame server, and connections on which one check each was answered."""
     await stand.open()
     front = stand.program.frames
     assert front is not None
@@ -39,36 +39,36 @@
     return front, found
 
 
-def test_an_idle_connection_is_closed_in_one_step_that_no_request_comes_between() -> None:
+def test_an_idle_connection_is_checked_for_input_and_closed_in_one_step() -> None:
     async def work(stand: Stand) -> None:
         front, [before, after] = await node(stand, 2)
         stand.program.module.status.idle_s = 1.0
         stand.now += 1.1
-        before.send(CHECK_2)  # written, and unread by the node as it looks
+        before.send(CHECK_2)  # sent, but not yet read when the node checks
         front._sweep()
-        after.send(CHECK_2)  # written right after the look, in the same turn of the loop
+        after.send(CHECK_2)  # sent right after the check, in the same turn of the loop
         await before.answered()
         await after.closed()
 
     run(work)
 
 
-def test_a_connection_that_gives_its_place_is_closed_in_order_and_not_reset() -> None:
+def test_an_evicted_connection_is_closed_in_order_and_not_reset() -> None:
     async def work(stand: Stand) -> None:
         front, [first] = await node(stand)
         front.max_connections = 1
         assert front._evict_if_full() and not front.peers
         first.send(CHECK_2)  # crosses the close
         await turns(10)
-        await first.closed()  # and resets nothing
+        await first.closed()  # without a reset
         assert len(front._lingering) == 1
         first.socket.close()
-        await until(lambda: not front._lingering, lambda: "it is still held")
+        await until(lambda: not front._lingering, lambda: "its descriptor is still held")
 
     run(work)
 
 
-def test_those_that_gave_their_place_hold_few_descriptors() -> None:
+def test_evicted_connections_hold_few_descriptors() -> None:
     async def work(stand: Stand) -> None:
         front, callers = await node(stand, 4)
         for most in (3, 2, 1):
@@ -81,18 +81,18 @@
     run(work)
 
 
-def test_who_brings_many_bad_requests_is_closed_after_the_good_ones_behind_them() -> None:
+def test_a_connection_with_many_bad_requests_is_closed_after_its_later_good_ones_are_answered() -> None:
     async def work(stand: Stand) -> None:
         _, [caller] = await node(stand)
         bad = b"".join(request(stream, route="dance") for stream in range(2, MAX_BAD_REQUESTS + 3))
         caller.send(bad + frame(CHECK, 40, b"\0") + request(41))
-        stand.now += 10.0  # the good one is refused once it is due
+        stand.now += 10.0  # past the deadline of the good request, which is then refused
         await caller.closed()
 
     run(work)
 
 
-def test_what_lies_there_unread_is_not_stale() -> None:
+def test_a_connection_with_unread_input_is_not_closed_as_stale() -> None:
     async def work(stand: Stand) -> None:
         front, _ = await node(stand, 0)
         caller = connect(front)
@@ -109,7 +109,7 @@
     run(work)
 
 
-def test_a_request_that_comes_slowly_and_steadily_is_served_and_half_of_one_is_not_awaited() -> None:
+def test_a_slow_steady_request_is_served_and_a_stalled_one_is_not_waited_for() -> None:
     async def work(stand: Stand) -> None:
         front, [slow, half] = await node(stand, 2)
         data = frame(CHECK, 2, b"\0")
@@ -126,7 +126,7 @@
     run(work)
 
 
-def test_what_came_before_an_end_that_was_asked_for_is_answered() -> None:
+def test_a_request_sent_before_a_requested_close_is_answered() -> None:
     async def work(stand: Stand) -> None:
         front, [caller] = await node(stand)
         [peer] = front.peers
@@ -137,26 +137,26 @@
     run(work)
 
 
-def test_a_request_on_a_connection_without_a_place_is_refused_on_its_stream() -> None:
+def test_requests_on_a_connection_beyond_the_limit_are_refused_on_their_streams() -> None:
     async def work(stand: Stand) -> None:
         front, callers = await node(stand, 2)
         front.max_connections = 2
         for trace, caller in enumerate(callers, 1):
             caller.send(request(2, trace=trace))
         await until(lambda: all(peer.owes() for peer in front.peers), lambda: "unread")
-        turned = connect(front)
-        turned.send(request(1, trace=7) + request(2, trace=8) + CHECK_3)
-        await turned.answered()
-        assert [payload[0] for kind, _, payload in turned.frames() if kind == ANSWER] == [REFUSED] * 3
-        assert (NO_MORE, 0, b"") in turned.frames()
+        rejected = connect(front)
+        rejected.send(request(1, trace=7) + request(2, trace=8) + CHECK_3)
+        await rejected.answered()
+        assert [payload[0] for kind, _, payload in rejected.frames() if kind == ANSWER] == [REFUSED] * 3
+        assert (NO_MORE, 0, b"") in rejected.frames()
         stand.now += 1.1
-        turned.send(request(4, trace=9))
+        rejected.send(request(4, trace=9))
         front._sweep()
-        turned.send(request(5, trace=10))  # in the same turn
-        await turned.answered()
+        rejected.send(request(5, trace=10))  # in the same turn
+        await rejected.answered()
         stand.now += 1.1
         front._sweep()
-        await turned.closed()
+        await rejected.closed()
         module = stand.program.module
         await until(
             lambda: not module.mailbox and module.table.last_id == 2, lambda: f"{module.table.last_id}"
@@ -165,7 +165,7 @@
     run(work)
 
 
-def test_beyond_those_that_are_refused_connections_wait_in_the_backlog_and_are_all_answered() -> None:
+def test_connections_beyond_the_rejected_ones_wait_in_the_backlog_and_are_all_answered() -> None:
     async def work(stand: Stand) -> None:
         front, [busy] = await node(stand)
         front.max_connections = 1
@@ -175,7 +175,7 @@
         for n, caller in enumerate(callers):
             caller.send(request(1, trace=n + 3))
         most = 0
-        for caller in callers:  # none closes: those that are done make place by and by
+        for caller in callers:  # no caller closes: answered connections are evicted one by one
             while not caller.answers():
                 stand.now += 0.01
                 most = max(most, sum(peer.rejected for peer in front.peers))
@@ -187,10 +187,10 @@
     run(work)
 
 
-def test_a_close_over_unread_bytes_waits_for_a_slow_reader_to_have_its_answers(
+def test_a_close_with_unread_input_waits_until_a_slow_reader_has_its_answers(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Its bytes come faster than they are read in vain, and its window is small."""
+    """The caller sends faster than the node discards its input, and its receive window is small."""
 
     async def work(stand: Stand) -> None:
         front, _ = await node(stand, 0)
@@ -200,15 +200,15 @@
         [peer] = front.peers
         monkeypatch.setattr("beechrock.net.connection.LINGER_S", 0.02)
         with contextlib.suppress(BlockingIOError):
-            caller.socket.send(bytes(1 << 20))  # a length of 0: nothing after it can be understood
-        await until(lambda: peer._shut, lambda: "its last words wait")
-        await asyncio.sleep(0.2)  # ten times as long as it would be waited for
+            caller.socket.send(bytes(1 << 20))  # a frame of length 0: nothing after it can be parsed
+        await until(lambda: peer._shut, lambda: "its last answers are not written")
+        await asyncio.sleep(0.2)  # ten times LINGER_S
         await caller.closed()
 
     run(work)
 
 
-def test_what_comes_after_an_end_keeps_no_place_in_a_full_table() -> None:
+def test_input_after_a_close_does_not_keep_a_connection_in_a_full_table() -> None:
     async def work(stand: Stand) -> None:
         front, [caller] = await node(stand)
         front.max_connections = 1
@@ -221,16 +221,16 @@
     run(work)
 
 
-def test_a_listener_that_finds_no_room_rests() -> None:
+def test_a_listener_pauses_while_there_is_no_room_for_connections() -> None:
     async def work(stand: Stand) -> None:
         front, _ = await node(stand, 0)
         assert front.server is not None
-        asked = []
-        front.server.budget = lambda arriving: asked.append(arriving) or 0  # type: ignore[func-returns-value]
+        budget_calls = []
+        front.server.budget = lambda arriving: budget_calls.append(arriving) or 0  # type: ignore[func-returns-value]
         caller = connect(front)
-        await until(lambda: bool(asked), lambda: "it never looked")
+        await until(lambda: bool(budget_calls), lambda: "the listener never asked for its budget")
         await turns(50)
-        assert len(asked) < 40, "it looks in each turn of the loop"
+        assert len(budget_calls) < 40, "the listener asks in each turn of the loop"
         front.server.budget = front._accept_budget
         caller.send(CHECK_1)
         await caller.answered()
@@ -238,13 +238,13 @@
     run(work)
 
 
-# --- the way out
+# --- graceful shutdown
 
 
 def leave(stand: Stand, cut_s: float = 10.0, answered: bool = True) -> None:
-    """The notice, and the moment at which the module has answered all and the closes begin.
+    """Begin the shutdown, and go to the moment when the module has answered all and the closes begin.
 
-    The bounds are those of no machine, so that a slow one proves the same.
+    The time limits are longer than on any node, so that a slow machine gives the same result.
     """
     program = stand.program
     shutdown = program.graceful_shutdown
@@ -257,7 +257,7 @@
     stand.now += close_s * answered
 
 
-@pytest.mark.parametrize("count", [1, 40])  # as many as are accepted in one turn of the loop, and more
+@pytest.mark.parametrize("count", [1, 40])  # as many as one turn of the loop accepts, and more
 def test_requests_in_the_backlog_are_answered_before_the_listening_socket_is_closed(count: int) -> None:
     async def work(stand: Stand) -> None:
         front, _ = await node(stand, 0)
@@ -275,10 +275,10 @@
     run(work)
 
 
-def test_who_connects_between_the_last_accept_and_the_close_is_refused(
+def test_a_connection_attempt_between_the_last_accept_and_the_close_is_refused(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A node that waited for a core there reset connections with requests of up to 76 ms before."""
+    """A node that waited for a CPU there reset connections whose requests were up to 76 ms old."""
 
     async def work(stand: Stand) -> None:
         front, _ = await node(stand, 0)
@@ -307,12 +307,12 @@
     run(work)
 
 
-def test_what_comes_in_the_last_moments_on_silent_connections_is_answered_or_met_the_end() -> None:
+def test_requests_in_the_last_moments_on_idle_connections_are_answered_or_cross_the_close() -> None:
     async def work(stand: Stand) -> None:
         front, callers = await node(stand, 8)
         leave(stand)
         ending = asyncio.ensure_future(stand.program._end_connections())
-        for turn, caller in enumerate(callers):  # one each turn: before, amid and after the closes
+        for turn, caller in enumerate(callers):  # one request each turn: before, during and after the closes
             caller.send(request(2, trace=turn + 1))
             await asyncio.sleep(0)
         for caller in callers:
@@ -324,15 +324,15 @@
     run(work)
 
 
-def test_what_nobody_answered_has_an_answer_before_the_end() -> None:
-    """The last resort, should the module not do it: here its clock does not move on."""
+def test_requests_that_the_module_left_open_are_answered_before_the_exit() -> None:
+    """The front answers as a last resort: the module does not, as its clock stands still here."""
 
     async def work(stand: Stand) -> None:
         _, [caller] = await node(stand)
         caller.send(request(2))
         await until(lambda: stand.program.module.table.last_id == 1, lambda: "unread")
         leave(stand, 0.0, answered=False)
-        caller.send(request(3))  # and what is unread then
+        caller.send(request(3))  # unread when the closes begin
         ending = asyncio.ensure_future(stand.program._end_connections())
         await caller.closed()
         caller.socket.close()
@@ -352,8 +352,8 @@
     assert MODULE_MARGIN == SPARE_SHARE
 
 
-def test_each_scgi_connection_has_its_answer_before_its_end() -> None:
-    """One that said nothing, one that said half of it, one in the backlog, and one whose run goes on."""
+def test_each_scgi_connection_is_answered_before_it_is_closed() -> None:
+    """One is silent, one has half a request, one is in the backlog, and one has a run in progress."""
 
     async def work(stand: Stand) -> None:
         await open_both(stand)
--- a/tests/test_closing_late.py
+++ b/tests/test_closing_late.py
@@ -1,4 +1,4 @@
-"""The end of a process whose loop has no turn left: what waits is answered all the same."""
+"""Shutdown of a process whose event loop gets no turn in time: waiting requests are answered all the same."""
 
 import asyncio
 import signal
@@ -28,10 +28,10 @@
 STOPPED_S = 0.1
 
 
-def overdue(program: Program, left_s: float = 20.0) -> None:
-    """The notice, and a loop that comes back only after the time of the last connections' end.
+def leave_overdue(program: Program, left_s: float = 20.0) -> None:
+    """Begin the shutdown as if the event loop ran next after the time to end the last connections.
 
-    ``left_s``: until nothing is read any more.
+    ``left_s``: seconds until input is no longer read.
     """
     shutdown = program.graceful_shutdown
     close_s = shutdown.steps.close_s
@@ -44,34 +44,34 @@
     return [payload[0] for kind, _, payload in caller.frames() if kind == ANSWER]
 
 
-def test_what_waits_as_the_time_is_over_is_answered_without_a_turn_of_the_loop() -> None:
-    """At a load of 60 on 6 cores whole requests lay in the kernel as the process ended, and had no answer."""
+def test_requests_that_wait_when_time_is_up_are_answered_without_a_turn_of_the_loop() -> None:
+    """At a load of 60 on 6 cores complete requests were left in kernel buffers, unanswered, at an exit."""
 
     async def work(stand: Stand) -> None:
         _, [runs, unread, silent] = await node(stand, 3)
         runs.send(request(2, trace=1))
         await until(lambda: stand.program.module.table.last_id == 1, lambda: "unread")
-        overdue(stand.program)
+        leave_overdue(stand.program)
         unread.send(request(2, trace=2) + CHECK_2.replace(b"\0\0\0\2", b"\0\0\0\3"))
         await stand.program._end_connections()
         for caller in (runs, unread, silent):
             await caller.closed()
         assert verdicts(runs) == [FAILED]  # it may have run
         assert verdicts(unread) == [REFUSED]
-        assert stand.program.module.table.last_id == 1, "what was read last was forwarded"
+        assert stand.program.module.table.last_id == 1, "a request that was read last was forwarded"
 
     run(work)
 
 
-@pytest.mark.parametrize("turns_before", range(8))  # accepted, being set up, handed on, in the table
-def test_a_connection_that_is_being_accepted_as_the_time_is_over_is_answered(turns_before: int) -> None:
+@pytest.mark.parametrize("turns_before", range(8))  # stages: accepted, being set up, handed on, in the table
+def test_a_connection_that_is_being_accepted_when_time_is_up_is_answered(turns_before: int) -> None:
     async def work(stand: Stand) -> None:
         front, _ = await node(stand, 0)
         callers = [connect(front) for _ in range(40)]
         for caller in callers:
             caller.send(CHECK_1 + request(2))
         await turns(turns_before)
-        overdue(stand.program)
+        leave_overdue(stand.program)
         await stand.program._end_connections()
         assert front.server is None
         with pytest.raises(ConnectionRefusedError):
@@ -83,15 +83,15 @@
     run(work)
 
 
-def test_a_process_that_is_beyond_its_time_answers_what_waits_to_be_accepted() -> None:
-    """It ended the accepted ones in order for up to 0.5 s, and then reset those, with their requests."""
+def test_a_process_past_its_time_answers_connections_that_wait_to_be_accepted() -> None:
+    """It once ended the accepted connections for up to 0.5 s, and then reset those that waited."""
 
     async def work(stand: Stand) -> None:
         front, [accepted] = await node(stand)
         callers = [connect(front) for _ in range(40)]
         for caller in (accepted, *callers):
             caller.send(CHECK_2 + request(3))
-        overdue(stand.program, left_s=0.0)
+        leave_overdue(stand.program, left_s=0.0)
         await stand.program._end_connections()
         for caller in (accepted, *callers):
             await caller.closed()
@@ -99,7 +99,7 @@
     run(work)
 
 
-def test_scgi_callers_have_their_response_though_no_turn_is_left() -> None:
+def test_scgi_callers_are_answered_though_no_turn_of_the_loop_is_left() -> None:
     async def work(stand: Stand) -> None:
         await open_both(stand)
         front = stand.program.scgi
@@ -108,10 +108,10 @@
         whole, half, silent = (Caller(address) for _ in range(3))
         await until(lambda: len(front.peers) == 3, lambda: "no connections")
         backlog = Caller(address)
-        overdue(stand.program)
+        leave_overdue(stand.program)
         headers = {"HTTP_X_ROUTE": "pack", "HTTP_X_TEAM": "releases", "HTTP_IDEMPOTENCY_KEY": "key"}
-        asked = request_bytes(headers, b"x")
-        for caller, data in ((whole, asked), (half, asked[:20]), (backlog, asked)):
+        request_data = request_bytes(headers, b"x")
+        for caller, data in ((whole, request_data), (half, request_data[:20]), (backlog, request_data)):
             caller.socket.sendall(data)
         await stand.program._end_connections()
         for caller in (whole, half, silent, backlog):
@@ -123,7 +123,7 @@
     run(work)
 
 
-def test_all_that_waits_on_a_connection_is_answered_however_much_it_is() -> None:
+def test_all_requests_that_wait_on_a_connection_are_answered_however_many_they_are() -> None:
     async def work(stand: Stand) -> None:
         front, [caller] = await node(stand)
         many = b"".join(request(stream) for stream in range(2, 802))
@@ -131,13 +131,13 @@
         caller.send(many)
         now = asyncio.get_running_loop().time()
         await front.depart(now, now, now + 20.0)
-        assert caller.answers() == caller.owed and caller.ended  # with no turn of the loop since
+        assert caller.answers() == caller.owed and caller.ended  # without another turn of the loop
 
     run(work)
 
 
 def test_a_full_table_leaves_no_request_in_the_backlog_as_the_last_connections_are_ended() -> None:
-    """More are unanswered than a full table may reject at once, so that the rest is not accepted by turns."""
+    """More connections wait than a full table rejects at once, so the loop's turns do not accept them all."""
 
     async def work(stand: Stand) -> None:
         front, [busy] = await node(stand)
@@ -146,7 +146,7 @@
         await until(lambda: stand.program.module.table.last_id == 1, lambda: "unread")
         half = [connect(front) for _ in range(MAX_REJECTED)]
         for caller in half:
-            caller.socket.sendall(request(1)[:9])  # rejected ones that cannot be ended for others
+            caller.socket.sendall(request(1)[:9])  # rejected, and not evicted for others
         await until(lambda: len(front.peers) == 1 + MAX_REJECTED, lambda: f"{len(front.peers)} connections")
         waiting = [connect(front) for _ in range(3 * MAX_REJECTED)]
         for caller in waiting:
@@ -166,7 +166,7 @@
 
 
 class Endless:
-    """An endpoint whose other side sends requests for as long as it is read."""
+    """Endpoint that delivers another request each time it is read."""
 
     def __init__(self) -> None:
         self.reads = 0
@@ -174,7 +174,7 @@
 
     def receive(self) -> bytes:
         self.reads += 1
-        assert self.reads < 1000, "it is read for as long as bytes come"
+        assert self.reads < 1000, "the endpoint is read for as long as bytes arrive"
         return request(self.reads)
 
     def send(self, data: bytes) -> bool:
@@ -188,8 +188,8 @@
 
 
 @pytest.mark.parametrize("force", [False, True])
-def test_who_sends_without_end_keeps_no_other_from_its_answer(force: bool) -> None:
-    """It is left for the others' turn, and then ended over what still comes."""
+def test_a_caller_that_sends_without_end_does_not_delay_answers_to_others(force: bool) -> None:
+    """Its connection is left until the others are done, and then closed despite its unread input."""
 
     async def work(stand: Stand) -> None:
         front, _ = await node(stand, 0)
@@ -201,7 +201,7 @@
     run(work)
 
 
-def test_no_last_answer_is_put_into_the_middle_of_another_whose_reader_is_slow() -> None:
+def test_no_last_answer_is_written_into_the_middle_of_another_with_a_slow_reader() -> None:
     async def work(stand: Stand) -> None:
         front, [slow] = await node(stand)
         [peer] = front.peers
@@ -217,7 +217,7 @@
     run(work)
 
 
-def test_old_connections_of_a_process_with_a_successor_have_their_answers_though_no_turn_is_left(
+def test_a_replaced_process_answers_its_old_connections_though_no_turn_of_the_loop_is_left(
     folder: Path,
 ) -> None:
     async def work(pair: Pair) -> None:
@@ -228,7 +228,7 @@
         await caller.answered()
         new = await pair.start()
         await pair.following(old, new)
-        overdue(old.program)
+        leave_overdue(old.program)
         caller.send(request(2))
         await old.program._end_connections()
         await caller.closed()
@@ -248,7 +248,7 @@
         (0.1, 3.0, 0.1 * MAX_EARLIER_S),
     ],
 )
-def test_a_loop_that_runs_late_ends_earlier_between_named_bounds(
+def test_a_lagging_loop_moves_the_steps_earlier_within_bounds(
     stop_s: float, lag_s: float, earlier_s: float
 ) -> None:
     planned = schedule(stop_s)
@@ -259,7 +259,7 @@
     assert found.answered_s <= planned.answered_s and found.end_s == planned.end_s
 
 
-def test_lateness_of_over_a_second_ago_counts_no_more() -> None:
+def test_lag_of_more_than_a_second_ago_is_forgotten() -> None:
     lag = LoopLag()
     assert lag.worst_s() == 0.0
     for now_s, due_s in ((1.0, 0.8), (1.5, 1.45), (1.6, 1.7)):
@@ -269,28 +269,28 @@
     assert lag.worst_s() == pytest.approx(0.05)
 
 
-def test_the_module_answers_earlier_where_the_loop_runs_late() -> None:
-    """Else what it holds at the closes would be failed, though it never ran."""
+def test_the_module_answers_earlier_when_the_loop_lags() -> None:
+    """Otherwise requests that the module still holds at the closes would fail, though they never ran."""
 
     async def work(stand: Stand) -> None:
         await node(stand)
         program = stand.program
         program.leave()
         planned = program.graceful_shutdown.steps
-        await until(lambda: program.module.leaving_until is not None, lambda: "no notice")
+        await until(lambda: program.module.leaving_until is not None, lambda: "no first time limit")
         first = program.module.node.shutdown.kill_s
         stand.now += 3.0
         program.graceful_shutdown.began_at -= 3.0
         program.graceful_shutdown._adopt_earlier(hastened(planned, 0.5), program._limit_module)
-        await until(lambda: program.module.node.shutdown.kill_s < first, lambda: "no second notice")
+        await until(lambda: program.module.node.shutdown.kill_s < first, lambda: "no second time limit")
         left_s = program.graceful_shutdown.steps.close_s - 3.0
         assert program.module.node.shutdown.kill_s - stand.now < left_s < planned.close_s - 3.0
 
     run(work)
 
 
-# Runs the node, and prints the time of the process's last instruction of its own.
-LAST_INSTRUCTION = """
+# Program that runs a node, and prints the monotonic time of the process's last instruction.
+PRINTS_EXIT_TIME = """
 import os, runpy, time
 leave = os._exit
 os._exit = lambda code: (os.write(1, str(time.monotonic()).encode()), leave(code))
@@ -302,13 +302,13 @@
 def test_a_process_that_is_stopped_in_its_last_moments_still_ends_before_it_is_killed(
     tmp_path: Path, stopped_before_kill_s: float
 ) -> None:
-    """With a second SIGTERM and SIGINT, which change nothing; it is killed for real.
+    """A second SIGTERM and a SIGINT change nothing; the process is really killed, with SIGKILL.
 
-    How late this test's own waits end is no part of the stop: the kill comes later by as much.
+    If the waits of this test end late, that is not the node's fault: the kill is then as much later.
     """
     stop_s = 1.0
     configuration = write_configuration(tmp_path, stop_ms=round(1000 * stop_s))
-    with start_node(configuration, "-c", LAST_INSTRUCTION, stdout=subprocess.PIPE) as process:
+    with start_node(configuration, "-c", PRINTS_EXIT_TIME, stdout=subprocess.PIPE) as process:
         try:
             address = frames_address(process)
             assert process.stdout is not None
@@ -334,8 +334,8 @@
             process.kill()
 
 
-# Runs the node, and prints when an event loop is closed.
-CLOSED_LOOP = """
+# Program that runs a node, and prints a line when an event loop is closed.
+PRINTS_LOOP_CLOSE = """
 import asyncio.base_events, runpy
 close = asyncio.base_events.BaseEventLoop.close
 asyncio.base_events.BaseEventLoop.close = lambda loop: (print("closed", flush=True), close(loop))
@@ -344,9 +344,9 @@
 
 
 def test_a_platform_process_ends_without_the_teardown_of_its_event_loop(tmp_path: Path) -> None:
-    """It took up to 169 ms on a busy machine, as a time slice ended in it."""
+    """The teardown took up to 169 ms on a busy machine, as the process's time slice ended during it."""
     configuration = write_configuration(tmp_path, stop_ms=500)
-    with start_node(configuration, "-c", CLOSED_LOOP, stdout=subprocess.PIPE) as process:
+    with start_node(configuration, "-c", PRINTS_LOOP_CLOSE, stdout=subprocess.PIPE) as process:
         try:
             with socket.create_connection(frames_address(process), 30) as link:
                 link.sendall(CHECK_1)
@@ -354,6 +354,6 @@
                 process.send_signal(signal.SIGTERM)
                 out, log = process.communicate(timeout=30)
             assert process.returncode == 0 and out == ""
-            assert "answered.checks_bad 1" in log  # its last lines are written
+            assert "answered.checks_bad 1" in log  # the last lines of the log are written
         finally:
             process.kill()
--- a/tests/test_closing_rare.py
+++ b/tests/test_closing_rare.py
@@ -1,4 +1,4 @@
-"""Ends of connections in rarer states: half a request, a flood, a check on the same stream, a rest."""
+"""Closes in rare states: half a request, a flood, a check on the same stream, a paused listener."""
 
 import asyncio
 import contextlib
@@ -12,14 +12,14 @@
 from beechrock.net.frame_connection import MAX_BAD_REQUESTS_UNREAD
 
 
-def test_a_listener_that_is_closed_in_its_rest_leaves_no_timer_whoever_looked_meanwhile() -> None:
+def test_a_listener_that_is_closed_during_its_pause_leaves_no_timer() -> None:
     async def work(stand: Stand) -> None:
         front, _ = await node(stand, 0)
         server, raised = front.server, list[dict[str, object]]()
         assert server is not None
         asyncio.get_running_loop().set_exception_handler(lambda loop, context: raised.append(context))
         server.budget = lambda arriving: 0
-        for _ in range(3):  # the way out looks more often than a rest takes
+        for _ in range(3):  # the shutdown checks several times during one pause
             assert not server.close_empty()
         front.close()
         await asyncio.sleep(0.05)
@@ -28,11 +28,11 @@
     run(work)
 
 
-def test_a_request_on_the_stream_of_a_check_that_waits_has_an_answer_of_its_own() -> None:
+def test_a_request_on_the_stream_of_a_pending_check_has_its_own_answer() -> None:
     async def work(stand: Stand) -> None:
         _, [caller] = await node(stand)
         [peer] = stand.program.frames.peers  # type: ignore[union-attr]
-        peer.open[5] = None  # a thorough check on stream 5, whose work is under way
+        peer.open[5] = None  # a thorough check on stream 5 is in progress
         caller.owed[CHECKED, 5] += 1
         caller.send(request(5))
         await until(
@@ -46,7 +46,7 @@
     run(work)
 
 
-def test_who_brings_bad_requests_without_end_is_ended_all_the_same() -> None:
+def test_a_connection_with_endless_bad_requests_is_closed() -> None:
     async def work(stand: Stand) -> None:
         front, [caller] = await node(stand)
         [peer] = front.peers
@@ -55,15 +55,15 @@
         def ended_or_read_beyond() -> bool:
             nonlocal sent
             with contextlib.suppress(BlockingIOError):
-                while True:  # until the kernel takes no more, so that bytes wait at every look of the node
+                while True:  # until the kernel's buffers are full, so that input waits at each read
                     sent += caller.socket.send(flood[sent % len(flood) :])
             caller.read()
             return caller.ended or peer.bad > MAX_BAD_REQUESTS_UNREAD
 
-        # Counted in requests read and not in turns of the loop: between two chunks a connection whose answers
-        # still wait is not read from for a time, in which the loop turns as often as the machine lets it.
+        # The limit counts requests read, not turns of the loop: a connection with unsent answers is not read
+        # for a time, and how many turns the loop makes in it depends on the machine.
         await until(ended_or_read_beyond, lambda: f"open after {peer.bad} bad requests, and not read from")
-        assert caller.ended and not caller.reset, "it goes on for as long as bytes come"
+        assert caller.ended and not caller.reset, "the connection is read for as long as bytes arrive"
         assert peer.closing
         assert peer.bad == MAX_BAD_REQUESTS_UNREAD
 
@@ -71,7 +71,7 @@
 
 
 @pytest.mark.parametrize("uses", [0, 1, 2])
-def test_a_full_table_ends_no_connection_in_the_middle_of_a_request_while_another_can_be_spared(
+def test_a_full_table_evicts_no_connection_with_half_a_request_while_another_is_idle(
     uses: int,
 ) -> None:
     async def work(stand: Stand) -> None:
@@ -94,7 +94,7 @@
         await idle.closed()
         slow.send(data[20:])
         slow.owed[ANSWER, 7] += 1
-        stand.now += 10.0  # refused once it is due
+        stand.now += 10.0  # past the deadline of the request, which is then refused
         await slow.answered()
 
     run(work)
@@ -121,7 +121,7 @@
     run(work)
 
 
-def test_a_half_said_request_is_not_awaited_beyond_the_last_closes() -> None:
+def test_an_incomplete_request_is_not_waited_for_beyond_the_last_closes() -> None:
     async def work(stand: Stand) -> None:
         front, [slow] = await node(stand)
         slow.socket.sendall(request(2)[:20])
@@ -135,7 +135,7 @@
     run(work)
 
 
-def test_half_a_request_that_does_not_go_on_keeps_no_place_in_a_full_table() -> None:
+def test_a_stalled_request_does_not_keep_its_connection_in_a_full_table() -> None:
     async def work(stand: Stand) -> None:
         front, [half, idle] = await node(stand, 2)
         front.max_connections = 2
@@ -144,7 +144,7 @@
         stand.now += 0.1
         idle.send(CHECK_2)
         await idle.answered()
-        for _ in range(3):  # in the first of them its bytes came
+        for _ in range(3):  # the first one still sees that bytes have arrived
             front._sweep()
         assert front._evict_if_full()
         await half.closed()
--- a/tests/test_closing_stored.py
+++ b/tests/test_closing_stored.py
@@ -1,4 +1,4 @@
-"""The end of a process that stores data or shares its socket: it waits for nothing that can be left out."""
+"""Shutdown of a process that stores data or shares its socket: it waits for no work that may be dropped."""
 
 import os
 import re
@@ -11,12 +11,12 @@
 
 import pytest
 from platform_process import ROOT, line_with, write_configuration
-from test_closing_late import CLOSED_LOOP
+from test_closing_late import PRINTS_LOOP_CLOSE
 
 STOP_S = 0.5
 READING_S = 20.0
 
-# Runs the node with an inventory whose reading takes READING_S; the first one, at the start, is as ever.
+# Program that runs a node; each read of the inventory after the one at the start takes READING_S seconds.
 SLOW_READING = f"""
 import runpy, sys, time
 from beechrock.inventory import reader
@@ -29,7 +29,7 @@
 
 
 def operators_file(folder: Path, inventory: bool) -> Path:
-    """Write the operator's file of a node that is recorded, and has an inventory too if asked for."""
+    """Write the operator's file of a node with a trace recorder and, if ``inventory``, an inventory."""
     text = f'[trace]\nenabled = true\nfolder = "{folder}/traces"\n'
     if inventory:
         content = re.sub(
@@ -66,23 +66,23 @@
 def test_a_process_that_stores_or_shares_ends_without_the_teardown_of_its_event_loop(
     folder: Path, kind: str
 ) -> None:
-    """Beside ten busy processes a core it took so long that the process was killed before its end."""
+    """Beside ten busy processes on each core the teardown took so long that the process was killed first."""
     with socket.create_server(("127.0.0.1", 0)) as shared:
         environment = {"LB_LISTEN_FD": str(shared.fileno())} if kind == "on a shared socket" else {}
-        with start(folder, CLOSED_LOOP, kind == "with an inventory", **environment) as process:
+        with start(folder, PRINTS_LOOP_CLOSE, kind == "with an inventory", **environment) as process:
             try:
                 line_with(process, "frames on")
                 process.send_signal(signal.SIGTERM)
                 out, log = process.communicate(timeout=30)
                 assert process.returncode == 0 and out == ""
-                assert "counters: " in log  # its last lines are written
+                assert "counters: " in log  # the last lines of the log are written
             finally:
                 process.kill()
-    assert list((folder / "traces").iterdir())  # the record's file is there, and ended
+    assert list((folder / "traces").iterdir())  # the trace file exists
 
 
-def test_a_reading_of_the_inventory_that_is_under_way_does_not_hold_up_the_end(folder: Path) -> None:
-    """Its end waited for the reading, 3.3 s on an idle machine, and came after its kill."""
+def test_a_read_of_the_inventory_in_progress_does_not_delay_the_exit(folder: Path) -> None:
+    """The exit once waited for the read, 3.3 s on an idle machine, and the process was killed first."""
     with start(folder, SLOW_READING, inventory=True) as process:
         try:
             line_with(process, "reading")
@@ -91,13 +91,13 @@
             process.communicate(timeout=2 * READING_S)
             assert process.returncode == 0
             assert time.monotonic() - left_at < READING_S / 2
-            assert not list(folder.glob("beechrock-*")), "a folder that only this process used is left"
+            assert not list(folder.glob("beechrock-*")), "a temporary folder of this process is left"
         finally:
             process.kill()
 
 
-# Runs the node, and prints when its recorder begins to write and when it begins to finish.
-NAMED_WRITES = """
+# Program that runs a node, and prints a line as its recorder begins to write and as it begins to finish.
+PRINTS_WRITES = """
 import runpy
 from beechrock.trace.recorder import Recorder
 write, finish = Recorder.write, Recorder.finish
@@ -107,9 +107,11 @@
 """
 
 
-def test_a_record_is_written_at_the_notice_so_that_little_is_left_for_the_end(folder: Path) -> None:
-    """Its first write, which begins a file, took 130 ms of the end on a busy machine."""
-    with start(folder, NAMED_WRITES, inventory=False) as process:
+def test_the_trace_is_written_when_the_shutdown_begins_so_that_little_is_left_for_the_end(
+    folder: Path,
+) -> None:
+    """The first write, which creates a file, took 130 ms of the shutdown's end on a busy machine."""
+    with start(folder, PRINTS_WRITES, inventory=False) as process:
         try:
             line_with(process, "frames on")
             process.send_signal(signal.SIGTERM)
--- a/tests/test_log_writes.py
+++ b/tests/test_log_writes.py
@@ -1,4 +1,4 @@
-"""A node whose standard error takes no lines: it serves on, and ends as ever."""
+"""A node whose standard error takes no lines still serves and exits as usual."""
 
 import fcntl
 import logging
@@ -15,13 +15,13 @@
 import ujson
 from platform_process import ROOT
 from play import SETTINGS
-from test_program import CHECK, message
+from test_program import CHECK, receive_message
 
 from beechrock.logs import NonBlockingHandler
 
 
 def full_pipe(flags: int) -> tuple[int, int]:
-    """Return both ends of a pipe that takes no more; ``flags`` are those of its writing end afterwards."""
+    """Return both ends of a full pipe; ``flags`` are then the status flags of its writing end."""
     reading, writing = os.pipe()
     fcntl.fcntl(writing, fcntl.F_SETFL, os.O_NONBLOCK)
     try:
@@ -48,10 +48,10 @@
 
 
 @pytest.mark.parametrize("output", OUTPUTS)
-def test_a_node_whose_log_takes_nothing_answers_and_leaves_as_ever(output: str, tmp_path: Path) -> None:
+def test_a_node_whose_log_takes_no_lines_answers_and_exits_as_usual(output: str, tmp_path: Path) -> None:
     with socket.create_server(("127.0.0.1", 0)) as found:
         address = found.getsockname()
-    told = {
+    configuration = {
         "name": "n1",
         "listen": "{}:{}".format(*address),
         "agent": "127.0.0.1:1",
@@ -59,7 +59,7 @@
         "stop_ms": 1500,
         "settings": SETTINGS,
     }
-    (tmp_path / "config.json").write_text(ujson.dumps(told))
+    (tmp_path / "config.json").write_text(ujson.dumps(configuration))
     number = OUTPUTS[output]()
     outputs = {"stdout": number, "stderr": number} if number >= 0 else {}
     node = subprocess.Popen(
@@ -83,7 +83,7 @@
             for _ in range(3):  # each writes the counters
                 node.send_signal(signal.SIGUSR1)
                 link.sendall(CHECK)
-                assert message(link)[4] == 5
+                assert receive_message(link)[4] == 5
             node.send_signal(signal.SIGTERM)
         assert node.wait(30) == 0
     finally:
@@ -93,24 +93,24 @@
             os.close(number)
 
 
-def test_lines_that_nobody_took_are_counted_in_the_next_one() -> None:
+def test_dropped_lines_are_counted_in_the_next_written_line() -> None:
     reading, writing = full_pipe(0)
     with os.fdopen(writing, "w") as stream:
         handler = NonBlockingHandler(stream)
 
-        def say(text: str) -> None:
+        def log(text: str) -> None:
             handler.emit(logging.LogRecord("x", logging.INFO, "", 0, text, None, None))
 
         try:
-            say("\u20ac" * 30_000)  # longer than the pipe, and than what a write may bring at once
-            say("nobody reads this")
+            log("\u20ac" * 30_000)  # longer than the pipe, and than one write may be
+            log("nobody reads this")
             assert os.read(reading, 1 << 20) == bytes(65_536)
-            say("again")
+            log("again")
             assert os.read(reading, 1 << 20) == b"2 log lines were dropped, as nobody read them\nagain\n"
-            say("\u20ac" * 30_000)  # as much of it as finds room
-            say("nobody reads this")
+            log("\u20ac" * 30_000)  # as much of it as the pipe has room for
+            log("nobody reads this")
             assert len(os.read(reading, 1 << 20)) > 32_768
-            say("last")
+            log("last")
             assert os.read(reading, 1 << 20) == b"2 log lines were dropped, as nobody read them\nlast\n"
         finally:
             os.close(reading)
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -1,4 +1,4 @@
-"""The standing test's words without its bench: the way out, the start, a cold node, each class's share."""
+"""Requirements of the standing test, checked without its bench: shutdown, start, and a cold node's load."""
 
 import re
 import signal
@@ -15,12 +15,12 @@
 from platform_process import ROOT, line_with
 from play import SETTINGS, START, Stand, run
 from test_deployments import Day, deployments
-from test_program import CHECK, NO_MORE, message
+from test_program import CHECK, NO_MORE, receive_message
 
 
 def test_sigterm_ends_the_process_in_time_though_connections_stay_open(tmp_path: Path) -> None:
-    """Some idle, one with half a request on it, one that reads nothing: none of them may hold the end up."""
-    told = {
+    """Some are idle, one has half a request, and one is not read by its caller: none may delay the exit."""
+    configuration = {
         "name": "n1",
         "listen": "127.0.0.1:0",
         "agent": "127.0.0.1:1",
@@ -28,7 +28,7 @@
         "stop_ms": 1500,
         "settings": SETTINGS,
     }
-    (tmp_path / "config.json").write_text(ujson.dumps(told))
+    (tmp_path / "config.json").write_text(ujson.dumps(configuration))
     node = subprocess.Popen(
         [sys.executable, "-m", "beechrock"],
         cwd=ROOT,
@@ -43,11 +43,11 @@
         links = [socket.create_connection(("127.0.0.1", int(found[1])), 30) for _ in range(4)]
         for link in links[:3]:
             link.sendall(CHECK)
-            message(link)
+            receive_message(link)
         links[3].sendall(CHECK[:-1])
         node.send_signal(signal.SIGTERM)
-        assert [message(link) for link in links[:2]] == [NO_MORE] * 2
-        assert node.wait(30) == 0  # by itself, with all four still open
+        assert [receive_message(link) for link in links[:2]] == [NO_MORE] * 2
+        assert node.wait(30) == 0  # by itself, with all four connections still open
     finally:
         node.kill()
         node.wait()
@@ -57,8 +57,8 @@
             link.close()
 
 
-def test_the_list_hears_of_a_start_only_once_the_cores_are_up_and_of_the_end_at_once() -> None:
-    """One that is told early brings callers to cores that are not there yet."""
+def test_the_registry_is_told_of_the_start_once_the_workers_are_up_and_of_the_end_at_once() -> None:
+    """If it is told earlier, callers are sent to workers that have not started."""
 
     async def work(stand: Stand) -> None:
         await stand.open()
@@ -67,18 +67,24 @@
         await stand.play('g > "greeting EMPTY 5\\r\\n"\nbeat BEAT n1 ready')
         await stand.step(["leave"], "leave")
         await stand.step(["beat", "BEAT", "n1", "draining"], "beat BEAT n1 draining")
-        assert stand.now == START + 0.2 and stand.beats[-1] == "BEAT n1 draining"  # no tick was waited for
+        assert (
+            stand.now == START + 0.2 and stand.beats[-1] == "BEAT n1 draining"
+        )  # sent without waiting for a tick
 
     run(work)
 
 
 @options(max_examples=25, deadline=None, derandomize=True)
 @given(deployments(), st.integers(0, 9999), st.floats(1.5, 3.0))
-def test_a_cold_node_under_a_flood_keeps_within_the_crowd_that_its_speed_survives(
-    told: dict[str, Any], seed: int, load: float
+def test_an_overloaded_cold_node_runs_no_more_requests_than_its_speed_allows(
+    deployment: dict[str, Any], seed: int, load: float
 ) -> None:
-    told = {**told, "extra": {**told["extra"], "freshStart": True}, "model": {**told["model"], "speed": 0.2}}
-    day = Day(told, seed, load)
+    deployment = {
+        **deployment,
+        "extra": {**deployment["extra"], "freshStart": True},
+        "model": {**deployment["model"], "speed": 0.2},
+    }
+    day = Day(deployment, seed, load)
     start, cold, ramp = day.now, day.settings.slow_start_speed_share or 0.0, day.settings.slow_start_s or 1.0
     for _ in range(60):
         day.play(0.1, to_the_end=False)
