--- a/tests/error_table.py
+++ b/tests/error_table.py
@@ -1,4 +1,4 @@
-"""All errors that reach an operator, as a table; run by itself it writes that into docs/errors.md."""
+"""Makes the table of all errors that reach an operator; run as a script, writes it into docs/errors.md."""
 
 import importlib
 import pkgutil
@@ -11,44 +11,44 @@
 BEGIN, END = "<!-- table: python tests/error_table.py -->", "<!-- end of the table -->"
 
 
-def types() -> list[type[OperatorError]]:
-    """Every type under the root, whichever module it stands in."""
+def error_types() -> list[type[OperatorError]]:
+    """Return all subclasses of OperatorError in the program, sorted by module and name."""
     for module in pkgutil.walk_packages(beechrock.__path__, "beechrock."):
         importlib.import_module(module.name)
     found, left = set(), [OperatorError]
     while left:
-        for made in left.pop().__subclasses__():
-            if made.__module__.startswith("beechrock."):
-                found.add(made)
-                left.append(made)
-    return sorted(found, key=lambda made: (made.__module__, made.__name__))
+        for error_type in left.pop().__subclasses__():
+            if error_type.__module__.startswith("beechrock."):
+                found.add(error_type)
+                left.append(error_type)
+    return sorted(found, key=lambda error_type: (error_type.__module__, error_type.__name__))
 
 
-def first_sentence(made: type) -> str:
-    return " ".join((made.__doc__ or "").split()).partition(". ")[0].rstrip(".")
+def first_sentence(error_type: type) -> str:
+    return " ".join((error_type.__doc__ or "").split()).partition(". ")[0].rstrip(".")
 
 
 def table() -> str:
-    """One line a type, by module and name."""
+    """Return the table, with one row for each error type."""
     rows = [("type", "module", "event", "exit", "what it says"), ("---",) * 5]
     rows += [
         (
-            f"`{made.__name__}`",
-            f"`{made.__module__}`",
-            f"`{made.event}`",
-            str(made.exit_code),
-            first_sentence(made),
+            f"`{error_type.__name__}`",
+            f"`{error_type.__module__}`",
+            f"`{error_type.event}`",
+            str(error_type.exit_code),
+            first_sentence(error_type),
         )
-        for made in types()
+        for error_type in error_types()
     ]
     return "\n".join([BEGIN, *(f"| {' | '.join(row)} |" for row in rows), END])
 
 
-def standing(page: str) -> str:
-    """The table as the page has it."""
+def current_table(page: str) -> str:
+    """Return the table that the page contains."""
     return page[page.index(BEGIN) : page.index(END) + len(END)]
 
 
 if __name__ == "__main__":
-    told = PAGE.read_text()
-    PAGE.write_text(told.replace(standing(told), table()))
+    text = PAGE.read_text()
+    PAGE.write_text(text.replace(current_table(text), table()))
--- a/tests/known_failures.py
+++ b/tests/known_failures.py
@@ -1,8 +1,8 @@
-"""Reads KNOWN-RED.txt, the list of tests that may fail in CI for a fault that is known and not yet mended.
+"""Reads KNOWN-RED.txt, the list of tests that may fail in CI because of a known fault that is not yet fixed.
 
 Each line has five parts with vertical bars between them: the test's id as pytest prints it, the command and
-seed that show the failure, what was seen, the cause or what is ruled out, and the issue that will mend it.
-Empty lines and lines that begin with ``#`` are passed over. The file is absent while no such test exists.
+seed that show the failure, what was seen, the cause or what is ruled out, and the issue that tracks the fix.
+Empty lines and lines that begin with ``#`` are skipped. The file is absent while no such test exists.
 """
 
 from dataclasses import dataclass
@@ -12,12 +12,12 @@
 
 
 class KnownFailuresError(Exception):
-    """KNOWN-RED.txt cannot be used; the text names the line and what was wanted there."""
+    """KNOWN-RED.txt cannot be used; the message names the line and what was expected there."""
 
 
 @dataclass(frozen=True, slots=True)
 class KnownFailure:
-    """One test that may fail, how to make it fail, and the issue that a reader is sent to."""
+    """One test that may fail, the command that shows the failure, and the issue that tracks it."""
 
     test_id: str
     command: str
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -1,7 +1,7 @@
-"""Overload and rolling deploy on loopback, by frames or by SCGI: stand-in callers and servers, driven clock.
+"""Overload and rolling deploy on loopback, over frames or SCGI, with stand-in callers and servers.
 
-Time moves in steps. Each step waits until every byte that it causes has arrived, so that the verdict depends
-on the decisions alone.
+A driven clock advances in steps. Each step waits until all bytes that it causes have arrived, so that the
+result depends only on the nodes' decisions.
 """
 
 import asyncio
@@ -20,47 +20,49 @@
 from beechrock.program import Program
 from beechrock.settings import settings_from
 
-START = 1_700_000_000.0
+START = 1_700_000_000.0  # time of the driven clock at the start
 STEP_S = 0.05
-CORES = 2
-STOP_S = 3.4
-HANG_S = 30.0
-AIM_S, DUE_S = 1.4, 3.6
+CORES = 2  # of each server
+STOP_S = 3.4  # from the notice to leave to the kill
+HANG_S = 30.0  # longest wait for one condition, in real seconds
+AIM_S, DUE_S = 1.4, 3.6  # latency objective and deadline of all contracts
 
 
-async def until(true: Callable[[], bool]) -> None:
-    async with asyncio.timeout(HANG_S):  # met only by a node that does nothing at all
-        while not true():
+async def until(condition: Callable[[], bool]) -> None:
+    async with asyncio.timeout(HANG_S):  # reached only if a node does nothing at all
+        while not condition():
             await asyncio.sleep(0)
 
 
 @dataclass(slots=True)
-class Ask:
-    """One request over all its tries."""
+class Request:
+    """One request, with all its attempts."""
 
     number: int
-    at: float
+    created_at: float
     route: str
     work_s: float
-    tries: int = 0
-    sent: int = 0  # tries and second copies whose answers are out
-    served_at: float | None = None
+    attempts: int = 0
+    sent: int = 0  # attempts and second copies sent so far
+    served_at: float | None = None  # time of its first result
     body: bytes = b""
 
     @property
-    def nonce(self) -> str:
+    def key(self) -> str:
         return f"{self.number:032x}"
 
 
 class Server:
-    """A small SCGI server with a few cores; a run ends when the clock says so."""
+    """SCGI server with CORES cores, whose runs end as the driven clock reaches their end."""
 
     def __init__(self) -> None:
-        self.seen: dict[str, int] = {}
-        self.count = 0
-        self.new: list[tuple[int, float, asyncio.StreamWriter]] = []
-        self.busy: list[tuple[float, int, asyncio.StreamWriter]] = []
-        self.free = [START] * CORES
+        self.runs_by_key: dict[str, int] = {}
+        self.arrived = 0  # runs received so far
+        # Runs that are not started: request number, work in seconds, connection.
+        self.queued: list[tuple[int, float, asyncio.StreamWriter]] = []
+        # Started runs: end time, request number, connection.
+        self.running: list[tuple[float, int, asyncio.StreamWriter]] = []
+        self.core_free_at = [START] * CORES
 
     async def start(self) -> str:
         self.listener = await asyncio.start_server(self._run, "127.0.0.1", 0)
@@ -68,55 +70,67 @@
 
     async def _run(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         size = int((await reader.readuntil(b":"))[:-1])
-        told = headers_of((await reader.readexactly(size + 1))[:-1])
-        number, work = (await reader.readexactly(int(told["CONTENT_LENGTH"]))).split(b" ")
-        if key := told.get("HTTP_IDEMPOTENCY_KEY"):
-            self.seen[key] = self.seen.get(key, 0) + 1
-        self.new.append((int(number), float(work), writer))
-        self.count += 1
+        headers = headers_of((await reader.readexactly(size + 1))[:-1])
+        number, work_s = (await reader.readexactly(int(headers["CONTENT_LENGTH"]))).split(b" ")
+        if key := headers.get("HTTP_IDEMPOTENCY_KEY"):
+            self.runs_by_key[key] = self.runs_by_key.get(key, 0) + 1
+        self.queued.append((int(number), float(work_s), writer))
+        self.arrived += 1
 
     def step(self, now: float) -> int:
-        """Start what is new, end what is done; gives the number of runs ended."""
-        for number, work, writer in sorted(self.new, key=lambda run: run[0]):
-            core = min(range(CORES), key=lambda c: self.free[c])
-            self.free[core] = max(now, self.free[core]) + work
-            self.busy.append((self.free[core], number, writer))
-        self.new.clear()
-        done = sorted(run[:2] for run in self.busy if run[0] <= now)
-        for end, number, writer in self.busy:
+        """Start queued runs and end those that are due; return the number of runs ended."""
+        for number, work_s, writer in sorted(self.queued, key=lambda run: run[0]):
+            core = min(range(CORES), key=lambda c: self.core_free_at[c])
+            self.core_free_at[core] = max(now, self.core_free_at[core]) + work_s
+            self.running.append((self.core_free_at[core], number, writer))
+        self.queued.clear()
+        done = sorted(run[:2] for run in self.running if run[0] <= now)
+        for end, number, writer in self.running:
             if end <= now:
                 writer.write(b"Status: 200 OK\r\n\r\nresult %d" % number)
                 writer.close()
-        self.busy = [run for run in self.busy if run[0] > now]
+        self.running = [run for run in self.running if run[0] > now]
         return len(done)
 
 
 class Node:
-    """One node with its server, whose batches this file drives."""
+    """One node with a server of its own; the scenario runs the batches of its module."""
 
     async def start(self, clock: Callable[[], float], cold: bool) -> "Node":
         self.server = Server()
         address = await self.server.start()
-        due = {"aim_ms": 1000 * AIM_S, "due_ms": 1000 * DUE_S, "team": "releases", "share": 0.5, "rate": 500}
+        contract = {
+            "aim_ms": 1000 * AIM_S,
+            "due_ms": 1000 * DUE_S,
+            "team": "releases",
+            "share": 0.5,
+            "rate": 500,
+        }
         inventory = inventory_of(
             {"cores": CORES, "memory_mb": 60, "max_retry_after_ms": 1000},
             {
                 "teams": {"releases": {}},
                 "services": {"resolve": {"upstreams": [address]}, "submit": {"upstreams": [address]}},
                 "contracts": {
-                    "r": {**due, "service": "resolve", "effect": "safe"},
-                    "s": {**due, "service": "submit", "effect": "keyed", "window_ms": 10_677, "worth": 2},
+                    "r": {**contract, "service": "resolve", "effect": "safe"},
+                    "s": {
+                        **contract,
+                        "service": "submit",
+                        "effect": "keyed",
+                        "window_ms": 10_677,
+                        "worth": 2,
+                    },
                 },
             },
         )
-        rules = {"fallMultiple": 5.0, "rampTimeS": 18.0, "coldFrom": 0.3, "drainGraceS": 2.0}
-        meant = inventory.meaning.settings
-        told, _ = settings_from(
+        guarantees = {"fallMultiple": 5.0, "rampTimeS": 18.0, "coldFrom": 0.3, "drainGraceS": 2.0}
+        described = inventory.meaning.settings
+        settings, _ = settings_from(
             {
-                **meant,
-                "guarantees": rules,
+                **described,
+                "guarantees": guarantees,
                 "tickS": 0.004,
-                "extra": {**meant["extra"], "runFactor": 16.0, "keyKb": 20.0, "freshStart": cold},
+                "extra": {**described["extra"], "runFactor": 16.0, "keyKb": 20.0, "freshStart": cold},
             }
         )
         self.program = Program(
@@ -130,7 +144,7 @@
                 stop_s=STOP_S,
                 memory_mb=192.0,
                 sockets=1024,
-                settings=told,
+                settings=settings,
                 gauges=(),
                 scgi=Scgi(("127.0.0.1", 0), Path("none"), inventory, watch_s=1e6),
             ),
@@ -139,9 +153,9 @@
         )
         self.module = self.program.module
         await self.program.listen()
-        self.received = self.ended = 0
-        self.stop_at: float | None = None
-        self.frames: Frames | None = None
+        self.received = self.ended = 0  # answers that callers have read; runs that the server has ended
+        self.stop_at: float | None = None  # time of the kill, after the notice to leave
+        self.frames: FrameConnection | None = None
         return self
 
     def port(self, front: str) -> int:
@@ -150,10 +164,10 @@
         return int(found.server.sockets[0].getsockname()[1])
 
     async def tick(self, now: float) -> None:
-        """One batch, and all that it sends out."""
+        """Run one batch of the module, and wait until all that it sends has arrived."""
         self.module.tick(now)
         counters = self.module.counters
-        await until(lambda: self.server.count == counters["sent.launches"])
+        await until(lambda: self.server.arrived == counters["sent.launches"])
         await until(
             lambda: self.received == sum(counters[f"answered.{v}"] for v in ("served", "refused", "failed"))
         )
@@ -161,7 +175,7 @@
     async def end_runs(self, now: float) -> None:
         work = self.module.ports.work
         self.ended += self.server.step(now)
-        await until(lambda: len(work.runs) == self.server.count - self.ended)  # type: ignore[union-attr]
+        await until(lambda: len(work.runs) == self.server.arrived - self.ended)  # type: ignore[union-attr]
 
     async def close(self) -> None:
         self.program.close()
@@ -171,21 +185,21 @@
 
 
 @dataclass(slots=True)
-class Said:
-    """An answer as the caller reads it, whatever the wire."""
+class Answer:
+    """An answer as the caller reads it, over either protocol."""
 
     verdict: str
     body: bytes = b""
-    after_s: float = 0.0
-    last: bool = False
+    retry_after_s: float = 0.0
+    no_retry: bool = False
 
 
-class Frames:
-    """A caller's connection that speaks frames; the tests' load opens more than 32 at once on none."""
+class FrameConnection:
+    """A caller's connection over frames; callers open a new one once 32 requests are open on it."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
-        self.stream, self.open = 0, dict[int, Callable[[Said], None]]()
+        self.stream, self.open = 0, dict[int, Callable[[Answer], None]]()
         self.task = asyncio.get_running_loop().create_task(self._read())
 
     async def _read(self) -> None:
@@ -195,48 +209,48 @@
             except asyncio.IncompleteReadError:
                 return
             if data[0] == 2:
-                told, body = fields_of(data[6:])
-                said = Said(
+                answer_fields, body = fields_of(data[6:])
+                answer = Answer(
                     {0: "served", 8: "refused", 13: "failed"}[data[5]],
                     body,
-                    float(told.get("pause", 0)) / 1000,
-                    told.get("terminal") == "1",
+                    float(answer_fields.get("pause", 0)) / 1000,
+                    answer_fields.get("terminal") == "1",
                 )
-                self.open.pop(int.from_bytes(data[1:5], "big"))(said)
+                self.open.pop(int.from_bytes(data[1:5], "big"))(answer)
 
 
-async def send_frames(node: Node, ask: Ask, now: float, heard: Callable[[Said], None]) -> None:
+async def send_frames(node: Node, request: Request, now: float, on_answer: Callable[[Answer], None]) -> None:
     if node.frames is None or len(node.frames.open) >= 32:
-        node.frames = Frames(*await asyncio.open_connection("127.0.0.1", node.port("frames")))
+        node.frames = FrameConnection(*await asyncio.open_connection("127.0.0.1", node.port("frames")))
     link = node.frames
     link.stream += 1
-    told = {
-        "route": ask.route,
-        "trace": f"{ask.number:08x}{ask.tries:04x}{ask.sent:04x}",
+    header = {
+        "route": request.route,
+        "trace": f"{request.number:08x}{request.attempts:04x}{request.sent:04x}",
         "client": "1",
         "born": f"{1000 * now:.0f}",
-        "size": f"{HELD_KB + len(ask.body) / 1024}",
+        "size": f"{HELD_KB + len(request.body) / 1024}",
         "order": "0.5",
     }
-    told |= {"nonce": ask.nonce} if ask.route == "submit" else {}
-    told |= {"redo": "1"} if ask.tries > 1 else {}
-    link.open[link.stream] = heard
-    link.writer.write(frame(1, link.stream, fields(told) + ask.body))
+    header |= {"nonce": request.key} if request.route == "submit" else {}
+    header |= {"redo": "1"} if request.attempts > 1 else {}
+    link.open[link.stream] = on_answer
+    link.writer.write(frame(1, link.stream, fields(header) + request.body))
 
 
-async def send_scgi(node: Node, ask: Ask, now: float, heard: Callable[[Said], None]) -> None:
+async def send_scgi(node: Node, request: Request, now: float, on_answer: Callable[[Answer], None]) -> None:
     reader, writer = await asyncio.open_connection("127.0.0.1", node.port("scgi"))
-    told = {"HTTP_X_ROUTE": ask.route, "HTTP_X_TEAM": "releases"}
-    told |= {"HTTP_IDEMPOTENCY_KEY": ask.nonce} if ask.route == "submit" else {}
-    told |= {"HTTP_X_RETRY": "1"} if ask.tries > 1 else {}
-    writer.write(request_bytes(told, ask.body))
+    headers = {"HTTP_X_ROUTE": request.route, "HTTP_X_TEAM": "releases"}
+    headers |= {"HTTP_IDEMPOTENCY_KEY": request.key} if request.route == "submit" else {}
+    headers |= {"HTTP_X_RETRY": "1"} if request.attempts > 1 else {}
+    writer.write(request_bytes(headers, request.body))
 
     async def read() -> None:
         head, _, body = (await reader.read(-1)).partition(b"\r\n\r\n")
         lines = dict(line.split(": ", 1) for line in head.decode().split("\r\n"))
         verdict = {"200": "served", "503": "refused", "500": "failed"}[lines["Status"][:3]]
-        after_s = float(lines.get("X-Retry-After-Ms", 0)) / 1000
-        heard(Said(verdict, body, after_s, lines.get("X-Retry-Elsewhere") == "no"))
+        retry_after_s = float(lines.get("X-Retry-After-Ms", 0)) / 1000
+        on_answer(Answer(verdict, body, retry_after_s, lines.get("X-Retry-Elsewhere") == "no"))
         writer.close()
 
     tasks.add(task := asyncio.get_running_loop().create_task(read()))
@@ -248,80 +262,84 @@
 
 
 @dataclass
-class Verdict:
-    service: float = 0.0
-    double_runs: int = 0
-    refused: int = 0
-    repeats: int = 0
+class Result:
+    service: float = 0.0  # share of the requests' value that was served within AIM_S
+    double_runs: int = 0  # keys that ran more than once on a server
+    refused: int = 0  # answers that refused an attempt or copy
+    repeats: int = 0  # second copies sent
+    # Answers in order of time: seconds since the start, request number, verdict.
     answers: list[tuple[float, int, str]] = field(default_factory=list)
 
 
-async def scenario(front: str, nodes: int, rate: float, seconds: float, deploy: bool) -> Verdict:
-    """Callers go round the nodes, try up to three times, and send a second copy of some submits."""
-    now, random_, verdict = START, random.Random(7), Verdict()
+async def scenario(front: str, nodes: int, rate: float, seconds: float, deploy: bool) -> Result:
+    """Send requests to the nodes in turn, each up to three times, with a second copy of some submits."""
+    now, rng, result = START, random.Random(7), Result()
 
     def clock() -> float:
         return now
 
     fleet = [await Node().start(clock, cold=False) for _ in range(nodes)]
-    gone: list[Node] = []
-    asks: list[Ask] = []
+    stopped: list[Node] = []
+    requests: list[Request] = []
     for number in range(int(rate * seconds)):
-        route = "submit" if random_.random() < 0.44 else "resolve"
-        work = random_.uniform(0.28, 0.5) if route == "submit" else random_.uniform(0.17, 0.29)
-        ask = Ask(number, START + number / rate, route, work)
-        ask.body = b"%d %.3f" % (number, work)
-        asks.append(ask)
-    todo = [(ask.at, ask.number, 0) for ask in asks]
-
-    async def submit(ask: Ask, place: int) -> None:
-        node = fleet[place % len(fleet)]
-
-        def heard(said: Said) -> None:
+        route = "submit" if rng.random() < 0.44 else "resolve"
+        work_s = rng.uniform(0.28, 0.5) if route == "submit" else rng.uniform(0.17, 0.29)
+        request = Request(number, START + number / rate, route, work_s)
+        request.body = b"%d %.3f" % (number, work_s)
+        requests.append(request)
+    # Attempts to make: time, request number, index of the node (0: by the request's number).
+    scheduled = [(request.created_at, request.number, 0) for request in requests]
+
+    async def send(request: Request, index: int) -> None:
+        node = fleet[index % len(fleet)]
+
+        def on_answer(answer: Answer) -> None:
             node.received += 1
-            verdict.answers.append((round(now - START, 3), ask.number, said.verdict))
-            verdict.refused += said.verdict == "refused"
-            if said.verdict == "served":
-                assert said.body == b"result %d" % ask.number
-                ask.served_at = ask.served_at or now
-            elif said.verdict == "refused" and not said.last and ask.tries < 3:
-                todo.append((now + max(said.after_s, STEP_S), ask.number, place + 1))
+            result.answers.append((round(now - START, 3), request.number, answer.verdict))
+            result.refused += answer.verdict == "refused"
+            if answer.verdict == "served":
+                assert answer.body == b"result %d" % request.number
+                request.served_at = request.served_at or now
+            elif answer.verdict == "refused" and not answer.no_retry and request.attempts < 3:
+                scheduled.append((now + max(answer.retry_after_s, STEP_S), request.number, index + 1))
 
         before = len(node.module.mailbox)
-        await SENDERS[front](node, ask, now, heard)
+        await SENDERS[front](node, request, now, on_answer)
         await until(lambda: len(node.module.mailbox) > before)
-        ask.sent += 1
+        request.sent += 1
 
     steps = int((seconds + 8) / STEP_S)
     for step in range(steps):
         now = START + step * STEP_S
         for node in fleet:
             await node.end_runs(now)
-        due = sorted(entry for entry in todo if entry[0] <= now)
-        todo = [entry for entry in todo if entry[0] > now]
-        for _, number, place in due:
-            ask = asks[number]
-            ask.tries += 1
-            await submit(ask, place or number)
-            if ask.route == "submit" and number % 10 == 0 and ask.tries == 1:  # a copy, to the same node
-                verdict.repeats += 1
-                await submit(ask, place or number)
-        for place, node in enumerate(fleet):
-            if deploy and node.stop_at is None and now >= START + 2 + 3 * place and place >= len(gone):
+        due = sorted(entry for entry in scheduled if entry[0] <= now)
+        scheduled = [entry for entry in scheduled if entry[0] > now]
+        for _, number, index in due:
+            request = requests[number]
+            request.attempts += 1
+            await send(request, index or number)
+            if request.route == "submit" and number % 10 == 0 and request.attempts == 1:
+                result.repeats += 1  # a second copy, to the same node
+                await send(request, index or number)
+        for index, node in enumerate(fleet):
+            if deploy and node.stop_at is None and now >= START + 2 + 3 * index and index >= len(stopped):
                 node.stop_at = now + STOP_S
                 node.module.post(ShutdownRequested(STOP_S))
             await node.tick(now)
             if node.stop_at is not None and now >= node.stop_at - STEP_S:
-                assert node.module.table.open == 0, "stopped while answers were owed"
-                gone.append(node)
-                fleet[place] = await Node().start(clock, cold=True)
-    for node in fleet + gone:
+                assert node.module.table.open == 0, "stopped while requests were unanswered"
+                stopped.append(node)
+                fleet[index] = await Node().start(clock, cold=True)
+    for node in fleet + stopped:
         assert node.module.table.open == 0
         assert not [line for line in node.module.counters.lines() if line.startswith("trouble.")]
-        verdict.double_runs += sum(runs > 1 for runs in node.server.seen.values())
+        result.double_runs += sum(runs > 1 for runs in node.server.runs_by_key.values())
         await node.close()
     worth = {"resolve": 1.0, "submit": 2.0}
-    in_time = sum(worth[a.route] for a in asks if a.served_at is not None and a.served_at - a.at <= AIM_S)
-    verdict.service = in_time / sum(worth[a.route] for a in asks)
-    verdict.answers.sort()
-    return verdict
+    in_time = sum(
+        worth[r.route] for r in requests if r.served_at is not None and r.served_at - r.created_at <= AIM_S
+    )
+    result.service = in_time / sum(worth[r.route] for r in requests)
+    result.answers.sort()
+    return result
--- a/tests/test_architecture_page.py
+++ b/tests/test_architecture_page.py
@@ -1,4 +1,4 @@
-"""The pages on architecture, crossings and on call name what exists: each path and name in backticks."""
+"""Each path and name in backticks on the pages on architecture, crossings and on call exists."""
 
 import re
 import subprocess
@@ -9,23 +9,23 @@
 ROOT = Path(__file__).parent.parent
 PAGE = ROOT / "docs" / "architecture.md"
 FILE_SUFFIXES = (".py", ".md", ".toml")
-# Where a path of the page may start.
+# Folders to which a path on the page may be relative.
 BASES = (ROOT, ROOT / "beechrock", ROOT / "docs")
 
 
 CROSSINGS = sorted((ROOT / "docs" / "crossings").glob("*.md"))
 OTHER_PAGES = (*CROSSINGS, ROOT / "docs" / "oncall.md")
-# What stands in backticks there and is no name of this tree: the operators' words, counters, examples.
-NOT_OURS = re.compile(r"svc_.*|failback|beechrock-ADDRESS-.*|\.inventory\.snapshot\.PID|~\d+|[A-Z]:?")
+# Terms in backticks on those pages that are not names of this tree: operators' words, counters, examples.
+EXTERNAL_TERMS = re.compile(r"svc_.*|failback|beechrock-ADDRESS-.*|\.inventory\.snapshot\.PID|~\d+|[A-Z]:?")
 
 
 def terms(page: Path = PAGE) -> list[str]:
-    """Return what stands in backticks, each once."""
+    """Return the terms in backticks on a page, each once, in order."""
     return sorted(set(re.findall(r"`([^`\n]+)`", page.read_text())))
 
 
 def tracked(*patterns: str) -> list[str]:
-    """Return the paths of the tree's files, new ones included."""
+    """Return the paths of the files that git tracks or would add."""
     found = subprocess.run(
         ["git", "ls-files", "-co", "--exclude-standard", *patterns],
         cwd=ROOT,
@@ -49,11 +49,11 @@
 
 
 def exists_in_tree(term: str) -> bool:
-    """Return whether a term of these pages exists; a test may be named by a part of its name."""
+    """Return whether a term of the other pages exists; a test may be named by a part of its name."""
     owner = re.match(r"([A-Z]\w+)\.\w+$", term)
     if owner is not None and not re.search(rf"class {owner[1]}\b", SOURCES + TESTS):
         return False
-    if NOT_OURS.fullmatch(term) or exists(term):
+    if EXTERNAL_TERMS.fullmatch(term) or exists(term):
         return True
     path, _, name = term.rpartition("::")
     wanted = re.split(r"\[", name)[0].strip(".…_")
@@ -70,7 +70,7 @@
 
 
 @pytest.mark.parametrize("page", OTHER_PAGES, ids=lambda page: page.stem)
-def test_what_the_pages_of_crossings_and_on_call_name_exists(page: Path) -> None:
+def test_names_on_the_pages_of_crossings_and_on_call_exist(page: Path) -> None:
     missing = [term for term in terms(page) if not exists_in_tree(term)]
     assert not missing, f"{page.relative_to(ROOT)} names {missing}"
 
@@ -85,7 +85,7 @@
         "test_nothing_of_the_kind",
     ],
 )
-def test_what_went_from_the_tree_is_noticed_on_pages_of_crossings(term: str) -> None:
+def test_a_name_that_was_removed_is_noticed_on_pages_of_crossings(term: str) -> None:
     assert not exists_in_tree(term)
 
 
@@ -94,10 +94,10 @@
 
 
 @pytest.mark.parametrize("term", terms())
-def test_what_the_page_names_exists(term: str) -> None:
+def test_each_name_on_the_architecture_page_exists(term: str) -> None:
     assert exists(term), f"docs/architecture.md names {term}, which is not there"
 
 
 @pytest.mark.parametrize("term", ["core/book.py", "ModuleActor.tock", "beechrock/nowhere/"])
-def test_what_does_not_exist_is_noticed(term: str) -> None:
+def test_a_name_that_does_not_exist_is_noticed(term: str) -> None:
     assert not exists(term)
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -1,4 +1,4 @@
-"""What an operator hears: the place down to the line, what was wanted, what to do; one exit for all."""
+"""Errors that reach an operator: they name line, expected value and remedy, and set the exit code."""
 
 import ast
 from pathlib import Path
@@ -6,7 +6,7 @@
 import pytest
 import ujson
 from click.testing import CliRunner
-from error_table import PAGE, first_sentence, standing, table, types
+from error_table import PAGE, current_table, error_types, first_sentence, table
 from play import SETTINGS
 
 from beechrock import logs
@@ -15,9 +15,9 @@
 from beechrock.config.operator import line_of
 
 ROOT = Path(__file__).parent.parent
-BARE = {"ValueError", "RuntimeError", "Exception", "TypeError", "KeyError"}
-# Packages that still raise bare errors; a line goes with the last of them.
-STILL_BARE: set[str] = set()
+BARE_ERRORS = {"ValueError", "RuntimeError", "Exception", "TypeError", "KeyError"}
+# Files that still raise bare errors; an entry is removed with its last one.
+FILES_WITH_BARE_ERRORS: set[str] = set()
 TEXT = """\
 # listen = "not this one"
 enabled = true
@@ -45,11 +45,11 @@
         (["b"], 0),
     ],
 )
-def test_a_key_is_shown_with_its_line_or_that_of_its_table(keys: list[str], line: int) -> None:
+def test_a_key_is_reported_with_its_line_or_that_of_its_table(keys: list[str], line: int) -> None:
     assert line_of(TEXT, keys) == line
 
 
-def test_a_fault_in_the_operators_file_has_its_line_and_the_way_out(
+def test_an_error_in_the_operators_file_names_its_line_and_the_remedy(
     tmp_path: Path,
     capsys: pytest.CaptureFixture[str],
     monkeypatch: pytest.MonkeyPatch,
@@ -66,12 +66,12 @@
     assert error.where == f"{file}:2: members: key_file" and "head -c 32" in error.do
     assert logs.stopped_by(error) == 2
     assert capsys.readouterr().err == f"beechrock: {error}\n"
-    # Where the log is of JSON lines, standard error has nothing else.
-    told: list[tuple[object, ...]] = []
+    # If the log has JSON lines, standard error contains nothing else.
+    logged: list[tuple[object, ...]] = []
     monkeypatch.setattr(logs, "_lines_are_json", True)
-    monkeypatch.setattr(logs, "event", lambda *words, **fields: told.append((*words, fields)))
+    monkeypatch.setattr(logs, "event", lambda *args, **fields: logged.append((*args, fields)))
     assert logs.stopped_by(error) == 2 and not capsys.readouterr().err
-    assert told == [
+    assert logged == [
         (
             "config.refused",
             "error",
@@ -80,7 +80,7 @@
     ]
 
 
-def test_what_ends_a_command_is_told_by_its_type(tmp_path: Path) -> None:
+def test_an_error_that_ends_a_command_sets_its_message_and_exit_code(tmp_path: Path) -> None:
     torn = tmp_path / "inventory.snapshot"
     torn.write_bytes(b"torn")
     damaged = CliRunner().invoke(main, ["inventory", "show", str(torn)])
@@ -97,22 +97,26 @@
     assert minute.exit_code == 2 and minute.stderr.startswith("beechrock trace: ")
 
 
-def test_every_type_says_what_it_is_and_stands_in_the_page() -> None:
-    for made in types():
-        assert "__doc__" in vars(made) and first_sentence(made), f"{made}: no docstring of its own"
-        assert made.event != "error" and made.event == made.event.lower(), f"{made}: no event of its own"
-        assert made.exit_code in (1, 2) and made.__name__.endswith("Error"), made
-        told = made.__new__(made)
-        told.what, told.where, told.wanted, told.do = "w", "a:1: k", "n", "d"
-        assert str(told) == "a:1: k: w; wanted: n; d"
-        assert told.fields() == {
-            "error": made.__name__,
+def test_every_error_type_has_a_docstring_and_an_event_and_is_in_the_page() -> None:
+    for error_type in error_types():
+        assert "__doc__" in vars(error_type) and first_sentence(error_type), (
+            f"{error_type}: no docstring of its own"
+        )
+        assert error_type.event != "error" and error_type.event == error_type.event.lower(), (
+            f"{error_type}: no event of its own"
+        )
+        assert error_type.exit_code in (1, 2) and error_type.__name__.endswith("Error"), error_type
+        error = error_type.__new__(error_type)
+        error.what, error.where, error.wanted, error.do = "w", "a:1: k", "n", "d"
+        assert str(error) == "a:1: k: w; wanted: n; d"
+        assert error.fields() == {
+            "error": error_type.__name__,
             "what": "w",
             "where": "a:1: k",
             "wanted": "n",
             "do": "d",
         }
-    assert standing(PAGE.read_text()) == table(), "run: python tests/error_table.py"
+    assert current_table(PAGE.read_text()) == table(), "run: python tests/error_table.py"
 
 
 def test_no_bare_error_is_raised() -> None:
@@ -120,7 +124,9 @@
     for path in (ROOT / "beechrock").rglob("*.py"):
         for node in ast.walk(ast.parse(path.read_text())):
             if isinstance(node, ast.Raise):
-                made = node.exc.func if isinstance(node.exc, ast.Call) else node.exc
-                if isinstance(made, ast.Name) and made.id in BARE:
+                raised = node.exc.func if isinstance(node.exc, ast.Call) else node.exc
+                if isinstance(raised, ast.Name) and raised.id in BARE_ERRORS:
                     bare.add(str(path.relative_to(ROOT)))
-    assert not bare - STILL_BARE, f"a type under OperatorError is wanted: {sorted(bare - STILL_BARE)}"
+    assert not bare - FILES_WITH_BARE_ERRORS, (
+        f"a type under OperatorError is wanted: {sorted(bare - FILES_WITH_BARE_ERRORS)}"
+    )
--- a/tests/test_files.py
+++ b/tests/test_files.py
@@ -1,4 +1,4 @@
-"""What holds for each file of the tree."""
+"""Rules for the source files: length, order of imports, reads of the wall clock, names of settings."""
 
 import ast
 import subprocess
@@ -9,14 +9,14 @@
 from beechrock import settings_names
 
 ROOT = Path(__file__).parent.parent
-MOST_LINES = 400
-# Longer ones that still stand; none may be added, and a line goes with the split of its file.
-STILL_LONG: set[str] = {
+MAX_LINES = 400
+# Files that are still longer; none may be added, and an entry is removed when its file is split.
+OVERLONG_FILES: set[str] = {
     "tests/histories.py",
 }
-# Packages and modules of the top; each imports itself and what stands before it. The core knows no wire, the
-# inventory neither; the fleet's parts stand in the order of docs/fleet.md. A new one is given its place here.
-ORDER = (
+# Packages and top-level modules; each may import itself and those before it. The core and the inventory do
+# not depend on ``net``; the fleet's parts are in the order of docs/fleet.md. New packages are added here.
+IMPORT_ORDER = (
     "errors",
     "clocks",
     "interface",
@@ -57,17 +57,23 @@
     "cli",
     "__main__",
 )
-# Who imports what stands after it, and why; one that does so no more is taken off.
-AGAINST = {
-    ("beechrock.config.operator", "members"): "whose table it is checks it, and only where it is on",
-    ("beechrock.net.scgi_work", "lowering"): "types, and the tables' request, only where the table is on",
-    ("beechrock.clocks", "lab"): "clocks that leap, only where the environment names them",
-    ("beechrock.store.folder", "lab"): "a disk that lies, only where the environment names one",
+# Imports against the order, as (importing module, imported package), and why; unused entries are removed.
+ORDER_EXCEPTIONS = {
+    (
+        "beechrock.config.operator",
+        "members",
+    ): "the package checks its own table, and is imported only if the table is enabled",
+    (
+        "beechrock.net.scgi_work",
+        "lowering",
+    ): "types, and the request that tables decide on, only if the table is enabled",
+    ("beechrock.clocks", "lab"): "clocks that jump, only if the environment names a file of them",
+    ("beechrock.store.folder", "lab"): "a faulty disk, only if the environment names one",
 }
 
 
 def sources() -> list[str]:
-    """All Python files that git knows, or would take up."""
+    """Return all Python files that git tracks or would add."""
     found = subprocess.run(
         ["git", "ls-files", "-co", "--exclude-standard", "*.py"],
         cwd=ROOT,
@@ -80,15 +86,19 @@
 
 
 def test_no_file_is_over_400_lines() -> None:
-    long = {path for path in sources() if (ROOT / path).read_text().count("\n") > MOST_LINES}
-    assert not long - STILL_LONG, f"split by concern, over {MOST_LINES} lines: {sorted(long - STILL_LONG)}"
-    assert not STILL_LONG - long, f"no longer long, take off STILL_LONG: {sorted(STILL_LONG - long)}"
+    long = {path for path in sources() if (ROOT / path).read_text().count("\n") > MAX_LINES}
+    assert not long - OVERLONG_FILES, (
+        f"split by concern, over {MAX_LINES} lines: {sorted(long - OVERLONG_FILES)}"
+    )
+    assert not OVERLONG_FILES - long, (
+        f"no longer too long, remove from OVERLONG_FILES: {sorted(OVERLONG_FILES - long)}"
+    )
 
 
 def imported() -> dict[str, set[str]]:
-    """By module all that it imports of the program, wherever in its text, also late; the laboratory has all.
+    """Return, by module, the program's modules that it imports anywhere in its text; none for the laboratory.
 
-    For types only it counts as well, but not inside one package: two parts of one actor know each other.
+    Imports for types count as well, except within one package, where parts of one actor refer to each other.
     """
     names = {}
     for path in sources():
@@ -113,51 +123,53 @@
             if node in typing:
                 continue
             if isinstance(node, ast.ImportFrom) and node.module:
-                told = [f"{node.module}.{part.name}" for part in node.names]
-                found[name] |= {one if one in names else node.module for one in told} & set(names)
+                targets = [f"{node.module}.{part.name}" for part in node.names]
+                found[name] |= {one if one in names else node.module for one in targets} & set(names)
             elif isinstance(node, ast.Import):
                 found[name] |= {part.name for part in node.names} & set(names)
     return found
 
 
-def test_no_module_leads_back_to_itself() -> None:
-    left = {name: {other for other in told if other != name} for name, told in imported().items()}
+def test_no_imports_form_a_cycle() -> None:
+    left = {name: {other for other in imports if other != name} for name, imports in imported().items()}
     assert len(left) > 90
-    while left:  # those that import nothing that is left, or that nothing left imports, are on no circle
+    while left:  # a module that imports nothing left, or that nothing left imports, is on no cycle
         wanted = set().union(*left.values())
-        free = {name for name, told in left.items() if not told or name not in wanted}
+        free = {name for name, imports in left.items() if not imports or name not in wanted}
         if not free:
             break
-        left = {name: told - free for name, told in left.items() if name not in free}
-    assert not left, f"a circle of imports runs through some of {sorted(left)}"
+        left = {name: imports - free for name, imports in left.items() if name not in free}
+    assert not left, f"some of these modules form an import cycle: {sorted(left)}"
 
 
-def test_packages_import_only_what_stands_before_them() -> None:
+def test_packages_import_only_packages_before_them() -> None:
     against, used = [], set()
-    for name, told in imported().items():
-        mine, others = package(name), {package(other) for other in told}
+    for name, imports in imported().items():
+        mine, others = package(name), {package(other) for other in imports}
         for other in sorted(others - {mine}):
-            assert {mine, other} <= set(ORDER), f"{name}: give {mine} and {other} their place in ORDER"
-            if (name, other) in AGAINST:
+            assert {mine, other} <= set(IMPORT_ORDER), (
+                f"{name}: give {mine} and {other} their place in IMPORT_ORDER"
+            )
+            if (name, other) in ORDER_EXCEPTIONS:
                 used.add((name, other))
-            elif ORDER.index(other) > ORDER.index(mine):
+            elif IMPORT_ORDER.index(other) > IMPORT_ORDER.index(mine):
                 against.append(f"{name} imports {other}")
     assert not against, f"against the order of packages: {against}"
-    assert used == AGAINST.keys(), f"take off AGAINST: {AGAINST.keys() - used}"
+    assert used == ORDER_EXCEPTIONS.keys(), f"remove from ORDER_EXCEPTIONS: {ORDER_EXCEPTIONS.keys() - used}"
 
 
-# Who reads the wall clock beside ``clocks.py``, and why a step does no harm there.
+# Modules besides ``clocks.py`` that read the wall clock, and why a step of it does no harm there.
 WALL_CLOCK_USERS = {
-    "beechrock/program.py": "hands it to the core, for stamps of other processes only; number of a life",
+    "beechrock/program.py": "passes it to the core, only for stamps of other processes; number of a life",
     "beechrock/edges/part.py": "Unix times of queued writes, which outlive a machine",
     "beechrock/edges/member.py": "Unix times of queued writes, which outlive a machine",
-    "beechrock/limits/part.py": "hours of contracts, which are the calendar's; periods as of the start alone",
-    "beechrock/talk/part.py": "number of a life, which has to grow over restarts",
-    "beechrock/lab/pair.py": "stamps requests as front ends do; names of logs",
+    "beechrock/limits/part.py": "contracts' hours, which follow the calendar; periods, only as of the start",
+    "beechrock/talk/part.py": "number of a life, which must grow over restarts",
+    "beechrock/lab/pair.py": "stamps requests as front ends do; names log files",
     "beechrock/lab/syscall_play.py": "stamps requests as front ends do",
-    "beechrock/lab/fleet/fleet.py": "histories for people; hands the clocks to the laboratory",
+    "beechrock/lab/fleet/fleet.py": "histories for people to read; passes the clocks to the laboratory",
 }
-# Each reads the wall clock, where it is named, called without a time to convert, or imported.
+# Names that read the wall clock, as (owner, attribute).
 WALL_CLOCKS = {
     ("time", "time"),
     ("time", "time_ns"),
@@ -171,11 +183,12 @@
     ("clocks", "unix"),
     ("true_clocks", "wall"),
 }
-OF_NOW = {("time", "gmtime"): 0, ("time", "localtime"): 0, ("time", "ctime"): 0, ("time", "strftime"): 1}
+# Functions that convert the present time if they are called with at most this many arguments.
+CONVERT_NOW = {("time", "gmtime"): 0, ("time", "localtime"): 0, ("time", "ctime"): 0, ("time", "strftime"): 1}
 
 
 def reads_wall_clock(tree: ast.AST) -> bool:
-    """Whether a module names a wall clock in any of the ways that Python has."""
+    """Return whether a module names a wall clock, converts the present time, or imports such names."""
     for node in ast.walk(tree):
         if isinstance(node, ast.Attribute):
             owner = getattr(node.value, "id", getattr(node.value, "attr", ""))
@@ -183,17 +196,17 @@
                 return True
         elif isinstance(node, ast.Call) and isinstance(node.func, ast.Attribute):
             named = getattr(node.func.value, "id", ""), node.func.attr
-            if named in OF_NOW and len(node.args) <= OF_NOW[named]:
+            if named in CONVERT_NOW and len(node.args) <= CONVERT_NOW[named]:
                 return True
         elif isinstance(node, ast.ImportFrom) and {(node.module or "").rpartition(".")[2]} & {
             "time",
             "clocks",
         }:
-            return True  # under another name it could not be found here
+            return True  # a name imported from there could not be recognised in its uses
     return False
 
 
-def test_the_wall_clock_is_read_in_one_module_and_a_few_places_with_a_reason() -> None:
+def test_the_wall_clock_is_read_only_in_clocks_py_and_listed_modules() -> None:
     found = {
         path
         for path in sources()
@@ -220,8 +233,8 @@
     assert reads_wall_clock(ast.parse(line))
 
 
-def test_the_clocks_load_nothing_that_a_platform_node_has_not_loaded() -> None:
-    """They were not loaded there at all before the core's clock came from them."""
+def test_clocks_py_imports_only_modules_that_a_platform_node_loads_anyway() -> None:
+    """Platform nodes did not import clocks.py before the core took its clock from it."""
     top = ast.parse((ROOT / "beechrock/clocks.py").read_text()).body
     loaded = {part.name for node in top if isinstance(node, ast.Import) for part in node.names}
     loaded |= {node.module or "" for node in top if isinstance(node, ast.ImportFrom)}
@@ -232,25 +245,25 @@
     return module.split(".")[1] if "." in module else module
 
 
-# The inventory makes settings in the file's form; its own conversion takes it off.
+# Other modules that contain names of the settings file: the inventory still makes settings in that form.
 FILE_FORM_WRITERS = {
     "beechrock/inventory/layout.py",
     "beechrock/inventory/model.py",
-    "beechrock/lab/pair.py",  # writes a node's file, as a platform would
+    "beechrock/lab/pair.py",  # writes a node's file, as the platform does
 }
 
 
-def test_the_names_of_the_settings_file_stand_in_one_module() -> None:
+def test_only_settings_names_and_listed_modules_contain_names_of_the_settings_file() -> None:
     paths = [*settings_names.NODE_PATHS.values(), *settings_names.CLASS_PATHS.values()]
     paths += [*settings_names.TENANT_PATHS.values(), settings_names.GAUGE_ORDER_PATH]
     keys = {path.removesuffix("[]").rpartition(".")[2] for path in paths}
-    themed = {key for key in keys if key != key.lower()}  # the others are ordinary words
-    assert len(themed) > 30
+    private = {key for key in keys if key != key.lower()}  # the others are ordinary words
+    assert len(private) > 30
     named = {
         path
         for path in sources()
         if path.startswith("beechrock/")
         for node in ast.walk(ast.parse((ROOT / path).read_text()))
-        if isinstance(node, ast.Constant) and node.value in themed
+        if isinstance(node, ast.Constant) and node.value in private
     }
     assert named == {"beechrock/settings_names.py"} | FILE_FORM_WRITERS
--- a/tests/test_guard_lists.py
+++ b/tests/test_guard_lists.py
@@ -1,4 +1,4 @@
-"""The program that takes guards out, on a tree of three lines; and whether the lists fit the tree."""
+"""The tool that takes guards out, tested on a small tree; and whether the guard lists match this tree."""
 
 import sys
 from pathlib import Path
@@ -22,13 +22,13 @@
         ("n > 9", "False", "test_bound", Found.PROVEN),
         ("max(n, 0)", "n", "test_bound", Found.USELESS),
         ("n > 10", "False", "test_bound", Found.NOWHERE),
-        ("n = 9", "", "test_bound", Found.NOT_RUN),  # no Python any more
-        ("def most", "def least", "test_bound", Found.NOT_RUN),  # cannot be imported: proves nothing
+        ("n = 9", "", "test_bound", Found.NOT_RUN),  # no longer valid Python
+        ("def most", "def least", "test_bound", Found.NOT_RUN),  # the import fails, which proves nothing
         ("n > 9", "False", "test_gone", Found.NOT_GREEN),
         ("n > 9", "False", "test_never_green", Found.NOT_GREEN),
     ],
 )
-def test_only_a_test_that_passes_with_and_fails_without_proves_a_guard(
+def test_a_guard_is_proven_only_by_a_test_that_passes_with_it_and_fails_without_it(
     tmp_path: Path, text: str, instead: str, test: str, found: Found
 ) -> None:
     for name, source in TREE.items():
@@ -38,7 +38,7 @@
     assert (tmp_path / "part.py").read_text() == TREE["part.py"]  # the tree itself is not touched
 
 
-def test_each_text_of_the_lists_stands_just_once_and_its_test_has_a_file_with_it() -> None:
+def test_each_listed_guard_occurs_just_once_and_its_test_exists() -> None:
     listed = guards.read(guards.ROOT)
     for guard in listed:
         assert guards.taken_out((guards.ROOT / guard.file).read_text(), guard) is not None, guard
@@ -46,7 +46,7 @@
         assert f"def {name.partition('[')[0].rpartition('::')[2]}(" in (guards.ROOT / file).read_text(), guard
 
 
-def test_a_list_with_a_wrong_key_is_refused_with_its_place(tmp_path: Path) -> None:
+def test_a_list_with_an_unknown_key_is_refused_with_its_location(tmp_path: Path) -> None:
     (tmp_path / "docs" / "guards").mkdir(parents=True)
     (tmp_path / "docs" / "guards" / "part.toml").write_text('[[guard]]\nfile = "part.py"\nline = "x"\n')
     with pytest.raises(guards.ListError, match=r"part\.toml: guard 1: unknown \['line'\], missing"):
--- a/tests/test_known_failures.py
+++ b/tests/test_known_failures.py
@@ -8,7 +8,7 @@
 from known_failures import KnownFailure, KnownFailuresError, parse_known_failures, read_known_failures
 
 ROOT = Path(__file__).parent.parent
-REST = "pytest, seed 3 | failed once in 24 | a fault | 33"  # the columns behind the test's id
+REST = "pytest, seed 3 | failed once in 24 | a fault | 33"  # the columns after the test's id
 
 
 def test_lines_are_read_and_comments_passed_over() -> None:
@@ -39,7 +39,7 @@
 
 
 def collected_ids(folder: Path, files: set[str]) -> set[str]:
-    command = [sys.executable, "-m", "pytest", "--collect-only"]  # quiet already, by the project
+    command = [sys.executable, "-m", "pytest", "--collect-only"]  # the project's settings make it quiet
     options = ["-p", "no:cacheprovider", "-n", "0", "--rootdir", str(folder)]
     run = subprocess.run(
         [*command, *options, *files], cwd=folder, text=True, capture_output=True, check=False
--- a/tests/test_uptake.py
+++ b/tests/test_uptake.py
@@ -1,4 +1,4 @@
-"""A node takes up another inventory while requests wait and run: what was read is answered as promised."""
+"""A node adopts another inventory while requests wait and run: these are answered under the old one."""
 
 import asyncio
 from typing import Any
@@ -20,8 +20,8 @@
     number: int = 1,
     **more: dict[str, Any],
 ) -> Generation:
-    """Contracts by team and service, as ``a:pack``."""
-    told = {
+    """Return a generation with these teams, upstreams and contracts; ``a:pack`` is a's contract for pack."""
+    contract_table = {
         name.replace(":", "-"): {**c, "team": name[0], "service": name[2:]} for name, c in contracts.items()
     }
     return inventory_of(
@@ -29,22 +29,22 @@
         {
             "teams": {t: {} for t in teams},
             "services": {s: ({"upstreams": a} if a else {}) for s, a in upstreams.items()},
-            "contracts": told,
+            "contracts": contract_table,
             **more,
         },
         number,
     )
 
 
-async def opened(stand: Stand) -> tuple[str, str]:
-    """Two stand-in servers' addresses."""
-    places = [await stand.listen(name) for name in ("server", "other")]
-    return f"{places[0][0]}:{places[0][1]}", f"{places[1][0]}:{places[1][1]}"
+async def listen_twice(stand: Stand) -> tuple[str, str]:
+    """Start two stand-in servers, and return their addresses."""
+    addresses = [await stand.listen(name) for name in ("server", "other")]
+    return f"{addresses[0][0]}:{addresses[0][1]}", f"{addresses[1][0]}:{addresses[1][1]}"
 
 
-def test_a_contract_a_service_a_team_and_a_server_go_while_their_requests_run_and_wait() -> None:
+def test_requests_are_answered_after_their_contract_service_team_and_server_are_removed() -> None:
     async def work(stand: Stand) -> None:
-        one, two = await opened(stand)
+        one, two = await listen_twice(stand)
         first = generation("ab", {"pack": [one], "ship": [two]}, {"a:pack": CONTRACT, "b:ship": KEYED})
         stand.generations["without"] = generation("b", {"ship": [two]}, {"b:ship": KEYED}, 2)
         stand.generations["moved"] = generation("b", {"ship": [one]}, {"b:ship": KEYED}, 3)
@@ -64,7 +64,7 @@
             counter intake.requests 3
             inventory without
             counter open.draining_servers 1
-            # New requests go by the new inventory; what runs and what waits is answered by the old one.
+            # New requests follow the new inventory; running and waiting ones are answered under the old one.
             s = connect scgi
             s ask pack a four
             s answered 404
@@ -88,7 +88,7 @@
             q answered 200 done two
             w = accept other
             w ... ",three"
-            # Its server is taken out while it runs there; a repeat meanwhile shares the one run.
+            # The server is removed while the request runs there; a repeat meanwhile shares that run.
             inventory moved
             x = connect scgi
             x ask ship b three k1
@@ -113,9 +113,9 @@
     run(work)
 
 
-def test_a_key_is_known_whatever_becomes_of_its_service_and_its_place() -> None:
+def test_a_key_is_recognised_after_its_service_was_removed_and_added_again() -> None:
     async def work(stand: Stand) -> None:
-        one, two = await opened(stand)
+        one, two = await listen_twice(stand)
         contracts = {"a:ship": KEYED, "b:ship": KEYED}
         await stand.open(generation("ab", {"ship": [one]}, contracts))
         stand.generations["gone"] = generation(
@@ -149,18 +149,20 @@
     run(work)
 
 
-def test_what_a_team_has_spent_outlives_a_change_of_its_budget_and_its_absence() -> None:
+def test_a_teams_spending_outlives_a_change_of_its_budget_and_its_own_removal() -> None:
     async def work(stand: Stand) -> None:
-        one, _ = await opened(stand)
+        one, _ = await listen_twice(stand)
 
-        def told(amount: int, teams: str, number: int) -> Generation:
+        def with_budget(amount: int, teams: str, number: int) -> Generation:
             contracts = {f"{t}:pack": {**CONTRACT, "price": 5} for t in teams}
             budgets = {"d": {"team": "a", "amount": amount, "period_s": 86_400}} if "a" in teams else {}
             return generation(teams, {"pack": [one]}, contracts, number, budgets=budgets)
 
-        await stand.open(told(10, "ab", 1))
-        stand.generations.update(less=told(8, "ab", 2), without=told(8, "b", 3), back=told(20, "cab", 4))
-        asked = """
+        await stand.open(with_budget(10, "ab", 1))
+        stand.generations.update(
+            less=with_budget(8, "ab", 2), without=with_budget(8, "b", 3), back=with_budget(20, "cab", 4)
+        )
+        served_request = """
             {0} = connect scgi
             {0} ask pack {1} x
             u{0} = accept server
@@ -171,7 +173,7 @@
             """
         await stand.play(
             UP
-            + asked.format("k", "a")
+            + served_request.format("k", "a")
             + """
             inventory less
             l = connect scgi
@@ -179,9 +181,9 @@
             l answered 503
             inventory without
             """
-            + asked.format("m", "b")
+            + served_request.format("m", "b")
             + "inventory back\n"
-            + "".join(asked.format(f"o{n}", "a") for n in range(3))
+            + "".join(served_request.format(f"o{n}", "a") for n in range(3))
             + """
             p = connect scgi
             p ask pack a x
@@ -200,7 +202,7 @@
         async def served(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             try:
                 size = int((await reader.readuntil(b":"))[:-1])
-            except asyncio.IncompleteReadError:  # taken out while the node connected
+            except asyncio.IncompleteReadError:  # the server was removed while the node connected
                 return writer.close()
             block = await reader.readexactly(size + 1)
             key = block.split(b"HTTP_IDEMPOTENCY_KEY\0")[1].split(b"\0")[0]
@@ -210,44 +212,46 @@
             return writer.close()
 
         servers = [await asyncio.start_server(served, "127.0.0.1", 0) for _ in range(3)]
-        places = ["{}:{}".format(*s.sockets[0].getsockname()[:2]) for s in servers]
+        addresses = ["{}:{}".format(*s.sockets[0].getsockname()[:2]) for s in servers]
         contract = {**KEYED, "aim_ms": 60_000, "due_ms": 60_000, "window_ms": 60_000}
 
-        def told(n: int) -> Generation:
+        def generation_after(n: int) -> Generation:
             teams = "".join(sorted({"a", "bcdef"[n % 5]}, reverse=bool(n % 2)))
-            return generation(teams, {"ship": [places[n % 3]]}, {f"{t}:ship": contract for t in teams}, n + 1)
+            return generation(
+                teams, {"ship": [addresses[n % 3]]}, {f"{t}:ship": contract for t in teams}, n + 1
+            )
 
-        await stand.open(told(0))
+        await stand.open(generation_after(0))
         await stand.play(UP)
         assert stand.program.scgi is not None and stand.program.scgi.server is not None
         address = stand.program.scgi.server.sockets[0].getsockname()[:2]
 
-        # Beside full load 200 callers at once met the bound of the table, as any would (503).
-        room = asyncio.Semaphore(stand.program.scgi.max_connections // 2)
+        # On a fully loaded machine 200 callers at once reached the connection limit, and were answered 503.
+        free_slots = asyncio.Semaphore(stand.program.scgi.max_connections // 2)
 
         async def ask(n: int) -> None:
-            async with room:
+            async with free_slots:
                 reader, writer = await asyncio.open_connection(*address)
                 headers = {"HTTP_X_ROUTE": "ship", "HTTP_X_TEAM": "a", "HTTP_IDEMPOTENCY_KEY": f"k{n // 2}"}
                 writer.write(request_bytes(headers, b"x"))
                 answers.append(await reader.read())
                 writer.close()
 
-        asked = []
+        tasks = []
         for n in range(100):
-            asked += [asyncio.create_task(ask(2 * n)), asyncio.create_task(ask(2 * n + 1))]
+            tasks += [asyncio.create_task(ask(2 * n)), asyncio.create_task(ask(2 * n + 1))]
             await asyncio.sleep(0.002)
-            stand.generations["next"] = told(n + 1)
+            stand.generations["next"] = generation_after(n + 1)
             stand.take_up("next")
-        # The driven clock stands still but for this, so that nothing falls due.
+        # Only this loop advances the driven clock, so that no deadline passes.
         async with asyncio.timeout(20):
             while len(answers) < 200:
                 stand.now += 0.005
                 stand.program.module.mailbox.wake()
                 await asyncio.sleep(0.002)
-        await asyncio.gather(*asked)
-        served_right = [a for a in answers if a.startswith(b"Status: 200 ")]
-        assert len(served_right) == 200, [a for a in answers if a not in served_right][:3]
+        await asyncio.gather(*tasks)
+        successes = [a for a in answers if a.startswith(b"Status: 200 ")]
+        assert len(successes) == 200, [a for a in answers if a not in successes][:3]
         assert set(keys.values()) == {1} and len(keys) == 100
         assert not [c for c in stand.program.counters.lines() if c.startswith("trouble.")]
         for server in servers:
@@ -256,13 +260,13 @@
     run(work)
 
 
-def test_who_is_no_front_end_is_told_so_and_one_that_is_bound_asks_for_its_team() -> None:
+def test_a_caller_that_is_no_front_end_is_refused_and_a_bound_one_serves_only_its_team() -> None:
     async def work(stand: Stand) -> None:
-        one, _ = await opened(stand)
-        told = {"pack": [one]}, {"a:pack": CONTRACT, "b:pack": CONTRACT}
-        await stand.open(generation("ab", *told, front_ends={"f": {"network": "10.0.0.0/8"}}))
+        one, _ = await listen_twice(stand)
+        services = {"pack": [one]}, {"a:pack": CONTRACT, "b:pack": CONTRACT}
+        await stand.open(generation("ab", *services, front_ends={"f": {"network": "10.0.0.0/8"}}))
         stand.generations["bound"] = generation(
-            "ab", *told, 2, front_ends={"f": {"address": "127.0.0.1", "team": "a"}}
+            "ab", *services, 2, front_ends={"f": {"address": "127.0.0.1", "team": "a"}}
         )
         await stand.play(
             UP
