--- a/beechrock/__init__.py
+++ b/beechrock/__init__.py
@@ -1,4 +1,4 @@
-"""beechrock decides, inside each server of a fleet, what the server takes, runs and turns away."""
+"""Overload protection: decides, in each server of a fleet, which requests it accepts, runs and rejects."""
 
 from beechrock.interface import Settings
 from beechrock.policy import Node
--- a/beechrock/clocks.py
+++ b/beechrock/clocks.py
@@ -23,8 +23,8 @@
 LAB = "BEECHROCK_LAB_CLOCK"  # environment variable: path of the laboratory's clock file; not for operators
 BOOT_CLOCK = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
 # Two clocks are read one after the other: a pause in between would look like a step of the wall clock.
-MAX_READING_S = 0.0005  # a joint reading that takes longer is repeated
-MAX_READINGS = 4
+MAX_READING_S = 0.0005  # seconds; a reading of both clocks that takes longer is repeated
+MAX_READINGS = 4  # after these the quickest reading is used
 
 Clock = Callable[[], float]
 
--- a/beechrock/departure.py
+++ b/beechrock/departure.py
@@ -8,7 +8,7 @@
 from beechrock.net.connection_server import ConnectionServer
 from beechrock.net.direct_endpoint import load_input_check
 
-POLL_INTERVAL_S = 0.05  # between two checks of the event loop's lag and of whether the process is idle
+POLL_INTERVAL_S = 0.05  # seconds between two checks of the loop's lag and of whether the process is idle
 # Number of successive checks that must find a process with a successor idle before it ends early: a newly
 # accepted connection becomes visible only some turns of the event loop later.
 MIN_IDLE_CHECKS = 3
@@ -22,7 +22,7 @@
         self.began_at = 0.0
 
     def begin(self) -> None:
-        """Record the start of the shutdown, and import what its end needs."""
+        """Record the start of the shutdown, and import modules that closing connections needs."""
         load_input_check()
         self.began_at = asyncio.get_running_loop().time()
 
--- a/beechrock/errors.py
+++ b/beechrock/errors.py
@@ -12,7 +12,7 @@
     The place is a file, line, key, node, duty, edge or rule.
     """
 
-    exit_code: ClassVar[int] = 2  # of a process that the error ends
+    exit_code: ClassVar[int] = 2  # exit code of a process that the error ends
     event: ClassVar[str] = "error"  # name of the log event that reports the error
 
     def __init__(self, what: str, *, where: str = "", wanted: str = "", do: str = "") -> None:
--- a/beechrock/parts.py
+++ b/beechrock/parts.py
@@ -82,10 +82,10 @@
     module: "ModuleActor"
     program: Host
     parts: dict[str, Any] = field(default_factory=dict)  # parts created so far, by table
-    # Views at the second address, by path: a GET returns the result as JSON.
+    # Views at the operators' second address, by path: a GET returns the result as JSON.
     views: dict[str, Callable[[], object]] = field(default_factory=dict)
-    # Calls at the second address, by path: a POST passes the query's parameters and returns the result as
-    # JSON; an OperatorError is answered with 409.
+    # Calls at the operators' second address, by path: a POST passes the query's parameters and returns the
+    # result as JSON; an OperatorError is answered with 409.
     calls: dict[str, Callable[[dict[str, str]], object]] = field(default_factory=dict)
 
 
--- a/beechrock/program.py
+++ b/beechrock/program.py
@@ -355,7 +355,7 @@
         if self.configuration_file.has_changed():  # SIGHUP was ignored until here
             self.reload()
         await self.start()
-        gc.freeze()  # full collections examine only objects made later, and so are not put off
+        gc.freeze()  # full collections skip objects made so far, which would put them off
         await self.leaving.wait()
         await self.graceful_shutdown.wait(self._may_exit, self._limit_module)
         await self._end_connections()
--- a/beechrock/shared_socket.py
+++ b/beechrock/shared_socket.py
@@ -11,7 +11,7 @@
 
 log = logging.getLogger("beechrock")
 
-RETRY_S = 0.05  # between two attempts to listen on the shared socket
+RETRY_S = 0.05  # seconds between two attempts to listen on the shared socket
 
 
 class SharedSocket:
--- a/tests/known_failures.py
+++ b/tests/known_failures.py
@@ -47,5 +47,5 @@
 
 
 def read_known_failures(path: Path = KNOWN_FAILURES_FILE) -> list[KnownFailure]:
-    """Return the entries of the file, none where it does not exist."""
+    """Return the entries of the file, or none if it does not exist."""
     return parse_known_failures(path.read_text()) if path.exists() else []
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -21,7 +21,7 @@
 from beechrock.settings import settings_from
 
 START = 1_700_000_000.0  # time of the driven clock at the start
-STEP_S = 0.05
+STEP_S = 0.05  # of the driven clock
 CORES = 2  # of each server
 STOP_S = 3.4  # from the notice to leave to the kill
 HANG_S = 30.0  # longest wait for one condition, in real seconds
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -21,7 +21,7 @@
 
 from beechrock.core.clock_offset import TOLERANCE_S
 
-ANSWER_LATEST_S = 0.05  # longest time from a request's time limit to its answer
+ANSWER_LATEST_S = 0.05  # longest time from a request's time limit to its answer, in seconds
 FAILED = 'c%d < {02 00000001 0d 01 06"advice" 0006"0.0000"}\n'
 REFUSED = 'c%d ... 05"pause" 0004"1000"\n'
 
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -202,7 +202,7 @@
         with contextlib.suppress(BlockingIOError):
             caller.socket.send(bytes(1 << 20))  # a frame of length 0: nothing after it can be parsed
         await until(lambda: peer._shut, lambda: "its last answers are not written")
-        await asyncio.sleep(0.2)  # ten times LINGER_S
+        await asyncio.sleep(0.2)  # ten times the LINGER_S set above
         await caller.closed()
 
     run(work)
--- a/tests/test_closing_late.py
+++ b/tests/test_closing_late.py
@@ -56,7 +56,7 @@
         await stand.program._end_connections()
         for caller in (runs, unread, silent):
             await caller.closed()
-        assert verdicts(runs) == [FAILED]  # it may have run
+        assert verdicts(runs) == [FAILED]  # the request may have run
         assert verdicts(unread) == [REFUSED]
         assert stand.program.module.table.last_id == 1, "a request that was read last was forwarded"
 
@@ -299,7 +299,7 @@
 
 
 @pytest.mark.parametrize("stopped_before_kill_s", [0.2, 0.17, 0.15, 0.12])
-def test_a_process_that_is_stopped_in_its_last_moments_still_ends_before_it_is_killed(
+def test_a_process_that_is_suspended_in_its_last_moments_still_exits_before_its_kill(
     tmp_path: Path, stopped_before_kill_s: float
 ) -> None:
     """A second SIGTERM and a SIGINT change nothing; the process is really killed, with SIGKILL.
--- a/tests/test_closing_rare.py
+++ b/tests/test_closing_rare.py
@@ -144,7 +144,7 @@
         stand.now += 0.1
         idle.send(CHECK_2)
         await idle.answered()
-        for _ in range(3):  # the first one still sees that bytes have arrived
+        for _ in range(3):  # the first sweep still sees that bytes have arrived
             front._sweep()
         assert front._evict_if_full()
         await half.closed()
--- a/tests/test_known_failures.py
+++ b/tests/test_known_failures.py
@@ -11,7 +11,7 @@
 REST = "pytest, seed 3 | failed once in 24 | a fault | 33"  # the columns after the test's id
 
 
-def test_lines_are_read_and_comments_passed_over() -> None:
+def test_lines_are_read_and_comments_skipped() -> None:
     text = f"# why\n\ntests/test_a.py::test_b[3] | {REST}\n"
     assert parse_known_failures(text) == [
         KnownFailure("tests/test_a.py::test_b[3]", "pytest, seed 3", "failed once in 24", "a fault", "33")
--- a/tests/test_log_writes.py
+++ b/tests/test_log_writes.py
@@ -80,7 +80,7 @@
                 assert time.monotonic() < end and node.poll() is None
                 time.sleep(0.02)
         with link:
-            for _ in range(3):  # each writes the counters
+            for _ in range(3):  # each SIGUSR1 logs the counters
                 node.send_signal(signal.SIGUSR1)
                 link.sendall(CHECK)
                 assert receive_message(link)[4] == 5
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -79,17 +79,13 @@
                     refused = True
                 for caller in callers:  # to record the time of each close at once
                     caller.read()
-                for caller in callers[
-                    turn % 8 :: 8
-                ]:  # an eighth of them, as an overloaded node would prove nothing
+                for caller in callers[turn % 8 :: 8]:  # some, as an overloaded node would prove nothing
                     if not caller.ended:
                         stream = len(caller.owed) + 1
                         written[caller, stream] = time.monotonic()
                         caller.send(request(stream, round(time.time() * 1000), len(written)))
                         caller.read()
-                        if (
-                            caller.ended
-                        ):  # met the close; this loop may see other closes late on a busy machine
+                        if caller.ended:  # met the close; other closes may be seen late on a busy machine
                             written[caller, stream] = caller.ended_at
                 if refused and all(caller.ended for caller in callers):
                     break
@@ -103,7 +99,7 @@
         assert missed or not caller.reset, "the connection was reset, though every request on it was answered"
         for _, stream in missed:
             assert caller.ended_at - written[caller, stream] < 0.05, (
-                "a request sent before the close was not answered"
+                "a request sent over 50 ms before the close was not answered"
             )
 
 
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -67,9 +67,8 @@
         await stand.play('g > "greeting EMPTY 5\\r\\n"\nbeat BEAT n1 ready')
         await stand.step(["leave"], "leave")
         await stand.step(["beat", "BEAT", "n1", "draining"], "beat BEAT n1 draining")
-        assert (
-            stand.now == START + 0.2 and stand.beats[-1] == "BEAT n1 draining"
-        )  # sent without waiting for a tick
+        # It was sent without waiting for a tick.
+        assert stand.now == START + 0.2 and stand.beats[-1] == "BEAT n1 draining"
 
     run(work)
 
--- a/tests/test_uptake.py
+++ b/tests/test_uptake.py
@@ -20,7 +20,10 @@
     number: int = 1,
     **more: dict[str, Any],
 ) -> Generation:
-    """Return a generation with these teams, upstreams and contracts; ``a:pack`` is a's contract for pack."""
+    """Return a generation with these teams, upstreams and contracts.
+
+    Contracts are keyed by team and service, as ``a:pack``.
+    """
     contract_table = {
         name.replace(":", "-"): {**c, "team": name[0], "service": name[2:]} for name, c in contracts.items()
     }
