--- a/beechrock/program.py
+++ b/beechrock/program.py
@@ -263,7 +263,7 @@
 
     def _announce_leave(self) -> None:
         """Tell the module its time limit, and the registry whether this node is draining or replaced."""
-        self._limit_module(self.graceful_shutdown.steps.module_s())
+        self._post_shutdown_request(self.graceful_shutdown.steps.module_s())
         if self.registry is not None:
             self.registry.mailbox.put("ready" if self.replaced else "draining")
 
@@ -357,7 +357,7 @@
         await self.start()
         gc.freeze()  # full collections skip objects made so far, which would put them off
         await self.leaving.wait()
-        await self.graceful_shutdown.wait(self._may_exit, self._limit_module)
+        await self.graceful_shutdown.wait(self._may_exit, self._post_shutdown_request)
         await self._end_connections()
         self.close()
         for task in self.tasks:
@@ -381,7 +381,7 @@
     def _may_exit(self) -> bool:
         return self.handover is not None and self.handover.may_go()
 
-    def _limit_module(self, remaining_s: float) -> None:
+    def _post_shutdown_request(self, remaining_s: float) -> None:
         self.module.post(ShutdownRequested(remaining_s, self.replaced))
 
     async def _end_connections(self) -> None:
--- a/tests/test_closing_late.py
+++ b/tests/test_closing_late.py
@@ -281,7 +281,7 @@
         first = program.module.node.shutdown.kill_s
         stand.now += 3.0
         program.graceful_shutdown.began_at -= 3.0
-        program.graceful_shutdown._adopt_earlier(hastened(planned, 0.5), program._limit_module)
+        program.graceful_shutdown._adopt_earlier(hastened(planned, 0.5), program._post_shutdown_request)
         await until(lambda: program.module.node.shutdown.kill_s < first, lambda: "no second time limit")
         left_s = program.graceful_shutdown.steps.close_s - 3.0
         assert program.module.node.shutdown.kill_s - stand.now < left_s < planned.close_s - 3.0
--- a/tests/test_uptake.py
+++ b/tests/test_uptake.py
@@ -39,7 +39,7 @@
     )
 
 
-async def listen_twice(stand: Stand) -> tuple[str, str]:
+async def start_two_servers(stand: Stand) -> tuple[str, str]:
     """Start two stand-in servers, and return their addresses."""
     addresses = [await stand.listen(name) for name in ("server", "other")]
     return f"{addresses[0][0]}:{addresses[0][1]}", f"{addresses[1][0]}:{addresses[1][1]}"
@@ -47,7 +47,7 @@
 
 def test_requests_are_answered_after_their_contract_service_team_and_server_are_removed() -> None:
     async def work(stand: Stand) -> None:
-        one, two = await listen_twice(stand)
+        one, two = await start_two_servers(stand)
         first = generation("ab", {"pack": [one], "ship": [two]}, {"a:pack": CONTRACT, "b:ship": KEYED})
         stand.generations["without"] = generation("b", {"ship": [two]}, {"b:ship": KEYED}, 2)
         stand.generations["moved"] = generation("b", {"ship": [one]}, {"b:ship": KEYED}, 3)
@@ -118,7 +118,7 @@
 
 def test_a_key_is_recognised_after_its_service_was_removed_and_added_again() -> None:
     async def work(stand: Stand) -> None:
-        one, two = await listen_twice(stand)
+        one, two = await start_two_servers(stand)
         contracts = {"a:ship": KEYED, "b:ship": KEYED}
         await stand.open(generation("ab", {"ship": [one]}, contracts))
         stand.generations["gone"] = generation(
@@ -154,7 +154,7 @@
 
 def test_a_teams_spending_outlives_a_change_of_its_budget_and_its_own_removal() -> None:
     async def work(stand: Stand) -> None:
-        one, _ = await listen_twice(stand)
+        one, _ = await start_two_servers(stand)
 
         def with_budget(amount: int, teams: str, number: int) -> Generation:
             contracts = {f"{t}:pack": {**CONTRACT, "price": 5} for t in teams}
@@ -265,7 +265,7 @@
 
 def test_a_caller_that_is_no_front_end_is_refused_and_a_bound_one_serves_only_its_team() -> None:
     async def work(stand: Stand) -> None:
-        one, _ = await listen_twice(stand)
+        one, _ = await start_two_servers(stand)
         services = {"pack": [one]}, {"a:pack": CONTRACT, "b:pack": CONTRACT}
         await stand.open(generation("ab", *services, front_ends={"f": {"network": "10.0.0.0/8"}}))
         stand.generations["bound"] = generation(
