--- a/beechrock/releases/__init__.py
+++ b/beechrock/releases/__init__.py
@@ -1,5 +1,5 @@
-"""Who may be out, and how a release goes through the fleet.
+"""Permits to be out of service, and rolling releases of the fleet.
 
-Decides permits, budgets of unavailability, steps, halts and ways back; owns the machine ``releases`` of the
-agreed log. May import errors, store, talk, members, agree, duties.
+Decides permits, unavailability budgets, and the steps, halts and rollbacks of releases; owns the state
+machine ``releases`` of the agreed log. May import errors, store, talk, members, agree, duties.
 """
--- a/beechrock/releases/agreed.py
+++ b/beechrock/releases/agreed.py
@@ -1,14 +1,17 @@
-"""The agreed state of ``releases``, and what nodes and permits do to it. Pure.
-
-States are those of ``permits.py`` (a target) and ``release.py`` (a release, and a target in it). Events are
-commands of the log; each gives (True, what came of it) or (False, why nothing did). A permit's ``for_s`` is
-no part of it: whose clock ends the right to go says so (``expire``).
-
-Invariants (``check``, after each command; a broken one ends this process's part)
-- A permit that was granted, and neither claimed nor for one that is out as it is, fits each budget by a count
-  of its own; fences are unique, and none is above the index.
-- What went out, expired or is to return is held; ``go`` counts only under the permit's fence, not expired.
-- A node is back under the fence, in the life that the log knows, with the version that it was told.
+"""The replicated state of ``releases``, and the log commands of nodes and permits that change it. Pure.
+
+The states of a target are defined in ``permits.py``, those of a release and of its targets in ``release.py``.
+Events are commands of the log; each returns (True, its result) or (False, the reason for which it changed
+nothing). No clock is read: the driver's clock measures a permit's ``for_s``, and its command ``expire`` ends
+the right to go out.
+
+Invariants (``check`` runs after each command; a broken one ends this process's part in releases)
+- A granted permit fits each budget by a second, independent count, unless it was claimed or its target was
+  out already; fences are unique, and none is above the index of the last command.
+- A target that went out, expired or is to return holds a permit; ``go`` is taken only under the permit's
+  fence and before it expired.
+- A node ends its permit under its fence, in the newest life that the log knows, with the version that its
+  release wants.
 - At most one release is under way; a command of an older driver changes nothing.
 """
 
@@ -17,18 +20,21 @@
 from typing import Any
 
 from beechrock.releases.errors import BrokenInvariantError
-from beechrock.releases.permits import Ask, Budget, Kind, Permit, Permits, Refused, Target
+from beechrock.releases.permits import Budget, Kind, Permit, PermitRequest, Permits, Refused, Target
 from beechrock.releases.release import Release, Stage, Step
-from beechrock.releases.rows import budget, refusal
+from beechrock.releases.rows import describe_refusal, parse_budget
 
-MOST_NODES, MOST_SERVERS, MOST_TEXT = 256, 1024, 200
-VOTERS = "voters of the log"
-Done = tuple[bool, Any]
+MAX_NODES, MAX_SERVERS, MAX_TEXT = 256, 1024, 200  # MAX_TEXT: characters of a reason that are kept
+VOTERS = "voters of the log"  # service name under which a budget covers the log's voters
+Done = tuple[bool, Any]  # whether the command changed the state; its result, or the reason why not
 
 
 @dataclass(slots=True)
 class Node:
-    """What a node told of itself. ``proved``: of this life; until then it is cold, and counts as out."""
+    """The state that a node reported.
+
+    ``proved``: its current life proved that it serves. Until then the node is cold and counts as out.
+    """
 
     life: int
     hall: str
@@ -37,52 +43,53 @@
     proved: bool = False
 
 
-def own(budgets: Iterable[Budget]) -> tuple[Budget, ...]:
-    """Those of an operator's file; that of the log's voters goes with the log."""
-    return tuple(one for one in budgets if one.service != VOTERS)
+def configured_budgets(budgets: Iterable[Budget]) -> tuple[Budget, ...]:
+    """Return the budgets of an operator's file: all but that of the voters, which follows the log."""
+    return tuple(budget for budget in budgets if budget.service != VOTERS)
 
 
 class Agreed:
-    """Nodes' own words, the permits, and the releases' state; ``rows`` collects events of one command."""
+    """Reports of the nodes, permits and releases; ``rows`` collects the events of one command."""
 
     def __init__(self) -> None:
         self.nodes: dict[str, Node] = {}
-        self.names: list[str] = []  # nodes of the fleet, as the driver described it
-        self.voters: list[str] = []  # of the log; a budget can cover them as service VOTERS
-        self.servers: list[list[Any]] = []  # name, services
+        self.names: list[str] = []  # names of the fleet's nodes, as the driver described it
+        self.voters: list[str] = []  # names of the log's voters, which a budget can cover as service VOTERS
+        self.servers: list[list[Any]] = []  # one [name, services] for each server
         self.permits = Permits()
-        self.budgets_version = 0  # 0: whoever drives may change them
-        self.gone: dict[str, int] = {}  # by target the fence under which it went
-        self.expired: dict[str, int] = {}
-        self.returning: dict[str, int] = {}
+        self.budgets_version = 0  # version of the budgets in force; at 0 any driver may replace them
+        self.gone: dict[str, int] = {}  # by target: fence under which it went out
+        self.expired: dict[str, int] = {}  # by target: fence whose right to go out ended unused
+        self.returning: dict[str, int] = {}  # by target: fence under which an operator asked it to return
         self.releases: dict[str, Release] = {}
-        self.before: dict[str, list[int]] = {}  # a node's figures when the release took it
-        self.starts: dict[str, int] = {}  # lives that began since it was told to change
-        self.fence = self.index = 0
-        self.moved = 0  # index of the last command that a release took
-        self.broken = ""
-        self.rows: list[dict[str, Any]] = []
+        self.before: dict[str, list[int]] = {}  # by node: its request figures when the release got its permit
+        self.starts: dict[str, int] = {}  # by node: starts with the new version since its SENT step
+        self.fence = self.index = 0  # highest driver fence seen; index of the last applied command
+        self.moved = 0  # index of the last command that changed a release
+        self.broken = ""  # the invariant that was found broken; empty: none
+        self.rows: list[dict[str, Any]] = []  # events of the command being applied
 
-    # --- what is read
+    # --- reading
 
     def cold(self) -> frozenset[str]:
-        """Nodes that have not proved themselves in their newest life, or were never here."""
+        """Return the nodes that never registered or whose newest life has not proved that it serves."""
         return frozenset(name for name in self.names if name not in self.nodes or not self.nodes[name].proved)
 
     def running(self) -> Release | None:
-        return next((one for one in self.releases.values() if one.open), None)
+        """Return the release that is under way, if there is one."""
+        return next((release for release in self.releases.values() if release.open), None)
 
     def word(self, target: str) -> str:
-        """The version that this node is told to have now; empty: none."""
+        """Return the version that this node is to run now; empty: no change is wanted."""
         release = self.running()
-        return release.word(target) if release is not None else ""
+        return release.version_for(target) if release is not None else ""
 
     def may_go(self, target: str, fence: int) -> bool:
-        """Whether the holder of this fence may take the target out."""
+        """Return whether the holder of this fence may take the target out."""
         return self.permits.valid(target, fence) and not self.to_return(target)
 
     def to_return(self, target: str) -> bool:
-        """Whether a node that holds a permit is to come back, or to stay, as it is."""
+        """Return whether the target is to come back, or to stay in service, with its present version."""
         permit = self.permits.held.get(target)
         if permit is None or target in self.returning:
             return True
@@ -98,24 +105,24 @@
     # --- nodes
 
     def _here(self, index: int, name: str, life: int, hall: str, hardware: str, version: str) -> Done:
-        """A process of a node began. It is cold until it proves itself."""
+        """Register a node's new process. The node is cold until it proves that it serves."""
         known = self.nodes.get(name)
-        if known is None and len(self.nodes) >= MOST_NODES:
-            return False, f"over {MOST_NODES} nodes"
+        if known is None and len(self.nodes) >= MAX_NODES:
+            return False, f"over {MAX_NODES} nodes"
         if known is not None and life < known.life:
             return False, "a later life was here"
         if known is not None and life == known.life:
             return True, index
         self.nodes[name] = Node(life, hall, hardware, version)
         release = self.running()
-        # Seen with all processes killed at once: the old version's start counted as a restart of the new one.
+        # When all processes were killed at once, a start of the old version counted as one of the new.
         if release is not None and name in self.starts and version == release.plan.version:
             self.starts[name] += 1
-        self._describe_again(self.permits.budgets)
+        self._rebuild_targets(self.permits.budgets)
         return True, index
 
     def _proved(self, index: int, name: str, life: int) -> Done:
-        """In service without a permit: it had none, or its process began anew."""
+        """Mark a node that serves without a permit as proved; it held none, or its process started anew."""
         node = self.nodes.get(name)
         if node is None or node.life != life:
             return False, "another life is here"
@@ -134,23 +141,24 @@
         budgets: list[list[Any]],
         version: int = 0,
     ) -> Done:
-        if why := self._older(fence):
-            return False, why
-        told = [budget(row) for row in budgets]
-        # Budgets that changed with whoever drove: a node with an older file let more out.
+        if reason := self._older_driver(fence):
+            return False, reason
+        described = [parse_budget(row) for row in budgets]
+        # Without a version, budgets changed with the driver, and one with an older file let more nodes out.
         if version < self.budgets_version or (
-            version == self.budgets_version > 0 and own(told) != own(self.permits.budgets)
+            version == self.budgets_version > 0
+            and configured_budgets(described) != configured_budgets(self.permits.budgets)
         ):
             return False, f"budgets of version {version}, and {self.budgets_version} is in force"
-        if len(names) > MOST_NODES or len(servers) > MOST_SERVERS:
-            return False, f"over {MOST_NODES} nodes or {MOST_SERVERS} servers"
+        if len(names) > MAX_NODES or len(servers) > MAX_SERVERS:
+            return False, f"over {MAX_NODES} nodes or {MAX_SERVERS} servers"
         self.names, self.voters = sorted(names), sorted(voters)
-        self.servers = sorted([one[0], sorted(one[1])] for one in servers)
+        self.servers = sorted([server[0], sorted(server[1])] for server in servers)
         self.nodes = {name: node for name, node in self.nodes.items() if name in names}
         if version != self.budgets_version:
             self.permits.record(index, f"budgets version {version}", "", "driver")
         self.budgets_version = version
-        self._describe_again(told)
+        self._rebuild_targets(described)
         self.rows.append(
             {
                 "event": "releases.described",
@@ -164,7 +172,8 @@
         )
         return True, index
 
-    def _describe_again(self, budgets: Iterable[Budget]) -> None:
+    def _rebuild_targets(self, budgets: Iterable[Budget]) -> None:
+        """Rebuild targets and budgets, and drop the state of targets that no longer hold a permit."""
         targets = [
             Target(
                 name,
@@ -181,7 +190,8 @@
             for name in table.keys() - self.permits.held.keys():
                 del table[name]
 
-    def _older(self, fence: int) -> str:
+    def _older_driver(self, fence: int) -> str:
+        """Return why a driver with this fence is refused; empty if it is the newest, whose fence is kept."""
         if fence < self.fence:
             return f"an older driver: fence {fence}, and {self.fence} was heard"
         self.fence = fence
@@ -190,52 +200,57 @@
     # --- permits
 
     def _ask(
-        self, index: int, target: str, who: str, why: str, for_s: float, down: list[str], claim: bool
+        self, index: int, target: str, who: str, reason: str, for_s: float, down: list[str], claim: bool
     ) -> Done:
-        return self._granted(
-            index, Ask(target, who, why[:MOST_TEXT], float(for_s), frozenset(down), self.cold(), bool(claim))
+        return self._grant(
+            index,
+            PermitRequest(
+                target, who, reason[:MAX_TEXT], float(for_s), frozenset(down), self.cold(), bool(claim)
+            ),
         )
 
-    def _granted(self, index: int, asked: Ask) -> Done:
-        # Seen in simulation (seed 50): asked for before it was ever here, so of no hall yet, the last node of
-        # a hall was let out.
-        if asked.target in self.names and asked.target not in self.nodes:
-            return False, f"{asked.target} was never here"
-        held = asked.target in self.permits.held
-        found = self.permits.ask(index, asked)
+    def _grant(self, index: int, request: PermitRequest) -> Done:
+        # A node that never registered has no hall yet. In simulation (seed 50) such a request was granted,
+        # and the last node of a hall went out.
+        if request.target in self.names and request.target not in self.nodes:
+            return False, f"{request.target} was never here"
+        held = request.target in self.permits.held
+        found = self.permits.request(index, request)
         if isinstance(found, Refused):
-            return False, refusal(found)
+            return False, describe_refusal(found)
         if not held:
-            if self.permits.targets[asked.target].kind is Kind.SERVER:
-                self.gone[asked.target] = found.fence  # nobody has to go: it gets no new work
-            if not found.claimed and not asked.adds_nothing:
-                self._fits(self.permits.targets[asked.target])
-            self._tell(index, found, "claimed" if found.claimed else "granted", nothing=asked.adds_nothing)
+            if self.permits.targets[request.target].kind is Kind.SERVER:
+                self.gone[request.target] = found.fence  # a server needs no `go`
+            if not found.claimed and not request.already_out:
+                self._check_budgets(self.permits.targets[request.target])
+            self._record_permit(
+                index, found, "claimed" if found.claimed else "granted", nothing=request.already_out
+            )
         return True, found.fence
 
     def _go(self, index: int, target: str, fence: int) -> Done:
-        """The holder goes out now; said again it is the same word."""
+        """Record that the holder goes out now; repeats under one fence change nothing."""
         if not self.may_go(target, fence):
             return False, "no permit under this fence, or its right to go has ended"
         if target not in self.gone:
             self.gone[target] = fence
             if target in self.nodes:
                 self.nodes[target].proved = False
-            self._tell(index, self.permits.held[target], "gone")
+            self._record_permit(index, self.permits.held[target], "gone")
         return True, fence
 
     def _expire(self, index: int, driver: int, target: str, fence: int) -> Done:
-        """Nobody went in time, by the driver's clock. It counts as out until it says that it is in."""
-        if why := self._older(driver):
-            return False, why
+        """End an unused right to go out by the driver's clock; the target counts as out until it is back."""
+        if reason := self._older_driver(driver):
+            return False, reason
         if not self.permits.valid(target, fence) or target in self.gone:
             return False, "went, or holds no such permit"
         self.expired[target] = fence
-        self._tell(index, self.permits.held[target], "expired")
+        self._record_permit(index, self.permits.held[target], "expired")
         return True, fence
 
     def _return(self, index: int, target: str, who: str) -> Done:
-        """An operator wants it back; it comes by its own proof."""
+        """Ask a target to return, for an operator; its permit ends only with its proof that it serves."""
         permit = self.permits.held.get(target)
         if permit is None:
             return False, f"{target} is out under no permit"
@@ -246,8 +261,11 @@
         return True, permit.fence
 
     def _back(self, index: int, target: str, fence: int, life: int, unused: bool = False) -> Done:
-        """It serves again, by its own proof, in this life (0: a server, as over half of its users reach it).
-        ``unused``: it never stopped serving, and will not go under this fence any more."""
+        """End the permit of a target that proved that it serves again.
+
+        ``life``: the node's life; 0 for a server, which is proved once over half of its users reach it.
+        ``unused``: the node never stopped serving, and will not go out under this fence any more.
+        """
         permit, node = self.permits.held.get(target), self.nodes.get(target)
         if permit is None or permit.fence != fence:
             return False, "not out under this fence"
@@ -260,34 +278,34 @@
         if node is not None:
             node.proved = True
         if node is None or word != node.version:
-            self._unchanged(index, permit)
-        self._ended(index, permit, "back")
+            self._reset_step(index, permit)
+        self._finish_permit(index, permit, "back")
         return True, fence
 
-    def _force(self, index: int, target: str, who: str, why: str) -> Done:
+    def _force(self, index: int, target: str, who: str, reason: str) -> Done:
         permit = self.permits.held.get(target)
         if permit is None:
             return False, f"{target} is out under no permit"
-        self.permits.force_back(index, target, f"{who}: {why}"[:MOST_TEXT])
-        self._unchanged(index, permit)
-        self._ended(index, permit, "forced")
+        self.permits.force_back(index, target, f"{who}: {reason}"[:MAX_TEXT])
+        self._reset_step(index, permit)
+        self._finish_permit(index, permit, "forced")
         return True, permit.fence
 
-    def _unchanged(self, index: int, permit: Permit) -> None:
-        """For its release it is as if it had never been asked for: it is asked for again."""
+    def _reset_step(self, index: int, permit: Permit) -> None:
+        """Reset the target's step in its release, which then asks for its permit again."""
         release = self.releases.get(permit.release)
-        if release is not None and release.returned_unchanged(permit.target):
+        if release is not None and release.reset_target(permit.target):
             back = release.stage is Stage.BACKING
-            self._tell_release(index, permit.release, "unchanged", permit.target, back)
+            self._record_release(index, permit.release, "unchanged", permit.target, back)
 
-    def _ended(self, index: int, permit: Permit, state: str) -> None:
+    def _finish_permit(self, index: int, permit: Permit, state: str) -> None:
         for table in (self.gone, self.expired, self.returning):
             table.pop(permit.target, None)
-        self._tell(index, permit, state)
+        self._record_permit(index, permit, state)
 
-    # --- what is told, and looked at
+    # --- events and checks
 
-    def _tell(self, index: int, permit: Permit, state: str, nothing: bool = False) -> None:
+    def _record_permit(self, index: int, permit: Permit, state: str, nothing: bool = False) -> None:
         self.rows.append(
             {
                 "event": "permit",
@@ -300,7 +318,7 @@
             }
         )
 
-    def _tell_release(
+    def _record_release(
         self,
         index: int,
         name: str,
@@ -323,8 +341,8 @@
             }
         )
 
-    def _fits(self, target: Target) -> None:
-        """What is held by permit, counted anew in each budget that covers the target."""
+    def _check_budgets(self, target: Target) -> None:
+        """Check that the permits held fit each budget that covers the target, by an independent count."""
         for one in self.permits.budgets:
             mine = [
                 t
@@ -332,25 +350,25 @@
                 if one.covers(t) and one.covers(target) and (not one.each_hall or t.hall == target.hall)
             ]
             if mine and sum(t.name in self.permits.held for t in mine) > one.allowed(len(mine)):
-                self._never(f"{target.name} was let out over budget {one.name}")
+                self._fail(f"{target.name} was let out over budget {one.name}")
 
     def check(self) -> None:
-        """BrokenInvariantError."""
+        """Raise BrokenInvariantError if the state breaks an invariant."""
         held = self.permits.held
         fences = [permit.fence for permit in held.values()]
         if len(set(fences)) != len(fences) or any(fence > self.index for fence in fences):
-            self._never("two permits with one fence, or a fence that is not yet")
+            self._fail("two permits with one fence, or a fence that is not yet")
         for table in (self.gone, self.expired, self.returning):
             if any(name not in held or held[name].fence != fence for name, fence in table.items()):
-                self._never("a word about a permit that is not held")
+                self._fail("a word about a permit that is not held")
         if self.gone.keys() & self.expired.keys():
-            self._never("went out under a right that had ended")
+            self._fail("went out under a right that had ended")
         if sum(release.open for release in self.releases.values()) > 1:
-            self._never("two releases are under way")
+            self._fail("two releases are under way")
         for release in self.releases.values():
             left = {name for name, step in release.steps.items() if step is not Step.TODO}
             if left != set(release.touched) or len(release.touched) != len(left):
-                self._never(f"release {release.plan.name}: steps and order differ")
+                self._fail(f"release {release.plan.name}: steps and order differ")
 
-    def _never(self, what: str) -> None:
+    def _fail(self, what: str) -> None:
         raise BrokenInvariantError(what, where="machine releases", do="keep the log; see docs/releases.md")
--- a/beechrock/releases/driver.py
+++ b/beechrock/releases/driver.py
@@ -1,32 +1,33 @@
-"""What the holder of the duty ``releases:driver`` proposes next. Pure.
+"""The driver, run by the holder of the duty ``releases:driver``: which commands it proposes next. Pure.
 
-States: those of the releases in the agreed state, which is all that it acts on; what it keeps itself (since
-when it sees something, figures at its begin) only makes it wait, so that another can go on at any point.
-One event: ``step(now, seen)``, some times a second, and ``refused`` with the log's answer to a ``take``.
+It acts on the replicated state of the releases. Its own state (since when it has seen a condition, baseline
+figures) only delays its actions, so another driver can take over at any point.
+Events: ``step(now, seen)``, some times a second, and ``refused`` with the log's refusal of a ``take``.
 
 Invariants
-- Each act is one command, which names the state that it leaves and the driver's fence: no step twice.
-- It never brings a target back, and frees no permit of a node; it lets nobody out but by ``take``.
-- A release goes on only while it is RUNNING, with a quorum, and no more down than each budget allows.
+- Each action is one command, which names the state that it leaves and the driver's fence: no step runs twice.
+- The driver never brings a target back, and ends no node's permit; it lets targets out only by ``take``.
+- A release proceeds only while it is RUNNING, has a quorum, and no more nodes are down than each budget
+  allows.
 """
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 from typing import Any
 
-from beechrock.releases.agreed import VOTERS, Agreed, own
-from beechrock.releases.judge import Figures, Judged, Rules, Verdict, judge, total
+from beechrock.releases.agreed import VOTERS, Agreed, configured_budgets
+from beechrock.releases.judge import Figures, Judgement, Rules, Verdict, judge, total
 from beechrock.releases.permits import Budget, Kind
-from beechrock.releases.release import Act, Release, Stage, Step, Todo, next_acts
+from beechrock.releases.release import Act, Release, Stage, Step, Todo, next_actions
 from beechrock.releases.rows import budget_rows
 
-ASK_S = 1.0  # until a permit that was refused is asked for again
-MOST_WAITS = 20  # lines of whom it waits for
+PERMIT_RETRY_S = 1.0  # seconds until a refused permit is requested again
+MAX_WAITS = 20  # lines that name what the driver waits for
 
 
 @dataclass(frozen=True, slots=True)
 class Command:
-    """To be proposed; ``rest`` without the fence, which goes first."""
+    """A command to propose; ``rest`` are its arguments without the driver's fence, which precedes them."""
 
     verb: str
     rest: tuple[Any, ...]
@@ -34,20 +35,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Status:
-    """A node's own word, heard lately."""
+    """A recent report of a node about itself."""
 
     life: int
     figures: Figures
-    open: int = 0
+    open: int = 0  # requests in progress
 
 
 @dataclass(frozen=True, slots=True)
 class Seen:
-    """``down``: as links and membership say, those out by permit left in; ``outage``: why the release is to
-    stop for it, empty without."""
+    """The input of one step of the driver.
+
+    ``down``: nodes that links and membership report as down, with or without a permit; ``outage``: reason to
+    halt the release for a lost quorum, or empty.
+    """
 
     machine: Agreed
-    heard: Mapping[str, Status]
+    statuses: Mapping[str, Status]
     down: frozenset[str]
     names: list[str]
     voters: list[str]
@@ -59,105 +63,114 @@
 
 @dataclass(slots=True)
 class Watch:
-    """Whether the log stood still for long while a release was under way; each node looks for itself, and
-    says so to the others: what one alone saw was its own cut.
+    """Detects that the log had no leader for long. Each node watches, and reports it to the others.
+
+    An outage that only one node saw is a cut of that node's own links.
     """
 
     quorum_s: float
-    since: float | None = None
-    moved: int = 0
-    stood: tuple[int, float] = (-1, 0.0)  # the last move before an outage, and how long that was
+    lost_at: float | None = None  # start of the present outage; None while there is a leader
+    moved: int = 0  # index of the last command that changed a release, as the outage began
+    last_outage: tuple[int, float] = (
+        -1,
+        0.0,
+    )  # that index for the last long outage, and its length in seconds
 
     def look(self, now: float, led: bool, machine: Agreed) -> float:
-        """How long, in seconds, the outage was that ended last; 0: none, or the release moved since."""
+        """Return the seconds of the last outage; 0: none, one still lasts, or a release has moved lost_at."""
         if not led:
-            if self.since is None:
-                self.since, self.moved = now, machine.moved
+            if self.lost_at is None:
+                self.lost_at, self.moved = now, machine.moved
             return 0.0
-        if self.since is not None and now - self.since >= self.quorum_s:
-            self.stood = self.moved, now - self.since
-        self.since = None
-        # Whoever had a quorum meanwhile moved the release, and was no outage for it.
-        return self.stood[1] if machine.moved == self.stood[0] else 0.0
+        if self.lost_at is not None and now - self.lost_at >= self.quorum_s:
+            self.last_outage = self.moved, now - self.lost_at
+        self.lost_at = None
+        # If the release moved meanwhile, the log had a quorum, and only this node was cut off.
+        return self.last_outage[1] if machine.moved == self.last_outage[0] else 0.0
 
 
 @dataclass(slots=True)
 class Driver:
-    """One term of the duty."""
+    """The driver's state during one term of the duty."""
 
     rules: Rules
-    return_s: float
-    gone_s: float
-    since: dict[tuple[str, ...], float] = field(default_factory=dict)  # when it saw something first
-    asked: dict[str, tuple[float, str]] = field(default_factory=dict)  # refused permits: when, why
-    base: dict[str, tuple[int, Figures]] = field(default_factory=dict)  # others' figures at the begin
-    waits: list[str] = field(default_factory=list)
+    return_s: float  # seconds until a changed node that has not returned halts the release
+    gone_s: float  # seconds for which too many nodes must be down to halt the release
+    first_seen: dict[tuple[str, ...], float] = field(default_factory=dict)  # by condition: when first seen
+    refusals: dict[str, tuple[float, str]] = field(default_factory=dict)  # refused permits: (time, reason)
+    baselines: dict[str, tuple[int, Figures]] = field(
+        default_factory=dict
+    )  # other nodes: life, first figures
+    waits: list[str] = field(default_factory=list)  # lines that name what the driver waits for
 
     def step(self, now: float, seen: Seen) -> list[Command]:
+        """Return the commands to propose now."""
         machine = seen.machine
         live: set[tuple[str, ...]] = set()
-        found = self._described(seen) + self._expire(now, machine, live)
+        commands = self._describe(seen) + self._expire(now, machine, live)
         self.waits = []
         if seen.budgets_version == machine.budgets_version > 0 and (
-            own(seen.budgets) != own(machine.permits.budgets)
+            configured_budgets(seen.budgets) != configured_budgets(machine.permits.budgets)
         ):
             self.waits.append(
                 f"budgets: others of version {machine.budgets_version} are in force; raise budgets_version"
             )
         release = machine.running()
         if release is None:
-            self.base, self.asked = {}, {}
+            self.baselines, self.refusals = {}, {}
         elif machine.index:
-            found += self._release(now, seen, release, live)
-        self.since = {key: at for key, at in self.since.items() if key in live}
-        del self.waits[MOST_WAITS:]
-        return found
+            commands += self._release(now, seen, release, live)
+        self.first_seen = {key: at for key, at in self.first_seen.items() if key in live}
+        del self.waits[MAX_WAITS:]
+        return commands
 
-    def refused(self, now: float, target: str, why: str) -> None:
-        """The log's answer to ``take``."""
-        self.asked[target] = now, why
+    def refused(self, now: float, target: str, reason: str) -> None:
+        """Record the log's refusal of a ``take``, which is retried after PERMIT_RETRY_S."""
+        self.refusals[target] = now, reason
 
-    def _for(self, now: float, live: set[tuple[str, ...]], *key: str) -> float:
-        """How long it has seen this without a break."""
+    def _seconds_seen(self, now: float, live: set[tuple[str, ...]], *key: str) -> float:
+        """Return the seconds for which this condition has held without a break."""
         live.add(key)
-        return now - self.since.setdefault(key, now)
+        return now - self.first_seen.setdefault(key, now)
 
-    def _described(self, seen: Seen) -> list[Command]:
+    def _describe(self, seen: Seen) -> list[Command]:
         machine = seen.machine
-        told, budgets, version = (seen.names, seen.voters, seen.servers), seen.budgets, seen.budgets_version
-        if version <= machine.budgets_version > 0:  # those in force stay, whoever drives
+        fleet, budgets, version = (seen.names, seen.voters, seen.servers), seen.budgets, seen.budgets_version
+        if version <= machine.budgets_version > 0:  # the budgets in force stay, whichever node drives
             version = machine.budgets_version
-            budgets = own(machine.permits.budgets) + tuple(one for one in budgets if one.service == VOTERS)
-        if (machine.names, machine.voters, machine.servers) == told and (
+            budgets = configured_budgets(machine.permits.budgets) + tuple(
+                budget for budget in budgets if budget.service == VOTERS
+            )
+        if (machine.names, machine.voters, machine.servers) == fleet and (
             (machine.permits.budgets, machine.budgets_version) == (budgets, version)
         ):
             return []
-        return [Command("describe", (*told, budget_rows(budgets), *([version] if version else [])))]
+        return [Command("describe", (*fleet, budget_rows(budgets), *([version] if version else [])))]
 
     def _expire(self, now: float, machine: Agreed, live: set[tuple[str, ...]]) -> list[Command]:
-        found = []
+        commands = []
         for name, permit in machine.permits.held.items():
             if name in machine.gone or name in machine.expired:
                 continue
-            if self._for(now, live, "permit", name, str(permit.fence)) > permit.for_s:
-                found.append(Command("expire", (name, permit.fence)))
-        return found
+            if self._seconds_seen(now, live, "permit", name, str(permit.fence)) > permit.for_s:
+                commands.append(Command("expire", (name, permit.fence)))
+        return commands
 
     def _release(self, now: float, seen: Seen, release: Release, live: set[tuple[str, ...]]) -> list[Command]:
         name, running = release.plan.name, release.stage is Stage.RUNNING
         late = {
-            target: self._for(now, live, "sent", name, target)
+            target: self._seconds_seen(now, live, "sent", name, target)
             for target, step in release.steps.items()
             if step is Step.SENT
         }
         if running:
-            reason = seen.outage or self._too_many(now, seen, live) or self._bad(now, seen, release)
+            reason = seen.outage or self._too_many_down(now, seen, live) or self._breach(now, seen, release)
             if reason:
                 return [Command("stop", (name, reason))]
-        found = []
-        for todo in next_acts(release, late, True, self.return_s):
-            found += self._act(now, seen, release, todo, live, late)
-        return found
+        commands = []
+        for todo in next_actions(release, late, True, self.return_s):
+            commands += self._act(now, seen, release, todo, live, late)
+        return commands
 
     def _act(
         self,
@@ -173,12 +186,12 @@
             case Act.HALT:
                 return [Command("stop", (name, todo.reason))]
             case Act.ASK:
-                at, why = self.asked.get(target, (now - ASK_S, ""))
-                if now - at < ASK_S:
-                    self.waits.append(f"{target}: no permit: {why}")
+                at, reason = self.refusals.get(target, (now - PERMIT_RETRY_S, ""))
+                if now - at < PERMIT_RETRY_S:
+                    self.waits.append(f"{target}: no permit: {reason}")
                     return []
-                figures = seen.heard[target].figures if target in seen.heard else Figures()
-                return [Command("take", (name, target, todo.back, sorted(seen.down), row(figures)))]
+                figures = seen.statuses[target].figures if target in seen.statuses else Figures()
+                return [Command("take", (name, target, todo.back, sorted(seen.down), figures_row(figures)))]
             case Act.SEND:
                 if target in machine.cold():
                     return [Command("step", (name, target, Step.PERMITTED.value, todo.back))]
@@ -194,62 +207,67 @@
                     self.waits.append(f"{target}: is to come back with {todo.version}{waited}")
             case Act.JUDGE:
                 wave = release.good
-                judged = self._judged(
-                    seen, release, release.plan.waves[wave], self._for(now, live, "judge", name, str(wave))
+                judged = self._judge_nodes(
+                    seen,
+                    release,
+                    release.plan.waves[wave],
+                    self._seconds_seen(now, live, "judge", name, str(wave)),
                 )
                 if judged.verdict is not Verdict.WAIT:
                     return [Command("judged", (name, wave, judged.verdict.value, judged.reason))]
                 self.waits.append(f"wave {wave + 1}: {judged.reason}")
         return []
 
-    # --- what stops a release
+    # --- reasons to halt a release
 
-    def _too_many(self, now: float, seen: Seen, live: set[tuple[str, ...]]) -> str:
-        """Out without a permit, beyond a budget, seen for ``gone_s`` without a break."""
+    def _too_many_down(self, now: float, seen: Seen, live: set[tuple[str, ...]]) -> str:
+        """Return the reason if, for ``gone_s``, more nodes without a permit are down than a budget allows."""
         machine = seen.machine
         out = (seen.down | machine.cold()) - machine.permits.held.keys()
-        for one in machine.permits.budgets:
-            for hall in sorted({t.hall for t in machine.permits.targets.values()}) if one.each_hall else [""]:
-                mine = [
+        for budget in machine.permits.budgets:
+            for hall in (
+                sorted({t.hall for t in machine.permits.targets.values()}) if budget.each_hall else [""]
+            ):
+                covered = [
                     t.name
                     for t in machine.permits.targets.values()
-                    if one.kind is Kind.NODE and one.covers(t) and hall in ("", t.hall)
+                    if budget.kind is Kind.NODE and budget.covers(t) and hall in ("", t.hall)
                 ]
-                lost = sorted(out & set(mine))
+                lost = sorted(out & set(covered))
                 if (
                     lost
-                    and len(lost) > one.allowed(len(mine))
-                    and (self._for(now, live, "down", one.name, hall) >= self.gone_s)
+                    and len(lost) > budget.allowed(len(covered))
+                    and (self._seconds_seen(now, live, "down", budget.name, hall) >= self.gone_s)
                 ):
                     return (
-                        f"{len(lost)} down, budget {one.name} allows {one.allowed(len(mine))}: "
+                        f"{len(lost)} down, budget {budget.name} allows {budget.allowed(len(covered))}: "
                         f"{', '.join(lost[:5])}"
                     )
         return ""
 
-    def _bad(self, now: float, seen: Seen, release: Release) -> str:
-        """A breach is told at once, whatever wave is open."""
+    def _breach(self, now: float, seen: Seen, release: Release) -> str:
+        """Return the reason of a BAD verdict on the returned nodes, which halts at once in any wave."""
         touched = [name for name in release.touched if release.steps[name] is Step.RETURNED]
-        judged = self._judged(seen, release, touched, 0.0)
+        judged = self._judge_nodes(seen, release, touched, 0.0)
         return judged.reason if judged.verdict is Verdict.BAD else ""
 
-    def _judged(self, seen: Seen, release: Release, names: Any, waited_s: float) -> Judged:
+    def _judge_nodes(self, seen: Seen, release: Release, names: Any, waited_s: float) -> Judgement:
         machine = seen.machine
         starts = max([machine.starts.get(name, 0) - 1 for name in release.touched] + [0])
-        new = total(self._now(seen, name) for name in names) + Figures(restarts=starts)
+        new = total(self._current_figures(seen, name) for name in names) + Figures(restarts=starts)
         rest = []
         for name in machine.names:
-            if name not in release.touched and name in seen.heard:
-                status = seen.heard[name]
-                life, begun = self.base.setdefault(name, (status.life, status.figures))
+            if name not in release.touched and name in seen.statuses:
+                status = seen.statuses[name]
+                life, baseline = self.baselines.setdefault(name, (status.life, status.figures))
                 if life == status.life:
-                    rest.append(minus(status.figures, begun))
-        before = total(figures(machine.before[name]) for name in names if name in machine.before)
+                    rest.append(difference(status.figures, baseline))
+        before = total(parse_figures(machine.before[name]) for name in names if name in machine.before)
         return judge(new, total(rest), before, waited_s, self.rules)
 
-    def _now(self, seen: Seen, name: str) -> Figures:
-        """Since its process began, which was its return."""
-        status, node = seen.heard.get(name), seen.machine.nodes.get(name)
+    def _current_figures(self, seen: Seen, name: str) -> Figures:
+        """Return a node's figures since its process started, if it is the life that the log knows."""
+        status, node = seen.statuses.get(name), seen.machine.nodes.get(name)
         return (
             status.figures
             if status is not None and node is not None and status.life == node.life
@@ -257,14 +275,18 @@
         )
 
 
-def row(told: Figures) -> list[int]:
-    return [told.requests, told.served, told.refused, told.failed, told.slow]
+def figures_row(figures: Figures) -> list[int]:
+    """Return the figures as the row that is sent and stored; it has no restarts."""
+    return [figures.requests, figures.served, figures.refused, figures.failed, figures.slow]
 
 
-def figures(told: list[int]) -> Figures:
-    """Nothing, where it is no such row."""
-    return Figures(*map(int, told)) if len(told) == 5 else Figures()
+def parse_figures(row: list[int]) -> Figures:
+    """Return the figures of a row; zeros if its length is wrong."""
+    return Figures(*map(int, row)) if len(row) == 5 else Figures()
 
 
-def minus(told: Figures, begun: Figures) -> Figures:
-    return Figures(*(now - then for now, then in zip(row(told), row(begun), strict=True)))
+def difference(latest: Figures, baseline: Figures) -> Figures:
+    """Return the counts since the baseline."""
+    return Figures(
+        *(now - then for now, then in zip(figures_row(latest), figures_row(baseline), strict=True))
+    )
--- a/beechrock/releases/driving.py
+++ b/beechrock/releases/driving.py
@@ -1,4 +1,4 @@
-"""The worker of the duty under which one node drives all releases."""
+"""Worker of the duty ``releases:driver``, whose holder drives all releases."""
 
 from typing import TYPE_CHECKING
 
@@ -9,14 +9,14 @@
 
 
 class Driving:
-    """The duty's worker."""
+    """The worker that the duties part calls; it creates and drops the part's driver."""
 
     def __init__(self, part: "Releases") -> None:
         self.part = part
 
     async def take_over(self, fence: int) -> None:
-        told = self.part.told
-        self.part.driver = Driver(told.rules, told.return_s, told.gone_s)
+        settings = self.part.settings
+        self.part.driver = Driver(settings.rules, settings.return_s, settings.gone_s)
 
     async def give_up(self) -> None:
         self.part.driver = None
--- a/beechrock/releases/errors.py
+++ b/beechrock/releases/errors.py
@@ -1,4 +1,4 @@
-"""What permits and releases tell an operator."""
+"""Errors of permits and releases that operators see."""
 
 from beechrock.errors import OperatorError
 
--- a/beechrock/releases/judge.py
+++ b/beechrock/releases/judge.py
@@ -1,10 +1,10 @@
-"""Whether a new version is fit to go on: its nodes' own figures against the rest, and against before. Pure.
+"""Verdict on a new version: its nodes' figures compared with the other nodes, or with before. Pure.
 
-Verdicts: GOOD (go on), BAD (halt, with the reason), WAIT (too little seen yet). Thin traffic: with fewer
-than ``least`` requests the verdict waits, at most ``most_wait_s``; then only what needs no traffic counts
-(restarts, nodes that did not come back), and GOOD says ``thin``.
+Verdicts: GOOD (go on), BAD (halt, with the reason), WAIT (too few requests yet). Under thin traffic, with
+fewer than ``least`` requests, the verdict waits for at most ``most_wait_s``; after that only restarts count
+(the driver halts for nodes that do not return), and the reason of a GOOD verdict starts with ``thin``.
 
-Invariant: BAD is said on what was counted alone; silence is WAIT, never BAD and never GOOD before its time.
+Invariant: BAD rests on counted requests or restarts only; missing data gives WAIT until ``most_wait_s``.
 """
 
 import math
@@ -21,13 +21,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Figures:
-    """Of one node, counted since its return (or over the same time, of the others)."""
+    """Request counts of one node since its return, or of other nodes over the same time."""
 
     requests: int = 0
     served: int = 0
     refused: int = 0
     failed: int = 0
-    slow: int = 0  # later than their aim
+    slow: int = 0  # served later than the latency objective of their class
     restarts: int = 0
 
     def __add__(self, other: "Figures") -> "Figures":
@@ -43,54 +43,61 @@
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """``worse``: by how much of all requests a part may be worse than the rest's, beyond chance.
+    """Thresholds of the verdict.
 
-    ``sigmas``: of chance. At 4, one of 16,000 honest looks halts a good version by bad luck; a release of 200
-    nodes looks some thousand times.
+    ``least``: requests needed for a comparison; ``most_wait_s``: seconds to wait for them. ``worse``: by how
+    much a share of all requests (0.01: one percentage point) may exceed that of the other nodes, beyond
+    chance. ``sigmas``: standard deviations that count as chance. At 4, one of 16,000 comparisons halts a good
+    version by bad luck; a release of 200 nodes makes some thousand comparisons.
     """
 
     least: int = 200
     most_wait_s: float = 300.0
     worse: float = 0.01
     sigmas: float = 4.0
-    restarts: int = 0  # of one node, beyond which the version is bad
+    restarts: int = 0  # restarts of one node above which the version is bad
 
 
 @dataclass(frozen=True, slots=True)
-class Judged:
+class Judgement:
+    """A verdict and its reason."""
+
     verdict: Verdict
     reason: str = ""
 
 
-PARTS = ("failed", "refused", "slow")  # in this order: the worst is named first
+COMPARED_COUNTS = ("failed", "refused", "slow")  # compared in this order; the first breach is the reason
 
 
 def total(figures: Iterable[Figures]) -> Figures:
     return sum(figures, Figures())
 
 
-def judge(new: Figures, rest: Figures, before: Figures, waited_s: float, rules: Rules) -> Judged:
-    """``new``: of the nodes with the version; ``rest``: of the others meanwhile; ``before``: of the same
-    nodes before it. The rest counts where there is one with enough traffic, else what was before."""
+def judge(new: Figures, rest: Figures, before: Figures, waited_s: float, rules: Rules) -> Judgement:
+    """Compare the figures of the new version, and return the verdict.
+
+    ``new``: figures of the nodes with the new version; ``rest``: of the other nodes over the same time;
+    ``before``: of the updated nodes before the change, used where ``rest`` has too few requests.
+    """
     if new.restarts > rules.restarts:
-        return Judged(Verdict.BAD, f"{new.restarts} restarts, {rules.restarts} allowed")
+        return Judgement(Verdict.BAD, f"{new.restarts} restarts, {rules.restarts} allowed")
     if new.requests < rules.least:
         if waited_s < rules.most_wait_s:
-            return Judged(Verdict.WAIT, f"{new.requests} of {rules.least} requests seen")
-        return Judged(Verdict.GOOD, f"thin: {new.requests} requests in {waited_s:.0f} s, none restarted")
+            return Judgement(Verdict.WAIT, f"{new.requests} of {rules.least} requests seen")
+        return Judgement(Verdict.GOOD, f"thin: {new.requests} requests in {waited_s:.0f} s, none restarted")
     other, name = (rest, "the rest") if rest.requests >= rules.least else (before, "before")
     if other.requests < rules.least:
         if waited_s < rules.most_wait_s:
-            return Judged(Verdict.WAIT, "nothing to compare with yet")
-        return Judged(Verdict.GOOD, "thin: nothing to compare with")
-    for part in PARTS:
-        mine, theirs = getattr(new, part) / new.requests, getattr(other, part) / other.requests
-        if mine - theirs > rules.worse + rules.sigmas * _spread(new, other, part):
-            return Judged(Verdict.BAD, f"{part} {mine:.1%}, {theirs:.1%} of {name}")
-    return Judged(Verdict.GOOD)
-
-
-def _spread(new: Figures, other: Figures, part: str) -> float:
-    """Standard deviation of the difference of two parts, were both versions alike."""
-    both = (getattr(new, part) + getattr(other, part)) / (new.requests + other.requests)
-    return math.sqrt(both * (1 - both) * (1 / new.requests + 1 / other.requests))
+            return Judgement(Verdict.WAIT, "nothing to compare with yet")
+        return Judgement(Verdict.GOOD, "thin: nothing to compare with")
+    for part in COMPARED_COUNTS:
+        new_share, other_share = getattr(new, part) / new.requests, getattr(other, part) / other.requests
+        if new_share - other_share > rules.worse + rules.sigmas * _standard_deviation(new, other, part):
+            return Judgement(Verdict.BAD, f"{part} {new_share:.1%}, {other_share:.1%} of {name}")
+    return Judgement(Verdict.GOOD)
+
+
+def _standard_deviation(new: Figures, other: Figures, part: str) -> float:
+    """Return the standard deviation of the difference of both shares if the versions are equal."""
+    pooled = (getattr(new, part) + getattr(other, part)) / (new.requests + other.requests)
+    return math.sqrt(pooled * (1 - pooled) * (1 / new.requests + 1 / other.requests))
--- a/beechrock/releases/machine.py
+++ b/beechrock/releases/machine.py
@@ -1,7 +1,7 @@
-"""The machine ``releases`` of the agreed log: its commands and its snapshot, and what is done to releases.
-Pure; states, events and invariants stand in ``agreed.py``.
+"""The state machine ``releases`` of the agreed log: commands, snapshot, and the changes of releases. Pure.
 
-Each command gives (True, what came of it) or (False, why nothing did), never an exception.
+States, events and invariants are described in ``agreed.py``. Each command returns (True, its result) or
+(False, the reason for which it changed nothing), and never raises.
 """
 
 from collections.abc import Callable
@@ -10,34 +10,35 @@
 
 import msgpack
 
-from beechrock.releases.agreed import MOST_TEXT, Agreed, Done, Node
+from beechrock.releases.agreed import MAX_TEXT, Agreed, Done, Node
 from beechrock.releases.errors import BrokenInvariantError
-from beechrock.releases.judge import Judged, Verdict
-from beechrock.releases.permits import Ask, Permit, Permits
-from beechrock.releases.release import MOVES, Plan, Release, Step
-from beechrock.releases.rows import FORMAT, budget, budget_rows, release, release_row
+from beechrock.releases.judge import Judgement, Verdict
+from beechrock.releases.permits import Permit, PermitRequest, Permits
+from beechrock.releases.release import TRANSITIONS, Plan, Release, Step
+from beechrock.releases.rows import FORMAT, budget_rows, parse_budget, parse_release, release_row
 
-MOST_RELEASES = 16
+MAX_RELEASES = 16  # newest releases that are kept
 
 
 class Machine(Agreed):
-    """``changed`` is called after each command with its index and what to tell of it, as events."""
+    """The state machine. ``changed`` is called after each command with its index and its events."""
 
     def __init__(self) -> None:
         super().__init__()
         self.changed: Callable[[int, list[dict[str, Any]]], None] = lambda index, rows: None
 
-    # --- the log's interface
+    # --- interface of the log
 
     def apply(self, index: int, data: bytes) -> Done:
+        """Apply a command of the log, and check the invariants."""
         if self.broken:
             return False, self.broken
         try:
-            told = msgpack.unpackb(data)
-            if told[0] != FORMAT:
-                return False, f"a command of format {told[0]!r}; format {FORMAT} is known"
-            verb = VERBS[told[1]]
-            done: Done = verb(self, index, *told[2:])
+            values = msgpack.unpackb(data)
+            if values[0] != FORMAT:
+                return False, f"a command of format {values[0]!r}; format {FORMAT} is known"
+            verb = VERBS[values[1]]
+            done: Done = verb(self, index, *values[2:])
         except (
             ValueError,
             TypeError,
@@ -57,6 +58,7 @@
         return done
 
     def snapshot(self) -> bytes:
+        """Return the whole state, encoded."""
         packed: bytes = msgpack.packb(
             [
                 FORMAT,
@@ -70,7 +72,7 @@
                 self.gone,
                 self.expired,
                 self.returning,
-                [release_row(one) for one in self.releases.values()],
+                [release_row(release) for release in self.releases.values()],
                 self.before,
                 self.starts,
                 self.fence,
@@ -82,11 +84,11 @@
         return packed
 
     def restore(self, data: bytes) -> None:
-        """BrokenInvariantError where it is of another format."""
-        told = msgpack.unpackb(data)
-        if told[0] != FORMAT:
+        """Replace the state by a snapshot. Raises BrokenInvariantError if its format is unknown."""
+        values = msgpack.unpackb(data)
+        if values[0] != FORMAT:
             raise BrokenInvariantError(
-                f"a snapshot of format {told[0]!r}",
+                f"a snapshot of format {values[0]!r}",
                 where="machine releases",
                 wanted=f"format {FORMAT}",
                 do="start the version that wrote it",
@@ -109,14 +111,14 @@
             self.index,
             self.moved,
             *version,
-        ) = told[1:]
+        ) = values[1:]
         self.budgets_version = version[0] if version else 0
         self.nodes = {name: Node(**node) for name, node in nodes.items()}
         self.permits = Permits()
-        self.permits.held = {one["target"]: Permit(**one) for one in held}
-        self._describe_again(budget(row) for row in budgets)
+        self.permits.held = {permit["target"]: Permit(**permit) for permit in held}
+        self._rebuild_targets(parse_budget(row) for row in budgets)
         self.permits.audit = [(row[0], row[1], row[2], row[3]) for row in audit]
-        self.releases = {one.plan.name: one for one in map(release, releases)}
+        self.releases = {release.plan.name: release for release in map(parse_release, releases)}
         self.check()
         self.changed(self.index, [])
 
@@ -133,53 +135,53 @@
         if unknown := sorted(set(names) - set(self.names)):
             return False, f"{unknown[0]}: no node of the fleet, as it was described"
         self.releases.pop(name, None)
-        for old in [key for key, one in self.releases.items() if not one.open][: -MOST_RELEASES + 1]:
+        for old in [key for key, release in self.releases.items() if not release.open][: -MAX_RELEASES + 1]:
             del self.releases[old]
         self.releases[name] = Release(Plan(name, version, before, tuple(map(tuple, waves)), float(for_s)))
         self.permits.record(index, "planned", name, who)
-        self._tell_release(index, name, "planned")
+        self._record_release(index, name, "planned")
         return True, index
 
     def _word(self, index: int, name: str, what: str, who: str, reason: str) -> Done:
-        """An operator's: one of MOVES."""
+        """Change a release's stage for an operator, by one of TRANSITIONS."""
         release = self.releases.get(name)
-        if release is None or what not in MOVES:
+        if release is None or what not in TRANSITIONS:
             return False, f"no release {name}" if release is None else f"no word {what}"
         other = self.running()
         if what == "start" and other is not None:
             return False, f"release {other.plan.name} is under way"
-        if not release.move(what, reason[:MOST_TEXT]):
+        if not release.move(what, reason[:MAX_TEXT]):
             return False, f"release {name} is {release.stage.value}: no {what} now"
         if what == "start":
             self.before, self.starts = {}, {}
         if what == "back":
             self.starts = {}
-        self.permits.record(index, f"{what} {reason}"[:MOST_TEXT].strip(), name, who)
-        self._tell_release(index, name, what)
+        self.permits.record(index, f"{what} {reason}"[:MAX_TEXT].strip(), name, who)
+        self._record_release(index, name, what)
         return True, release.stage.value
 
     def _of(self, fence: int, name: str) -> Release | str:
-        """The release that a driver may change; else why not."""
-        if why := self._older(fence):
-            return why
+        """Return the release if a driver with this fence may change it; else the reason."""
+        if reason := self._older_driver(fence):
+            return reason
         release = self.releases.get(name)
         if release is None or not release.open:
             return f"release {name} is not under way"
-        return release if release.heard(fence) else "an older driver"
+        return release if release.accept_driver(fence) else "an older driver"
 
     def _take(
         self, index: int, fence: int, name: str, target: str, back: bool, down: list[str], figures: list[int]
     ) -> Done:
-        """A permit and the step in one: killed between them, a driver would leave a permit without one."""
+        """Grant a permit and take the step in one command, as a driver may be killed between two."""
         release = self._of(fence, name)
         if isinstance(release, str):
             return False, release
-        if not release.can(target, Step.TODO, back):
+        if not release.can_leave(target, Step.TODO, back):
             return False, "not now"
         cold = self.cold()
-        done, what = self._granted(
+        done, what = self._grant(
             index,
-            Ask(
+            PermitRequest(
                 target,
                 f"release {name}",
                 release.plan.version,
@@ -187,7 +189,7 @@
                 frozenset(down),
                 cold,
                 release=name,
-                adds_nothing=bool(back) and target in cold,
+                already_out=bool(back) and target in cold,
             ),
         )
         if not done:
@@ -195,11 +197,11 @@
         release.step(fence, target, Step.TODO, back)
         if not back:
             self.before[target] = list(figures)
-        self._tell_release(index, name, "permitted", target, back)
+        self._record_release(index, name, "permitted", target, back)
         return True, what
 
     def _step(self, index: int, fence: int, name: str, target: str, leaves: str, back: bool) -> Done:
-        """SENT, when it is out; RETURNED, when it gave its permit back with the version that it was told."""
+        """Move a target to SENT while it holds a permit, or to RETURNED once it is back with its version."""
         release, step = self._of(fence, name), Step(leaves)
         if isinstance(release, str):
             return False, release
@@ -207,39 +209,39 @@
         if step is Step.TODO or (step is Step.PERMITTED and (held is None or held.release != name)):
             return False, "a permit comes first"
         if step is Step.SENT and (
-            node is None or held is not None or not node.proved or node.version != release.word(target)
+            node is None or held is not None or not node.proved or node.version != release.version_for(target)
         ):
             return False, "not back with its version"
         if not release.step(fence, target, step, bool(back)):
             return False, "not now"
         if step is Step.PERMITTED:
             self.starts[target] = 0
-        self._tell_release(index, name, {Step.PERMITTED: "sent", Step.SENT: "returned"}[step], target, back)
+        self._record_release(index, name, {Step.PERMITTED: "sent", Step.SENT: "returned"}[step], target, back)
         return True, index
 
     def _judged(self, index: int, fence: int, name: str, wave: int, verdict: str, reason: str) -> Done:
         release = self._of(fence, name)
         if isinstance(release, str):
             return False, release
-        if not release.judged(fence, wave, Judged(Verdict(verdict), reason[:MOST_TEXT])):
+        if not release.judged(fence, wave, Judgement(Verdict(verdict), reason[:MAX_TEXT])):
             return False, "not now"
-        self.permits.record(index, f"wave {wave + 1} {verdict} {reason}"[:MOST_TEXT].strip(), name, "driver")
-        self._tell_release(index, name, f"judged {verdict}")
+        self.permits.record(index, f"wave {wave + 1} {verdict} {reason}"[:MAX_TEXT].strip(), name, "driver")
+        self._record_release(index, name, f"judged {verdict}")
         return True, release.stage.value
 
     def _stop(self, index: int, fence: int, name: str, reason: str) -> Done:
-        """The driver's halt."""
+        """Halt the release for the driver."""
         release = self._of(fence, name)
         if isinstance(release, str):
             return False, release
-        if not release.move("halt", reason[:MOST_TEXT]):
+        if not release.move("halt", reason[:MAX_TEXT]):
             return False, "not now"
-        self.permits.record(index, f"halted: {reason}"[:MOST_TEXT], name, "driver")
-        self._tell_release(index, name, "halt")
+        self.permits.record(index, f"halted: {reason}"[:MAX_TEXT], name, "driver")
+        self._record_release(index, name, "halt")
         return True, index
 
 
-VERBS: dict[str, Callable[..., Done]] = {
+VERBS: dict[str, Callable[..., Done]] = {  # by the command's name: the method that applies it
     name: getattr(Machine, f"_{name}")
     for name in (
         "here",
--- a/beechrock/releases/marker.py
+++ b/beechrock/releases/marker.py
@@ -1,7 +1,7 @@
-"""What a node's folder says over a restart: that it is out under a permit, and the version it is to have.
+"""Files that outlive a node's process: the marker ``OUT`` of its permit, and the version to start.
 
-A disk that fails is tried again by who called, for ``out`` and ``wanted``; that ``OUT`` is to go is
-remembered here (``owed``) until it is gone for good, or a later permit has written its own.
+After a disk error, the caller retries ``out`` and ``wanted``. A pending removal of ``OUT`` is kept here
+(``owed``) until it is durable, or until a later permit has written its own marker.
 """
 
 import asyncio
@@ -9,38 +9,42 @@
 from beechrock.store import rewrite
 from beechrock.store.files import Files
 
-OUT, WANTED = "out", "wanted"  # WANTED: the version that the supervisor is to start
+OUT, WANTED = "out", "wanted"  # file names; WANTED holds the version that the supervisor is to start
 
 
 class Marker:
-    """Written in threads of their own, as a disk may be slow; OSError as the disk gives it."""
+    """Writes and removes the files in threads, as a disk may be slow. Raises the disk's OSError."""
 
     def __init__(self, files: Files) -> None:
         self.files = files
-        self.turn = asyncio.Lock()
-        self.owed = False  # OUT is to be taken away, and is not gone for good yet
+        self.turn = asyncio.Lock()  # serializes writes and removals of OUT
+        self.owed = False  # OUT is to be removed, and its removal is not durable yet
 
     def found(self) -> bool:
+        """Return whether the marker OUT exists."""
         return OUT in self.files.names()
 
     async def out(self, fence: int) -> None:
-        # A thread that is slow to begin would take away the marker of the permit that came after.
+        """Write the marker OUT with the permit's fence."""
+        # Without the lock, a removal whose thread starts late would remove the marker of a later permit.
         async with self.turn:
             self.owed = False
             await asyncio.to_thread(self._write, OUT, str(fence))
 
     async def back(self) -> None:
+        """Remove the marker OUT."""
         self.owed = True
         await self.settle()
 
     async def settle(self) -> None:
-        """What is owed; after an error it stays so."""
+        """Remove the marker OUT if that is pending; after an error it stays pending."""
         async with self.turn:
             if self.owed:
                 await asyncio.to_thread(self._remove)
                 self.owed = False
 
     async def wanted(self, version: str) -> None:
+        """Write the version that the supervisor is to start."""
         await asyncio.to_thread(self._write, WANTED, version)
 
     def _write(self, name: str, text: str) -> None:
@@ -49,6 +53,6 @@
     def _remove(self) -> None:
         if self.found():
             self.files.remove(OUT)
-        # Seen: the file was gone, the sync of the folder had failed, and the next try took it for done: after
-        # a power cut the node came up drained by a permit that had long ended.
+        # Sync even if the file is gone: after a failed sync of the folder, the retry found no file and did
+        # nothing, and after a power cut the node came up drained by a permit that had ended long before.
         self.files.sync_names()
--- a/beechrock/releases/node.py
+++ b/beechrock/releases/node.py
@@ -1,26 +1,28 @@
-"""A node's side of its permit: when it goes out, changes its version, and is back. Pure.
+"""A node's side of its permit: when it drains, changes its version, and serves again. Pure.
 
-States: IN; GOING (a permit is here, and ``go`` is asked of the log); OUT (drained); CHANGING (drained, and
-told another version); WARMING (drained, and on its way back); PROVING (in service, and the log is to hear).
-One event: ``decide(now, facts)``, some times a second, and ``settled(began)`` when a linearizable read that
-began then has ended. ``now`` is of a clock that counts a suspended machine too.
+States: IN (in service); GOING (holds a permit and proposes ``go`` to the log); OUT (drained); CHANGING
+(drained, another version is wanted); WARMING (drained, about to serve again); PROVING (in service, but the
+log does not know it yet).
+Events: ``decide(now, facts)``, some times a second, and ``settled(began)`` when a linearizable read that
+started at ``began`` has ended. ``now`` is of a clock that also counts the time of a suspended machine.
 
 Invariants
-- It drains only with its ``go`` in the log under the permit that it holds now, within ``for_s`` of the moment
-  in which it saw that permit, and after a read that began since it last paused.
-- Each life that is drained with its ``go`` in the log says once that it is out, whoever drained it, before it
-  changes its version or serves again.
-- It changes its version only drained, with its ``go`` in the log, after ``quiet_s`` with nothing in hand and
-  nothing new, or after ``drain_s``.
-- It serves again, and says so, only after it was able and linked for ``warm_s`` without a break.
-- Whatever it cannot be sure of leaves it where it is: in service where it serves, drained where it does not.
+- The node drains only with its ``go`` in the log under the permit that it holds now, within ``for_s`` of
+  first seeing that permit, and after a read that started since its last pause.
+- Each life that is drained with its ``go`` in the log reports once that it is out, even if an earlier life
+  drained it, before it changes its version or serves again.
+- The node changes its version only while drained, with its ``go`` in the log, after ``quiet_s`` without an
+  open or a new request, or after ``drain_s``.
+- The node serves again, and reports that, only after it could serve and was connected for ``warm_s`` without
+  a break.
+- In doubt the node stays as it is: in service if it serves, drained if it does not.
 """
 
 from dataclasses import dataclass, field
 from enum import Enum
 
-DRIFT = 0.05  # of ``for_s``: its clock and the driver's may differ by that
-PAUSE_S = 1.0  # between two looks; more is a pause, after which nothing is done before a read
+DRIFT = 0.05  # share of ``for_s`` by which the clocks of node and driver may differ
+PAUSE_S = 1.0  # a longer gap between two decisions is a pause, after which the node first reads the log
 
 
 class State(Enum):
@@ -33,20 +35,24 @@
 
 
 class Act(Enum):
-    HERE = "here"  # tell the log of this life
-    READ = "read"  # a linearizable read
-    GO = "go"  # ask the log to go out under the fence
-    DRAIN = "drain"  # take no new work, as the operators' call does; and remember it over a restart
-    OUT = "out"  # say that it is out under the fence: it was drained before
-    CHANGE = "change"  # to ``version``: leave, or wait for an operator, as the table says
+    """What the node does next."""
+
+    HERE = "here"  # register this life in the log
+    READ = "read"  # run a linearizable read
+    GO = "go"  # write the marker, and propose to the log to go out under the fence
+    DRAIN = "drain"  # take no new work, as the operators' call does
+    OUT = "out"  # report that the node is out under the fence; it was drained before
+    CHANGE = "change"  # change to ``version``: exit, or wait for an operator, as ``on_change`` says
     SERVE = "serve"  # take work again
-    BACK = "back"  # tell the log under the fence
-    UNUSED = "unused"  # give the permit back without having gone
-    PROVED = "proved"  # tell the log, without a permit
+    BACK = "back"  # end the permit in the log under the fence
+    UNUSED = "unused"  # end the permit in the log without having gone out
+    PROVED = "proved"  # report to the log that the node serves, without a permit
 
 
 @dataclass(frozen=True, slots=True)
 class Do:
+    """One action of the node, with the permit's fence and the version that it concerns."""
+
     act: Act
     fence: int = 0
     version: str = ""
@@ -54,26 +60,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Facts:
-    """``fence``: of the permit that this node holds in the log as it was applied here, 0 without one."""
-
-    fence: int = 0
-    for_s: float = 0.0
-    may_go: bool = False
-    gone: bool = False  # its ``go`` stands in the log
-    to_return: bool = False
-    word: str = ""  # the version that it is told to have; empty: none
-    version: str = ""  # that it has
-    here: bool = False  # the log knows this life
-    proved: bool = False  # and that it is in service
-    able: bool = True  # runs can be started, and no operator drains it by hand
-    linked: bool = True  # to all that the log does not count as out
-    open: int = 0  # requests in hand
-    taken: int = 0  # since the start
+    """The input of one decision, read from the log as applied at this node and from its program."""
+
+    fence: int = 0  # fence of the permit that this node holds; 0: none
+    for_s: float = 0.0  # seconds from first seeing the permit until the right to go out ends
+    may_go: bool = False  # the permit still allows this node to go out
+    go_applied: bool = False  # this node's ``go`` is in the log
+    to_return: bool = False  # the node is to serve with its present version
+    wanted_version: str = ""  # version that this node is to run; empty: no change is wanted
+    version: str = ""  # version that this node runs
+    registered: bool = False  # the log knows this life
+    proved: bool = False  # the log knows that this life serves
+    can_serve: bool = True  # runs can be started, and no operator has drained the node by hand
+    connected: bool = True  # the log has a leader, and at least half of the other nodes are heard
+    open: int = 0  # requests in progress
+    taken: int = 0  # requests taken since the process started
 
 
 @dataclass(slots=True)
 class Node:
-    """``drained``: as the marker on disk said at the start; then as it was told to be."""
+    """The node's state. ``drained`` starts as the marker on disk says, then follows DRAIN and SERVE."""
 
     warm_s: float
     drain_s: float
@@ -81,72 +87,76 @@
     drained: bool = False
     quiet_s: float = 0.0
     state: State = State.IN
-    woke: float = field(init=False)  # since the last pause, or the start
-    last: float = field(init=False)
-    read_at: float = -1.0  # when the newest read that has ended began
-    seen: tuple[int, float] = (0, 0.0)  # the permit's fence, and when it was seen first
-    good_since: float | None = None
-    out_since: float = 0.0
-    quiet: tuple[int, float] = (-1, 0.0)  # requests taken, and since when no other came and none is open
-    told: str = ""  # the version that it was told, once it acted on that
-    said: int = 0  # the fence under which this life said that it is out
+    resumed_at: float = field(init=False)  # end of the last pause, or the start
+    decided_at: float = field(init=False)  # time of the last decision
+    read_began_at: float = -1.0  # start of the newest read that has ended
+    seen: tuple[int, float] = (0, 0.0)  # fence of the permit, and when this node first saw it
+    ready_since: float | None = None  # since when the node can serve and is connected; None: it is not
+    out_since: float = 0.0  # when the node was drained
+    idle: tuple[int, float] = (-1, 0.0)  # requests taken, and since when none is open and none was taken
+    version_acted_on: str = ""  # wanted version on which this node has already acted
+    reported_fence: int = 0  # fence under which this life has reported that it is out
 
     def __post_init__(self) -> None:
-        self.woke = self.last = self.out_since = self.now
+        self.resumed_at = self.decided_at = self.out_since = self.now
         self.state = State.WARMING if self.drained else self.state
 
     def settled(self, began: float) -> None:
-        self.read_at = max(self.read_at, began)
+        """Take note of a linearizable read that started at ``began`` and has ended."""
+        self.read_began_at = max(self.read_began_at, began)
 
     def decide(self, now: float, facts: Facts) -> list[Do]:
-        if now - self.last > PAUSE_S:
-            self.woke, self.good_since = now, None
-        self.last = now
-        good = facts.able and facts.linked
-        self.good_since = (self.good_since if self.good_since is not None else now) if good else None
-        if not facts.here:
+        """Return the actions to take now."""
+        if now - self.decided_at > PAUSE_S:
+            self.resumed_at, self.ready_since = now, None
+        self.decided_at = now
+        ready = facts.can_serve and facts.connected
+        self.ready_since = (self.ready_since if self.ready_since is not None else now) if ready else None
+        if not facts.registered:
             return [Do(Act.HERE)]
         if not facts.fence:
-            return self._without(now, facts)
+            return self._without_permit(now, facts)
         if self.seen[0] != facts.fence:
             self.seen = facts.fence, now
-        # Seen on busy cores: killed between its `go` and its word, it came up drained by its marker, changed
-        # and came back; nobody heard that it was out, and a count by the nodes' own words missed it.
-        if self.drained and facts.gone and self.said != facts.fence:
-            self.said = facts.fence
+        # On busy cores, a node was killed between its `go` and its report. It came up drained by its marker,
+        # changed and came back without having reported that it was out, and a count of reports missed it.
+        if self.drained and facts.go_applied and self.reported_fence != facts.fence:
+            self.reported_fence = facts.fence
             return [Do(Act.OUT, facts.fence)]
-        if facts.to_return or (facts.word and facts.word == facts.version):
+        if facts.to_return or (facts.wanted_version and facts.wanted_version == facts.version):
             return self._come_back(now, facts)
         if not self.drained:
             return self._go(now, facts)
-        if not facts.gone:
-            # Killed between its marker and its `go`, or still drained by an older permit: an operator's drain
-            # would expire, and it would come back though nobody told it to.
+        if not facts.go_applied:
+            # The node was killed between its marker and its `go`, or is still drained by an older permit.
+            # Without this `go`, an operator's drain would expire, and the node would return unasked.
             self.state = State.OUT
             return [Do(Act.GO, facts.fence)] if facts.may_go else []
-        if facts.word:
+        if facts.wanted_version:
             return self._change(now, facts)
         self.state = State.OUT
         return []
 
-    def _without(self, now: float, facts: Facts) -> list[Do]:
-        """No permit: whoever drained it by one that ended comes back; a new life proves itself."""
-        self.told = ""
+    def _without_permit(self, now: float, facts: Facts) -> list[Do]:
+        """Decide without a permit: serve again if drained by one that ended; else prove a new life."""
+        self.version_acted_on = ""
         if self.drained:
             self.state = State.WARMING
             return self._serve(now)
         self.state = State.IN if facts.proved else State.PROVING
-        return [Do(Act.PROVED)] if not facts.proved and self._warm(now) else []
+        return [Do(Act.PROVED)] if not facts.proved and self._is_warm(now) else []
 
     def _come_back(self, now: float, facts: Facts) -> list[Do]:
+        """Serve again if drained, then end the permit."""
         if self.drained:
             self.state = State.WARMING
             return self._serve(now)
         self.state = State.PROVING
-        # One that never went is what it was: it has nothing to prove anew.
-        return [Do(Act.BACK, facts.fence)] if facts.proved or self._warm(now) else []
+        # A node that never went out is still proved and need not warm up again.
+        return [Do(Act.BACK, facts.fence)] if facts.proved or self._is_warm(now) else []
 
     def _go(self, now: float, facts: Facts) -> list[Do]:
+        """Propose ``go``, then drain; give the permit back unused once its time has passed."""
         self.state = State.GOING
         if now - self.seen[1] > facts.for_s * (1 - DRIFT):
             return [Do(Act.UNUSED, facts.fence)]
@@ -154,37 +164,40 @@
             return [Do(Act.READ)]
         if not facts.may_go:
             return []
-        if not facts.gone:
+        if not facts.go_applied:
             return [Do(Act.GO, facts.fence)]
-        self.drained, self.state, self.out_since, self.good_since = True, State.OUT, now, None
-        self.said = facts.fence
+        self.drained, self.state, self.out_since, self.ready_since = True, State.OUT, now, None
+        self.reported_fence = facts.fence
         return [Do(Act.DRAIN, facts.fence)]
 
     def _change(self, now: float, facts: Facts) -> list[Do]:
+        """Change the version once no request has been open or taken for ``quiet_s``, or after ``drain_s``."""
         self.state = State.CHANGING
         if not self._read_since_pause():
             return [Do(Act.READ)]
-        # Seen in the benchmark: front ends hear late that it drains, and a process that leaves at once turned
-        # 355 of 2,986 requests away.
-        if facts.open or self.quiet[0] != facts.taken:
-            self.quiet = facts.taken, now
-        waits = now - self.quiet[1] < self.quiet_s or facts.open
-        if self.told == facts.word or (waits and now - self.out_since < self.drain_s):
+        # Front ends learn late that a node drains: in the benchmark, a process that exited at once turned
+        # away 355 of 2,986 requests.
+        if facts.open or self.idle[0] != facts.taken:
+            self.idle = facts.taken, now
+        must_wait = now - self.idle[1] < self.quiet_s or facts.open
+        if self.version_acted_on == facts.wanted_version or (
+            must_wait and now - self.out_since < self.drain_s
+        ):
             return []
-        self.told = facts.word
-        return [Do(Act.CHANGE, facts.fence, facts.word)]
+        self.version_acted_on = facts.wanted_version
+        return [Do(Act.CHANGE, facts.fence, facts.wanted_version)]
 
     def _serve(self, now: float) -> list[Do]:
-        if not self._warm(now):
+        if not self._is_warm(now):
             return []
         if not self._read_since_pause():
             return [Do(Act.READ)]
-        self.drained, self.told = False, ""
+        self.drained, self.version_acted_on = False, ""
         return [Do(Act.SERVE)]
 
-    def _warm(self, now: float) -> bool:
-        return self.good_since is not None and now - self.good_since >= self.warm_s
+    def _is_warm(self, now: float) -> bool:
+        return self.ready_since is not None and now - self.ready_since >= self.warm_s
 
     def _read_since_pause(self) -> bool:
-        """What the log says here is not older than the last pause of this process."""
-        return self.read_at >= self.woke
+        """Return whether the applied log is at least as new as this process's last pause."""
+        return self.read_began_at >= self.resumed_at
--- a/beechrock/releases/operators.py
+++ b/beechrock/releases/operators.py
@@ -1,7 +1,7 @@
-"""What operators see of permits and releases at a node's second address, and ask for there.
+"""Views and calls for permits and releases at a node's admin address.
 
-A call answers at once with a token; what came of it stands under it in the view ``/releases/answers``, as the
-log needs its time. At most ``MOST_ANSWERS`` are kept.
+A call answers at once with a token, as the log takes time. The view ``/releases/answers`` shows the result
+under that token; at most ``MAX_ANSWERS`` results are kept.
 """
 
 from collections.abc import Coroutine
@@ -11,47 +11,48 @@
 from beechrock.parts import Context
 from beechrock.releases.errors import ReleaseError
 from beechrock.releases.permits import Kind
-from beechrock.releases.release import waves
+from beechrock.releases.release import plan_waves
 from beechrock.releases.servers import address_of
 
 if TYPE_CHECKING:
     from beechrock.releases.part import Releases
 
-MOST_ANSWERS, MOST_WORD, AUDIT_SHOWN = 64, 200, 200
-Told = dict[str, str]
+MAX_ANSWERS, MAX_WORD_BYTES, AUDIT_SHOWN = 64, 200, 200  # AUDIT_SHOWN: audit entries in the view
+Query = dict[str, str]  # the arguments of a call
 
 
-def _number(told: Told, key: str, default: float) -> float:
+def _number(query: Query, key: str, default: float) -> float:
     try:
-        value = float(told.get(key, default))
+        value = float(query.get(key, default))
     except ValueError:
         value = -1.0
     if not 0 <= value < 1e9:
-        raise ReleaseError(f"{told[key]!r}", where=key, wanted="a number from 0")
+        raise ReleaseError(f"{query[key]!r}", where=key, wanted="a number from 0")
     return value
 
 
-def _word(told: Told, key: str, need: bool = True) -> str:
-    value = told.get(key, "")
-    if (need and not value) or len(value.encode()) > MOST_WORD:
-        raise ReleaseError(f"{value!r}", where=key, wanted=f"1 to {MOST_WORD} bytes")
+def _word(query: Query, key: str, need: bool = True) -> str:
+    value = query.get(key, "")
+    if (need and not value) or len(value.encode()) > MAX_WORD_BYTES:
+        raise ReleaseError(f"{value!r}", where=key, wanted=f"1 to {MAX_WORD_BYTES} bytes")
     return value
 
 
 class Operators:
-    """Calls and views of one node."""
+    """The calls and views of one node."""
 
     def __init__(self, part: "Releases") -> None:
         self.part = part
         self.answers: dict[str, dict[str, Any]] = {}
 
-    def _later(self, told: Told, work: Coroutine[Any, Any, Any]) -> dict[str, Any]:
-        token = told.get("token", "")[:MOST_WORD]
+    def _start(self, query: Query, work: Coroutine[Any, Any, Any]) -> dict[str, Any]:
+        """Run the work in a task that keeps its result under the call's token."""
+        token = query.get("token", "")[:MAX_WORD_BYTES]
         self.answers.pop(token, None)
-        while len(self.answers) >= MOST_ANSWERS:
+        while len(self.answers) >= MAX_ANSWERS:
             del self.answers[next(iter(self.answers))]
 
-        async def whole() -> None:
+        async def run() -> None:
             try:
                 self.answers[token] = {"done": True, "what": await work, "exit": 0}
             except OperatorError as error:
@@ -62,78 +63,82 @@
                     "error": type(error).__name__,
                 }
 
-        self.part.counters.spawn(whole(), "releases.call")
+        self.part.counters.spawn(run(), "releases.call")
         return {"token": token, "see": "/releases/answers"}
 
-    def ask(self, told: Told) -> dict[str, Any]:
-        target, who = _word(told, "target"), _word(told, "who")
-        return self._later(
-            told,
+    def request_permit(self, query: Query) -> dict[str, Any]:
+        """Request a permit."""
+        target, who = _word(query, "target"), _word(query, "who")
+        return self._start(
+            query,
             self.part.ask(
                 target,
-                _word(told, "why", need=False),
-                _number(told, "for_s", 0.0),
-                told.get("claim") == "yes",
+                _word(query, "why", need=False),
+                _number(query, "for_s", 0.0),
+                query.get("claim") == "yes",
                 who,
             ),
         )
 
-    def give_back(self, told: Told) -> dict[str, Any]:
-        target, who = _word(told, "target"), _word(told, "who")
-        if told.get("force") == "yes":
-            return self._later(told, self.part.say("force", target, who, _word(told, "why")))
-        return self._later(told, self.part.say("return", target, who))
+    def give_back(self, query: Query) -> dict[str, Any]:
+        """Ask a target to return, or end its permit by force."""
+        target, who = _word(query, "target"), _word(query, "who")
+        if query.get("force") == "yes":
+            return self._start(query, self.part.propose("force", target, who, _word(query, "why")))
+        return self._start(query, self.part.propose("return", target, who))
 
-    def plan(self, told: Told) -> dict[str, Any]:
-        """Waves by hall over all nodes of the fleet, or those told."""
-        name, version, who = (_word(told, key) for key in ("name", "version", "who"))
-        most, canary = max(1, int(_number(told, "most", 1))), int(_number(told, "canary", 1))
-        for_s = _number(told, "for_s", 0.0) or self.part.told.for_s
-        nodes = [one for one in told.get("nodes", "").split(",") if one]
+    def plan(self, query: Query) -> dict[str, Any]:
+        """Plan a release with waves by hall over all nodes, or over those in ``nodes``."""
+        name, version, who = (_word(query, key) for key in ("name", "version", "who"))
+        max_wave_size, canary = max(1, int(_number(query, "most", 1))), int(_number(query, "canary", 1))
+        for_s = _number(query, "for_s", 0.0) or self.part.settings.for_s
+        nodes = [name for name in query.get("nodes", "").split(",") if name]
 
         async def planned() -> Any:
-            # A copy that lags knows no halls, or an older fleet: its waves would go over halls.
-            await self.part.settled()
+            # A lagging copy of the log may lack halls or nodes, and its waves would span halls.
+            await self.part.wait_for_log()
             machine, halls = self.part.machine, dict[str, list[str]]()
             for node in nodes or machine.names:
                 halls.setdefault(machine.nodes[node].hall if node in machine.nodes else "", []).append(node)
-            return await self.part.say(
+            return await self.part.propose(
                 "plan",
                 name,
                 version,
-                told.get("before") or self._common(),
-                [list(wave) for wave in waves(halls, canary, most)],
+                query.get("before") or self._common(),
+                [list(wave) for wave in plan_waves(halls, canary, max_wave_size)],
                 for_s,
                 who,
             )
 
-        return self._later(told, planned())
+        return self._start(query, planned())
 
     def _common(self) -> str:
-        """The version that most nodes have."""
+        """Return the version that most nodes run."""
         versions = [node.version for node in self.part.machine.nodes.values()]
         return max(sorted(set(versions)), key=versions.count, default="")
 
-    def word(self, told: Told) -> dict[str, Any]:
-        return self._later(
-            told,
-            self.part.say(
+    def change_stage(self, query: Query) -> dict[str, Any]:
+        """Start, pause, resume, halt or roll back a release."""
+        return self._start(
+            query,
+            self.part.propose(
                 "word",
-                _word(told, "name"),
-                _word(told, "what"),
-                _word(told, "who"),
-                _word(told, "reason", need=False),
+                _word(query, "name"),
+                _word(query, "what"),
+                _word(query, "who"),
+                _word(query, "reason", need=False),
             ),
         )
 
     def view(self) -> dict[str, Any]:
+        """Return the view ``/releases``."""
         part, machine = self.part, self.part.machine
         now, held = part.clock(), machine.permits.held
-        down, cold, heard = part._down(), machine.cold(), part.heard.words
+        down, cold, reports = part._down(), machine.cold(), part.heard.words
         driver, waits = part.waits()
         nodes = []
         for name in machine.names or part.names:
-            node, (at, _, word) = machine.nodes.get(name), heard.get(name, (now, 0, None))
+            node, (at, _, word) = machine.nodes.get(name), reports.get(name, (now, 0, None))
             nodes.append(
                 {
                     "name": name,
@@ -184,47 +189,48 @@
                 for name, out, allowed in machine.permits.usage(dict.fromkeys(down | cold, ""))
             ],
             "releases": [self._release(name) for name in machine.releases],
-            "audit": [list(one) for one in machine.permits.audit[-AUDIT_SHOWN:]],
+            "audit": [list(entry) for entry in machine.permits.audit[-AUDIT_SHOWN:]],
         }
 
     def _runs(self, target: str) -> int | None:
-        """Runs of this node alone that are open at a server below."""
+        """Return the number of this node's own runs that are open at a server; None for nodes."""
         work = self.part.program.servers
         if work is None or self.part.machine.permits.targets[target].kind is not Kind.SERVER:
             return None
         return int(work.servers.load.get(address_of(target), 0))
 
     def _reached(self, now: float, target: str) -> list[int] | None:
-        """Of a server that is to return: how many nodes reach it, of how many that use it."""
+        """Return [nodes that reach, nodes that use] a returning server; None for other targets."""
         machine = self.part.machine
         if target not in machine.returning or machine.permits.targets[target].kind is not Kind.SERVER:
             return None
         return list(self.part.heard.reached(now, target, machine.returning[target]))
 
     def _release(self, name: str) -> dict[str, Any]:
-        one = self.part.machine.releases[name]
+        release = self.part.machine.releases[name]
         return {
             "name": name,
-            "version": one.plan.version,
-            "before": one.plan.before,
-            "stage": one.stage.value,
-            "reason": one.reason,
-            "good": one.good,
-            "waves": [list(wave) for wave in one.plan.waves],
-            "steps": {target: step.value for target, step in one.steps.items()},
-            "undone": {target: step.value for target, step in one.undone.items()},
+            "version": release.plan.version,
+            "before": release.plan.before,
+            "stage": release.stage.value,
+            "reason": release.reason,
+            "good": release.good,
+            "waves": [list(wave) for wave in release.plan.waves],
+            "steps": {target: step.value for target, step in release.steps.items()},
+            "undone": {target: step.value for target, step in release.undone.items()},
         }
 
 
 def offer(part: "Releases", context: Context) -> None:
-    mine = Operators(part)
-    context.views["/releases"] = mine.view
-    context.views["/releases/answers"] = lambda: mine.answers
+    """Register the calls and views."""
+    calls = Operators(part)
+    context.views["/releases"] = calls.view
+    context.views["/releases/answers"] = lambda: calls.answers
     context.calls.update(
         {
-            "/releases/ask": mine.ask,
-            "/releases/return": mine.give_back,
-            "/releases/plan": mine.plan,
-            "/releases/word": mine.word,
+            "/releases/ask": calls.request_permit,
+            "/releases/return": calls.give_back,
+            "/releases/plan": calls.plan,
+            "/releases/word": calls.change_stage,
         }
     )
--- a/beechrock/releases/part.py
+++ b/beechrock/releases/part.py
@@ -1,7 +1,6 @@
-"""The thin actor: carries out what ``node`` and ``driver`` decide, and tells the others twice a second.
+"""The thin actor: carries out what ``node`` and ``driver`` decide, and reports to the peers twice a second.
 
-For the other parts: ``await ask(target, why, for_s, claim)``, ``await back(target, fence)``,
-``may_go(fence)``.
+Other parts await ``ask(target, why, for_s, claim)`` and ``back(target, fence)``, and call ``may_go(fence)``.
 """
 
 import asyncio
@@ -31,55 +30,57 @@
 from beechrock.releases.node import Act, Do, Facts, Node
 from beechrock.releases.permits import Budget, Kind
 from beechrock.releases.rows import command
-from beechrock.releases.servers import Below, unreached
-from beechrock.releases.told import EXIT, Told
-from beechrock.releases.words import Heard, Timed, Word, counted, decode, encode, encode_servers, proved
+from beechrock.releases.servers import ServerChecks, unreachable
+from beechrock.releases.told import EXIT, ReleasesSettings
+from beechrock.releases.words import Heard, SlowCounts, Word, decode, encode, encode_servers, proved, tally
 from beechrock.store import folder as state_folder
 from beechrock.store.errors import at_start
 
 MACHINE = CHANNEL = "releases"
 DUTY = "releases:driver"
-TICK_S, BEAT_S, WITHIN_S, AGAIN_S = 0.1, 0.5, 3.0, 0.3
+TICK_S, REPORT_S, LOG_TIMEOUT_S, RETRY_S = 0.1, 0.5, 3.0, 0.3
 
 
 class Releases:
-    """This node's permit, and the driver of all while it holds the duty."""
+    """This node's permit, and the driver of all releases while the node holds the duty."""
 
-    def __init__(self, told: Told, context: Context, clock: Callable[[], float] = clocks.boot) -> None:
-        self.told, self.context, self.clock = told, context, clock
+    def __init__(
+        self, settings: ReleasesSettings, context: Context, clock: Callable[[], float] = clocks.boot
+    ) -> None:
+        self.settings, self.context, self.clock = settings, context, clock
         self.counters, self.program = context.counters, context.program
         self.talk, self.agree, self.duties = (context.parts[name] for name in ("fleet", "agree", "duties"))
         self.name, self.life = self.talk.name, self.talk.life
         self.names = sorted({self.name, *self.talk.peers})
-        self.machine, self.heard = Machine(), Heard(told.gone_s)
+        self.machine, self.heard = Machine(), Heard(settings.gone_s)
         self.machine.changed = self._changed
         self.agree.host(MACHINE, self.machine)
-        self.node = Node(told.warm_s, told.drain_s, clock(), quiet_s=told.quiet_s)
-        self.watch, self.outage = Watch(told.quorum_s), 0.0
+        self.node = Node(settings.warm_s, settings.drain_s, clock(), quiet_s=settings.quiet_s)
+        self.watch, self.outage = Watch(settings.quorum_s), 0.0
         self.driver: Driver | None = None
-        self.below = Below(self)
-        self.steps = 0
-        self.under: set[str] = set()  # proposals and reads under way, by what they are about
+        self.server_checks = ServerChecks(self)
+        self.steps = 0  # commands that the driver has proposed
+        self.in_progress: set[str] = set()  # keys of the tasks in progress
         self.wake = asyncio.Event()
-        self.by_hand = False  # it was drained by an operator's call before its permit
-        self.shown = ""
-        self.beat_at = 0.0
-        self.marker: Marker | None = None  # from ``listen`` on
-        context.module.table.counts = Timed(context.module)
+        self.by_hand = False  # an operator's call had drained the node before its permit did
+        self.shown = ""  # state of the node in the last event ``releases.node``
+        self.reported_at = 0.0  # time of the last report
+        self.marker: Marker | None = None  # set by ``listen``
+        context.module.table.counts = SlowCounts(context.module)
 
     # --- for the other parts, and operators
 
     async def ask(self, target: str, why: str, for_s: float = 0.0, claim: bool = False, who: str = "") -> int:
-        """The fence. PermitRefusedError says who is out in its place; NoQuorumError, UnsureError."""
+        """Return a permit's fence. Raises PermitRefusedError, NoQuorumError, UnsureError."""
         down = self._down()
         if target not in self.names:
-            # Servers say nothing of themselves: one that was down counted as in, and the last could go.
-            await self.settled()
-            down |= await unreached(name for name, _ in self.machine.servers if name != target)
+            # Servers send no reports: without this check, one that is down would count as in service.
+            await self.wait_for_log()
+            down |= await unreachable(name for name, _ in self.machine.servers if name != target)
         done, what = await self.agree.propose(
             MACHINE,
-            command("ask", target, who or self.name, why, for_s or self.told.for_s, sorted(down), claim),
-            WITHIN_S,
+            command("ask", target, who or self.name, why, for_s or self.settings.for_s, sorted(down), claim),
+            LOG_TIMEOUT_S,
         )
         if not done:
             raise PermitRefusedError(
@@ -90,38 +91,34 @@
         return int(what)
 
     async def back(self, target: str, fence: int) -> bool:
-        """An unused permit of this node's own. A server went out with its permit: it is told to return, and
-        counts until it is reached."""
+        """Give back this node's unused permit; ask a server to return, which is out until it is reached."""
         if target not in self.names:
-            await self.say("return", target, self.name)
+            await self.propose("return", target, self.name)
             return True
         done: tuple[bool, Any] = await self.agree.propose(
-            MACHINE, command("back", target, fence, self._life_of(target), True), WITHIN_S
+            MACHINE, command("back", target, fence, self._life_of(target), True), LOG_TIMEOUT_S
         )
         return done[0]
 
     def may_go(self, fence: int) -> bool:
-        """As this node's copy of the log has it; a read comes first after a pause."""
+        """Return whether this node's copy of the log lets it go out; after a pause, run a read first."""
         return not self.machine.broken and self.machine.may_go(self.name, fence)
 
-    async def settled(self) -> None:
-        """What the machine says here after it is not older than the call. NoQuorumError."""
-        await self.agree.settled(WITHIN_S)
+    async def wait_for_log(self) -> None:
+        """Wait until the machine is at least as new as this call. Raises NoQuorumError."""
+        await self.agree.settled(LOG_TIMEOUT_S)
 
-    async def say(self, verb: str, *rest: Any) -> Any:
-        """An operator's command. UnknownTargetError, ReleaseStateError with the log's reason, if it changed
-        nothing."""
-        done, what = await self.agree.propose(MACHINE, command(verb, *rest), WITHIN_S)
+    async def propose(self, verb: str, *rest: Any) -> Any:
+        """Propose an operator's command. Raises UnknownTargetError or ReleaseStateError, if refused."""
+        done, what = await self.agree.propose(MACHINE, command(verb, *rest), LOG_TIMEOUT_S)
         if not done:
             known = {*self.machine.releases, *self.machine.permits.targets} if verb != "plan" else {rest[0]}
             kind: type[ReleaseError] = ReleaseStateError if rest[0] in known else UnknownTargetError
             raise kind(str(what), where=f"releases: {verb} {rest[0]}", do="see `beechrock release status`")
         return what
 
-    # --- as a part of its node
-
     async def listen(self) -> None:
-        """ConfigError without a second address; OSError where the folder can't be had."""
+        """Read the marker. Raises ConfigError without an admin address, OSError without the folder."""
         if self.program.serving is None:
             raise ConfigError(
                 "a node goes out by its second address",
@@ -134,11 +131,11 @@
             self.marker = Marker(state_folder.open_folder(folder))
             found = self.marker.found()
         if found:
-            # A process that comes up in the middle of its way is not listed before its own proof.
+            # A process that starts while its node is out is not listed until it has proved that it serves.
             self.node.drained = True
             self.program.serving.fail()
         self.talk.on(CHANNEL, self._take)
-        if self.told.drives:
+        if self.settings.drives:
             self.duties.declare(Duty(DUTY), Driving(self))
 
     async def run(self) -> None:
@@ -148,30 +145,28 @@
                     await self.wake.wait()
             self.wake.clear()
             now = self.clock()
-            self._beat(now)
+            self._report(now)
             for do in self.node.decide(now, self._facts()):
                 self._do(now, do)
-            # Seen: serving is decided once, so a disk that failed just then kept the marker for good.
+            # SERVE is decided only once: without a retry, a disk error just then kept the marker forever.
             if self.marker is not None and self.marker.owed:
                 self.once("unmark", self.marker.settle())
             self._show()
-            self.below.turn()
+            self.server_checks.update()
             self.outage = self.watch.look(now, bool(self.agree.leader), self.machine)
             self._drive(now)
         error = BrokenInvariantError(self.machine.broken, where=self.name, do="docs/releases.md")
         logs.event(error.event, "error", **error.fields())
 
     async def leave(self) -> None:
-        """Nothing is owed: a permit stays with its target, and the duty is given back by its own part."""
+        """Do nothing: a permit stays with its target, and the duties part gives the duty back."""
 
     def close(self) -> None:
-        """Files are open only while they are written."""
-
-    # --- what is seen
+        """Do nothing: files are open only while they are written."""
 
     def _changed(self, index: int, rows: list[dict[str, Any]]) -> None:
-        for told in rows:
-            logs.event(str(told["event"]), **{key: value for key, value in told.items() if key != "event"})
+        for row in rows:
+            logs.event(str(row["event"]), **{key: value for key, value in row.items() if key != "event"})
         self.wake.set()
 
     def _take(self, sender: str, life: int, data: bytes) -> None:
@@ -181,35 +176,36 @@
         else:
             self.heard.take(self.clock(), sender, life, word)
 
-    def _beat(self, now: float) -> None:
-        if now - self.beat_at < BEAT_S:
+    def _report(self, now: float) -> None:
+        if now - self.reported_at < REPORT_S:
             return
-        self.beat_at = now
+        self.reported_at = now
         fence, driver = self._fence(), self.driver
         word = Word(
             self.program.serving.state.value,
             self.node.state.value,
-            self.told.version,
+            self.settings.version,
             self._open(),
-            counted(self.context.module.table.counts),
+            tally(self.context.module.table.counts),
             fence or 0,
             tuple(driver.waits) if driver is not None and fence else (),
             self.outage,
             self.machine.moved,
         )
         self.heard.take(now, self.name, self.life, word)
-        said = [encode(word)]
-        if servers := self.below.told():
+        messages = [encode(word)]
+        if servers := self.server_checks.reports():
             self.heard.take(now, self.name, self.life, servers)
-            said.append(encode_servers(servers))
+            messages.append(encode_servers(servers))
         for peer in self.talk.peers:
-            for data in said:
+            for data in messages:
                 self.talk.send(peer, CHANNEL, data)
 
     def _open(self) -> int:
         return int(self.context.module.table.counts.concurrent)
 
     def _down(self) -> frozenset[str]:
+        """Return the nodes that reports or the membership show as down."""
         dead: list[str] = []
         if self.program.members is not None and self.program.members.detector is not None:
             dead = [
@@ -223,7 +219,7 @@
         machine, name, serving = self.machine, self.name, self.program.serving
         permit, mine = machine.permits.held.get(name), machine.nodes.get(name)
         fence = permit.fence if permit is not None else 0
-        hears = [peer for peer in self.heard.lately(self.clock()) if peer != self.name]
+        heard = [peer for peer in self.heard.recent_statuses(self.clock()) if peer != self.name]
         module = self.context.module
         by_hand = self.by_hand if self.node.drained else serving.failed
         return Facts(
@@ -233,11 +229,11 @@
             name in machine.gone,
             machine.to_return(name),
             machine.word(name),
-            self.told.version,
-            here=mine is not None and mine.life == self.life,
+            self.settings.version,
+            registered=mine is not None and mine.life == self.life,
             proved=mine is not None and mine.proved,
-            able=bool(module.able()) and module.status.healthy and not by_hand and not serving.leaving,
-            linked=bool(self.agree.leader) and 2 * len(hears) >= len(self.names) - 1,
+            can_serve=bool(module.able()) and module.status.healthy and not by_hand and not serving.leaving,
+            connected=bool(self.agree.leader) and 2 * len(heard) >= len(self.names) - 1,
             open=self._open(),
             taken=module.table.counts.taken,
         )
@@ -245,23 +241,27 @@
     def _show(self) -> None:
         if self.node.state.value != self.shown:
             self.shown = self.node.state.value
-            logs.event("releases.node", state=self.shown, fence=self.node.seen[0], version=self.told.version)
+            logs.event(
+                "releases.node", state=self.shown, fence=self.node.seen[0], version=self.settings.version
+            )
 
-    # --- what is done
+    # --- actions
 
     def _do(self, now: float, do: Do) -> None:
-        """DRAIN and SERVE without an await after they were decided: nothing comes between."""
+        """Carry out an action. DRAIN and SERVE run without an await, so the decision still holds."""
         match do.act:
             case Act.READ:
                 self.once("read", self._read(now))
             case Act.HERE:
-                self._say("here", self.name, self.life, self.talk.hall, self.talk.hardware, self.told.version)
+                self._propose(
+                    "here", self.name, self.life, self.talk.hall, self.talk.hardware, self.settings.version
+                )
             case Act.PROVED:
-                self._say("proved", self.name, self.life)
+                self._propose("proved", self.name, self.life)
             case Act.GO:
                 self.once("go", self._go(do.fence))
             case Act.BACK | Act.UNUSED:
-                self._say("back", self.name, do.fence, self.life, do.act is Act.UNUSED)
+                self._propose("back", self.name, do.fence, self.life, do.act is Act.UNUSED)
             case Act.DRAIN:
                 self.by_hand = self.program.serving.failed
                 self.program.serving.fail()
@@ -273,61 +273,62 @@
                     self.program.serving.ok()
                 assert self.marker is not None
                 self.marker.owed = True
-                logs.event("node.in", target=self.name, version=self.told.version)
-                # Heard late, its old word would leave it down in the eyes of those who ask next.
-                self.beat_at = now - BEAT_S
-                self._beat(now)
+                logs.event("node.in", target=self.name, version=self.settings.version)
+                # Report at once: by the last report, peers count this node as down and may refuse permits.
+                self.reported_at = now - REPORT_S
+                self._report(now)
             case Act.CHANGE:
                 self.once("change", self._change(do))
 
     async def _read(self, began: float) -> None:
-        await self.settled()
+        await self.wait_for_log()
         self.node.settled(began)
         self.wake.set()
 
     async def _go(self, fence: int) -> None:
-        """The marker first: killed right after ``go``, it comes up drained, or finds the permit ended."""
+        """Write the marker, then propose ``go``: if killed right after, the node comes up drained."""
         assert self.marker is not None
         await self.marker.out(fence)
-        await self.agree.propose(MACHINE, command("go", self.name, fence), WITHIN_S)
+        await self.agree.propose(MACHINE, command("go", self.name, fence), LOG_TIMEOUT_S)
 
     async def _change(self, do: Do) -> None:
         assert self.marker is not None
         await self.marker.wanted(do.version)
         logs.event(
-            "release.change", target=self.name, fence=do.fence, version=do.version, by=self.told.on_change
+            "release.change", target=self.name, fence=do.fence, version=do.version, by=self.settings.on_change
         )
-        if self.told.on_change == EXIT:
+        if self.settings.on_change == EXIT:
             self.program.leave()
 
-    def _say(self, verb: str, *rest: Any, then: Callable[[tuple[bool, Any]], None] | None = None) -> None:
-        """One at a time of what it is about; what is refused or lost comes again with the next turns."""
+    def _propose(self, verb: str, *rest: Any, then: Callable[[tuple[bool, Any]], None] | None = None) -> None:
+        """Propose a command, one at a time for each key; later ticks repeat it if it was refused or lost."""
 
         async def propose() -> None:
-            done: tuple[bool, Any] = await self.agree.propose(MACHINE, command(verb, *rest), WITHIN_S)
+            done: tuple[bool, Any] = await self.agree.propose(MACHINE, command(verb, *rest), LOG_TIMEOUT_S)
             if then is not None:
                 then(done)
             if not done[0]:
                 logs.event("releases.not_taken", verb=verb, why=str(done[1]))
-                await asyncio.sleep(AGAIN_S)
+                await asyncio.sleep(RETRY_S)
 
         self.once(f"{verb} {rest[:3]}", propose())
 
     def once(self, key: str, work: Any) -> None:
-        if key in self.under:
+        """Run the work in a task, unless one with this key is in progress."""
+        if key in self.in_progress:
             work.close()
             return
-        self.under.add(key)
+        self.in_progress.add(key)
 
         async def whole() -> None:
             try:
                 await work
-            except (OperatorError, OSError) as error:  # no quorum, or a disk: it comes again
+            except (OperatorError, OSError) as error:  # no quorum, or a disk error: a later tick retries
                 self.counters.add("releases.not_done")
                 logs.event("releases.not_done", "warning", about=key, why=str(error))
-                await asyncio.sleep(AGAIN_S)
+                await asyncio.sleep(RETRY_S)
             finally:
-                self.under.discard(key)
+                self.in_progress.discard(key)
                 self.wake.set()
 
         self.counters.spawn(whole(), "releases.do")
@@ -335,7 +336,8 @@
     # --- the driver
 
     def _fence(self) -> int | None:
-        fence: int | None = self.duties.may(DUTY) if self.told.drives else None
+        """Return the fence under which this node drives; None if it does not."""
+        fence: int | None = self.duties.may(DUTY) if self.settings.drives else None
         return fence if self.driver is not None else None
 
     def _drive(self, now: float) -> None:
@@ -346,30 +348,30 @@
             if self.machine.permits.targets[name].kind is Kind.SERVER and proved(
                 *self.heard.reached(now, name, since)
             ):
-                self._say("back", name, since, 0)
-        statuses: dict[str, Status] = self.heard.lately(now)
+                self._propose("back", name, since, 0)
+        statuses: dict[str, Status] = self.heard.recent_statuses(now)
         voters = sorted(self.agree.voters)
-        # A release that took half of the voters out would stand still with no way back.
-        most = Budget(VOTERS, most=(len(voters) - 1) // 2, service=VOTERS)
+        # A release that took half of the voters out would lose the quorum for going on or back.
+        voters_budget = Budget(VOTERS, most=(len(voters) - 1) // 2, service=VOTERS)
         seen = Seen(
             self.machine,
             statuses,
             self._down(),
             self.names,
             voters,
-            self.below.listed(),
-            (*self.told.budgets, most),
+            self.server_checks.listed(),
+            (*self.settings.budgets, voters_budget),
             self.heard.outage(now, len(self.names), self.machine.moved),
-            self.told.budgets_version,
+            self.settings.budgets_version,
         )
-        for one in driver.step(now, seen):
+        for proposal in driver.step(now, seen):
             self.steps += 1
-            self._say(one.verb, fence, *one.rest, then=self._answer(driver, one))
+            self._propose(proposal.verb, fence, *proposal.rest, then=self._answer(driver, proposal))
 
-    def _answer(self, driver: Driver, one: Command) -> Callable[[tuple[bool, Any]], None]:
+    def _answer(self, driver: Driver, proposal: Command) -> Callable[[tuple[bool, Any]], None]:
         def answer(done: tuple[bool, Any]) -> None:
-            if one.verb == "take" and not done[0]:
-                driver.refused(self.clock(), one.rest[1], str(done[1]))
+            if proposal.verb == "take" and not done[0]:
+                driver.refused(self.clock(), proposal.rest[1], str(done[1]))
 
         return answer
 
@@ -378,21 +380,21 @@
         return node.life if node is not None else 0
 
     def waits(self) -> tuple[str, list[str]]:
-        """Who drives, and what it waits for."""
+        """Return the node that drives, and what it waits for."""
         if self.driver is not None and self._fence() is not None:
             return self.name, list(self.driver.waits)
         name, waits = self.heard.driver(self.clock())
         return name, list(waits)
 
 
-def begin(told: object, context: Context) -> Releases:
-    """ConfigError: the tables that it stands on."""
-    assert isinstance(told, Told)
+def begin(settings: object, context: Context) -> Releases:
+    """Create the part. Raises ConfigError if a table that it requires is not enabled."""
+    assert isinstance(settings, ReleasesSettings)
     for table in ("fleet", "agree", "duties"):
         if table not in context.parts:
             raise ConfigError(
                 f"[{table}] is not enabled", where="releases", do=f"enable [{table}], or not [releases]"
             )
-    part = Releases(told, context)
+    part = Releases(settings, context)
     operators.offer(part, context)
     return part
--- a/beechrock/releases/permits.py
+++ b/beechrock/releases/permits.py
@@ -1,24 +1,24 @@
-"""Permits to be out: the table that the agreed log makes, the same at every node. Pure, and without a clock.
+"""Permits to be out of service, a table replicated by the agreed log. Pure, and without a clock.
 
-States of a target (an api node, or a server below): IN, or OUT under one permit. A permit is asked for,
-granted under a fence (the log index of the grant), and ends by ``back`` with that fence, or by an operator's
-``force_back``. Its time limit ends the holder's right to *go* out, at the holder's own clock; it never brings
-the target back: one whose permit ran out without it being back counts as out.
+A target is an API node or a downstream server. Its states are IN, and OUT under one permit. A permit is
+requested, granted under a fence (the log index of the grant), and ended by ``back`` with that fence or by an
+operator's ``force_back``. Its time limit ends only the holder's right to *go* out, by the holder's own clock.
+It never brings the target back: a target whose permit expired counts as out until ``back``.
 
 Invariants
-- In no prefix of the log are more out than each budget that covers them allows, claims left out: those are
-  named as such and recorded.
-- A budget counts a target once, whether it is out by permit, down in the asker's eyes, or both.
-- No two permits have one fence; a fence only grows.
-- The last target of a hall or of a service is never let out, whatever the budget's number is.
+- In no prefix of the log are more targets out than each budget that covers them allows. Claimed permits are
+  exempt; they are marked and recorded.
+- A budget counts a target once, whether it is out by permit, down in the requester's view, or both.
+- No two permits share a fence; fences only grow.
+- The last target of a hall or of a service is never let out without a claim, whatever the budget allows.
 """
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field, replace
 from enum import Enum
 
-MOST_PERMITS = 4096
-MOST_AUDIT = 1024  # what was done, newest last; older ones are in the logs
+MAX_PERMITS = 4096
+MAX_AUDIT_ENTRIES = 1024  # newest last; older entries are in the logs only
 
 
 class Kind(Enum):
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """What may be out. ``groups`` are those that a budget can cover: hall, service, class of capacity."""
+    """A node or server that may be out; a budget can cover it by hall, service or hardware class."""
 
     name: str
     kind: Kind = Kind.NODE
@@ -39,16 +39,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Budget:
-    """At most ``most`` (a number), or ``part`` of those covered, rounded down but never below one."""
+    """How many of the covered targets may be out: at most ``most``, or the share ``part`` of them.
+
+    The share is rounded down, but a share above zero allows at least one.
+    """
 
     name: str
     most: int | None = None
     part: float | None = None
     kind: Kind = Kind.NODE
-    hall: str = ""  # empty: of all halls together
+    hall: str = ""  # empty: all halls together
     service: str = ""
     hardware: str = ""
-    each_hall: bool = False  # the number holds in each hall by itself
+    each_hall: bool = False  # the bound applies to each hall separately
 
     def covers(self, target: Target) -> bool:
         return (
@@ -59,25 +62,27 @@
         )
 
     def allowed(self, of: int) -> int:
-        """How many of so many may be out. Told as 0 means none; of one alone, none either."""
+        """Return how many of ``of`` targets may be out; 0 for a bound of 0, and for a single target."""
         if of <= 1:
             return 0
         if self.most is not None:
             return min(self.most, of - 1)
-        # A part that is told as 0 is none; any other lets one out, or a small fleet could never be replaced.
+        # A share above zero lets one out, or a small fleet could never be replaced.
         part = 0 if not self.part else max(1, int(self.part * of + 1e-9))
         return min(part, of - 1)
 
 
 @dataclass(frozen=True, slots=True)
 class Permit:
+    """The right of one target to be out; stored in the snapshot under these field names."""
+
     target: str
-    holder: str  # the node, or the release, that asked
+    holder: str  # operator, node or release that requested it
     why: str
     fence: int
-    for_s: float  # the right to go out ends so long after it was asked for, by the asker's clock
-    claimed: bool = False  # over a budget, by an operator in need
-    release: str = ""
+    for_s: float  # seconds after which the right to go out ends
+    claimed: bool = False  # granted over a budget, by an operator in an emergency
+    release: str = ""  # name of the release that requested it; empty: none
 
 
 class Refusal(Enum):
@@ -90,73 +95,81 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """Why a permit was not given, and who is out in its place."""
+    """Why a permit was refused, and which targets are out."""
 
-    why: Refusal
+    reason: Refusal
     budget: str = ""
     allowed: int = 0
     out: tuple[str, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class PermitRequest:
+    """A request for a permit."""
+
     target: str
     holder: str
-    why: str
+    reason: str
     for_s: float
-    down: frozenset[str] = frozenset()  # not serving, as the asker's membership or checks say
-    cold: frozenset[str] = frozenset()  # back, and not yet proved: warming, links not up
+    down: frozenset[str] = frozenset()  # targets that the requester sees as not serving
+    cold: frozenset[str] = frozenset()  # nodes that are back, but have not yet proved that they serve
     claim: bool = False
     release: str = ""
-    adds_nothing: bool = False  # it is out as it is, by its own word in the log: no budget is asked
+    already_out: bool = False  # the target is out already, so no budget is checked
 
 
 @dataclass(slots=True)
 class Permits:
-    """The table; a value of the agreed machine, changed by its commands alone."""
+    """The table of permits; changed only by commands of the agreed log."""
 
     targets: dict[str, Target] = field(default_factory=dict)
     budgets: tuple[Budget, ...] = ()
-    held: dict[str, Permit] = field(default_factory=dict)  # by target
-    audit: list[tuple[int, str, str, str]] = field(default_factory=list)  # index, what, target, who
+    held: dict[str, Permit] = field(default_factory=dict)  # permits by target name
+    audit: list[tuple[int, str, str, str]] = field(default_factory=list)  # (index, action, target, actor)
 
     def describe(self, targets: Iterable[Target], budgets: Iterable[Budget]) -> None:
-        """The fleet as the inventory has it now. Permits of those that are gone from it end."""
+        """Replace the targets and budgets; permits of targets that are no longer listed end."""
         self.targets, self.budgets = {target.name: target for target in targets}, tuple(budgets)
         self.held = {name: permit for name, permit in self.held.items() if name in self.targets}
 
-    def ask(self, index: int, asked: Ask) -> Permit | Refused:
-        """Grant under the fence ``index``, or say why not.
+    def request(self, index: int, request: PermitRequest) -> Permit | Refused:
+        """Grant a permit under the fence ``index``, or return the refusal.
 
-        The same holder's second ask gets its permit again: its first answer may have been lost.
+        A repeated request of the same holder returns its permit again: its first answer may have been lost.
         """
-        target = self.targets.get(asked.target)
+        target = self.targets.get(request.target)
         if target is None:
             return Refused(Refusal.UNKNOWN)
-        held = self.held.get(asked.target)
+        held = self.held.get(request.target)
         if held is not None:
-            same = held.holder == asked.holder and held.release == asked.release
+            same = held.holder == request.holder and held.release == request.release
             return held if same else Refused(Refusal.HELD, out=(held.holder,))
-        if len(self.held) >= MOST_PERMITS:
-            return Refused(Refusal.FULL, allowed=MOST_PERMITS)
-        over = None if asked.adds_nothing else self.over(target, asked.down | asked.cold)
-        if over is not None and not asked.claim:
+        if len(self.held) >= MAX_PERMITS:
+            return Refused(Refusal.FULL, allowed=MAX_PERMITS)
+        over = None if request.already_out else self.exceeded(target, request.down | request.cold)
+        if over is not None and not request.claim:
             return over
         permit = Permit(
-            asked.target, asked.holder, asked.why, index, asked.for_s, over is not None, asked.release
+            request.target,
+            request.holder,
+            request.reason,
+            index,
+            request.for_s,
+            over is not None,
+            request.release,
         )
-        self.held[asked.target] = permit
-        self.record(index, "claimed" if permit.claimed else "granted", asked.target, asked.holder)
+        self.held[request.target] = permit
+        self.record(index, "claimed" if permit.claimed else "granted", request.target, request.holder)
         return permit
 
     def out(self, not_serving: frozenset[str] = frozenset()) -> set[str]:
-        """All that count as out: by permit, however old, and those that do not serve."""
+        """Return all targets that count as out: those with a permit, and those that do not serve."""
         return set(self.held) | (not_serving & self.targets.keys())
 
-    def over(self, target: Target, not_serving: frozenset[str]) -> Refused | None:
-        """The first budget that one more out would be over; None where it fits."""
+    def exceeded(self, target: Target, not_serving: frozenset[str]) -> Refused | None:
+        """Return the refusal by the first bound that this target would exceed; None if it fits all."""
         out = self.out(not_serving) | {target.name}
-        for kind, mine in self._least(target):
+        for kind, mine in self._minimum_groups(target):
             if mine and mine <= out:
                 return Refused(Refusal.LAST, kind, 0, tuple(sorted(out & mine - {target.name})))
         for budget in self.budgets:
@@ -173,8 +186,8 @@
                 return Refused(Refusal.BUDGET, budget.name, allowed, others)
         return None
 
-    def _least(self, target: Target) -> Iterable[tuple[str, set[str]]]:
-        """Groups of which one has to stay in, with their names."""
+    def _minimum_groups(self, target: Target) -> Iterable[tuple[str, set[str]]]:
+        """Yield the groups (name, members) of the target, each of which must keep one member in service."""
         peers = [t for t in self.targets.values() if t.kind is target.kind]
         if target.hall:
             yield f"hall {target.hall}", {t.name for t in peers if t.hall == target.hall}
@@ -184,7 +197,7 @@
             yield "the fleet", {t.name for t in peers}
 
     def back(self, index: int, target: str, fence: int) -> bool:
-        """It serves again, by its own proof. False: not under this fence (an old word, or said twice)."""
+        """End the permit, as the target serves again. False: the fence is old, or the permit has ended."""
         held = self.held.get(target)
         if held is None or held.fence != fence:
             return False
@@ -193,14 +206,14 @@
         return True
 
     def force_back(self, index: int, target: str, who: str) -> bool:
-        """An operator takes a stuck permit off, and answers for it that the target serves."""
+        """End a stuck permit for an operator, who vouches that the target serves."""
         if self.held.pop(target, None) is None:
             return False
         self.record(index, "forced back", target, who)
         return True
 
     def hand_over(self, target: str, fence: int, release: str) -> bool:
-        """A permit held for a broken version serves the way back from it: no second one is needed."""
+        """Assign a held permit to a release, so that its rollback needs no second permit."""
         held = self.held.get(target)
         if held is None or held.fence != fence:
             return False
@@ -208,12 +221,12 @@
         return True
 
     def valid(self, target: str, fence: int) -> bool:
-        """Whether this fence still is the one under which the target is out."""
+        """Return whether the target's permit is still the one with this fence."""
         held = self.held.get(target)
         return held is not None and held.fence == fence
 
     def usage(self, not_serving: Mapping[str, str] | None = None) -> list[tuple[str, int, int]]:
-        """Each budget with how many are out and how many may be; for those budgets of one number."""
+        """Return (budget, targets out, targets allowed); for budgets per hall, one entry for each hall."""
         out = self.out(frozenset(not_serving or ()))
         rows = []
         for budget in self.budgets:
@@ -226,5 +239,6 @@
         return rows
 
     def record(self, index: int, what: str, target: str, who: str) -> None:
+        """Append an entry to the audit, and drop the oldest beyond the maximum."""
         self.audit.append((index, what, target, who))
-        del self.audit[:-MOST_AUDIT]
+        del self.audit[:-MAX_AUDIT_ENTRIES]
--- a/beechrock/releases/release.py
+++ b/beechrock/releases/release.py
@@ -1,25 +1,25 @@
-"""One release: the agreed state of its steps, and what its driver does next. Pure, and without a clock.
+"""One release: the replicated state of its steps, and its driver's next actions. Pure, and without a clock.
 
-States of a release: PLANNED, RUNNING, PAUSED, HALTED, BACKING, DONE, UNDONE. Of a target in it: TODO,
-PERMITTED (out under a fence), SENT (told to change), RETURNED (back, by its own proof), and the same again
-for the way back.
+States of a release: PLANNED, RUNNING, PAUSED, HALTED, BACKING (rolling back), DONE, UNDONE (rolled back).
+States of a target in it: TODO, PERMITTED (holds a permit to be out), SENT (its new version is wanted),
+RETURNED (proved that it serves with that version); the rollback goes through the same states again.
 
 Events (commands of the log): ``start``, ``pause``, ``resume``, ``halt``, ``back``, a wave's verdict, and a
-target's steps, the last two with the driver's fence.
+target's steps; verdicts and steps carry the driver's fence.
 
 Invariants
-- A step is taken once: it names the state that it leaves, and in any other it changes nothing.
-- A driver with an older fence than one that was heard changes nothing.
-- In HALTED and PAUSED no target leaves TODO; who is out may return.
-- A wave begins when all of the wave before are RETURNED and were judged good.
-- BACKING touches those alone that left TODO, the last changed first; it never waits for a verdict.
+- A step is taken once: it names the state that it leaves, and in any other state it changes nothing.
+- A driver whose fence is older than the highest one seen changes nothing.
+- In HALTED and PAUSED no target leaves TODO; targets that are out may return.
+- A wave begins once all targets of the previous wave are RETURNED and it was judged good.
+- BACKING touches only targets that left TODO, the last changed first; it never waits for a verdict.
 """
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 from enum import Enum
 
-from beechrock.releases.judge import Judged, Verdict
+from beechrock.releases.judge import Judgement, Verdict
 
 
 class Stage(Enum):
@@ -39,8 +39,8 @@
     RETURNED = "returned"
 
 
-NEXT = {Step.TODO: Step.PERMITTED, Step.PERMITTED: Step.SENT, Step.SENT: Step.RETURNED}
-MOVES = {
+NEXT_STEP = {Step.TODO: Step.PERMITTED, Step.PERMITTED: Step.SENT, Step.SENT: Step.RETURNED}
+TRANSITIONS = {
     "start": ({Stage.PLANNED}, Stage.RUNNING),
     "pause": ({Stage.RUNNING}, Stage.PAUSED),
     "resume": ({Stage.PAUSED, Stage.HALTED}, Stage.RUNNING),
@@ -51,25 +51,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """``waves``: names of targets; the first is the canary."""
+    """The plan of a release. ``before``: previous version; ``waves``: target names, the canary first."""
 
     name: str
     version: str
     before: str
     waves: tuple[tuple[str, ...], ...]
-    for_s: float = 300.0
+    for_s: float = 300.0  # seconds after which a permit's right to go out ends
 
 
 @dataclass(slots=True)
 class Release:
+    """The state of one release, changed only by commands of the agreed log."""
+
     plan: Plan
     stage: Stage = Stage.PLANNED
-    steps: dict[str, Step] = field(default_factory=dict)
-    touched: list[str] = field(default_factory=list)  # in the order in which they left TODO
-    undone: dict[str, Step] = field(default_factory=dict)  # the way back, of those that were touched
-    good: int = 0  # waves that were judged good
-    fence: int = 0  # the highest driver's that was heard
-    reason: str = ""  # of the last halt or pause
+    steps: dict[str, Step] = field(default_factory=dict)  # by target: progress towards the new version
+    touched: list[str] = field(default_factory=list)  # targets in the order in which they left TODO
+    undone: dict[str, Step] = field(default_factory=dict)  # by touched target: progress of the rollback
+    good: int = 0  # number of waves judged good, which is the index of the open wave
+    fence: int = 0  # highest driver fence seen
+    reason: str = ""  # reason given for the last ``move``
 
     def __post_init__(self) -> None:
         for wave in self.plan.waves:
@@ -77,8 +79,8 @@
                 self.steps.setdefault(name, Step.TODO)
 
     def move(self, what: str, reason: str = "") -> bool:
-        """An operator's word, or the halt by itself. False where it cannot be said in this stage."""
-        allowed, stage = MOVES[what]
+        """Change the stage, for an operator or by the driver's halt. False: not possible in this stage."""
+        allowed, stage = TRANSITIONS[what]
         if self.stage not in allowed:
             return False
         self.stage, self.reason = stage, reason
@@ -88,42 +90,42 @@
                 self.stage = Stage.UNDONE
         return True
 
-    def heard(self, fence: int) -> bool:
-        """Whether a driver with this fence may still change anything."""
+    def accept_driver(self, fence: int) -> bool:
+        """Return whether a driver with this fence may change the release, and keep the highest fence."""
         if fence < self.fence:
             return False
         self.fence = fence
         return True
 
-    def can(self, target: str, leaves: Step, back: bool = False) -> bool:
-        """Whether the target can leave that step now."""
-        # Who is out may return whatever the stage is: it would count as out for ever.
+    def can_leave(self, target: str, leaves: Step, back: bool = False) -> bool:
+        """Return whether the target can leave that step now."""
+        # A target that is out may return in any stage, or it would count as out forever.
         if back is not (self.stage is Stage.BACKING) and (back or leaves is not Step.SENT):
             return False
         table = self.undone if back else self.steps
-        if table.get(target) is not leaves or leaves not in NEXT:
+        if table.get(target) is not leaves or leaves not in NEXT_STEP:
             return False
         if back or leaves is Step.SENT:
             return True
         return self.stage is Stage.RUNNING and (leaves is not Step.TODO or self.wave_of(target) == self.good)
 
     def step(self, fence: int, target: str, leaves: Step, back: bool = False) -> bool:
-        """One target goes one step on. False, and nothing changed, where it is not in ``leaves`` now."""
-        if not self.heard(fence) or not self.can(target, leaves, back):
+        """Move one target to its next step. False: an older driver, or it can't leave that step now."""
+        if not self.accept_driver(fence) or not self.can_leave(target, leaves, back):
             return False
         table = self.undone if back else self.steps
         if leaves is Step.TODO and not back:
             self.touched.append(target)
-        table[target] = NEXT[leaves]
+        table[target] = NEXT_STEP[leaves]
         if back and all(step is Step.RETURNED for step in table.values()):
             self.stage = Stage.UNDONE
         return True
 
-    def returned_unchanged(self, target: str) -> bool:
-        """Its permit ended and it is as it was: as if it had never been asked for. Whether it was out.
+    def reset_target(self, target: str) -> bool:
+        """Reset a target whose permit ended without a change of version. Returns whether it held a permit.
 
-        Seen in simulation (seed 467): paused past its permit's end after it had been told its version, it
-        gave the permit back unused, and the way back waited for it for ever.
+        SENT is reset too: in simulation (seed 467) a node was paused past its permit's end after its version
+        was sent, gave the permit back unused, and the rollback waited for it forever.
         """
         table = self.undone if self.stage is Stage.BACKING else self.steps
         if table.get(target) not in (Step.PERMITTED, Step.SENT):
@@ -133,23 +135,24 @@
             self.touched.remove(target)
         return True
 
-    def word(self, target: str) -> str:
-        """The version that the target is told to have now; empty: none."""
+    def version_for(self, target: str) -> str:
+        """Return the version that the target is to run now; empty: no change is wanted."""
         if self.stage is Stage.BACKING:
             return self.plan.before if self.undone.get(target) is Step.SENT else ""
         return self.plan.version if self.steps.get(target) is Step.SENT else ""
 
     @property
     def open(self) -> bool:
+        """Return whether the release is under way."""
         return self.stage not in (Stage.PLANNED, Stage.DONE, Stage.UNDONE)
 
-    def judged(self, fence: int, wave: int, verdict: Judged) -> bool:
-        """A wave's verdict; it counts once, for the wave that is open, and only when all of it are back."""
-        if not self.heard(fence) or self.stage is not Stage.RUNNING or wave != self.good:
+    def judged(self, fence: int, wave: int, verdict: Judgement) -> bool:
+        """Take the verdict on the open wave, once; a good one counts only when all its targets are back."""
+        if not self.accept_driver(fence) or self.stage is not Stage.RUNNING or wave != self.good:
             return False
         if verdict.verdict is Verdict.BAD:
             return self.move("halt", f"wave {wave + 1}: {verdict.reason}")
-        if verdict.verdict is Verdict.WAIT or not self.whole(wave):
+        if verdict.verdict is Verdict.WAIT or not self.wave_returned(wave):
             return False
         self.good += 1
         if self.good == len(self.plan.waves):
@@ -157,22 +160,28 @@
         return True
 
     def wave_of(self, target: str) -> int:
+        """Return the index of the target's wave."""
         return next(n for n, wave in enumerate(self.plan.waves) if target in wave)
 
-    def whole(self, wave: int) -> bool:
+    def wave_returned(self, wave: int) -> bool:
+        """Return whether all targets of the wave have returned."""
         return all(self.steps[name] is Step.RETURNED for name in self.plan.waves[wave])
 
 
 class Act(Enum):
-    ASK = "ask"  # for a permit
-    SEND = "send"  # told to change its version; it may be told twice, it changes once
-    CHECK = "check"  # whether it is back, by its own proof
-    JUDGE = "judge"  # the open wave
-    HALT = "halt"
+    """What the driver does next."""
+
+    ASK = "ask"  # request a permit for the target
+    SEND = "send"  # ask the target to change its version; a repeat changes nothing
+    CHECK = "check"  # check whether the target has proved that it is back
+    JUDGE = "judge"  # judge the open wave
+    HALT = "halt"  # halt the release
 
 
 @dataclass(frozen=True, slots=True)
 class Todo:
+    """One action of the driver; ``back``: for the rollback."""
+
     act: Act
     target: str = ""
     version: str = ""
@@ -180,11 +189,12 @@
     reason: str = ""
 
 
-def next_acts(release: Release, late: Mapping[str, float], quorum: bool, most_late_s: float) -> list[Todo]:
-    """What the driver does now. ``late``: seconds since each SENT target was told; ``quorum``: the log
-    answers.
+def next_actions(release: Release, late: Mapping[str, float], quorum: bool, max_late_s: float) -> list[Todo]:
+    """Return the driver's next actions.
 
-    It looks at the agreed state alone, so any process that takes over does the same.
+    ``late``: seconds for which each target has been SENT; ``quorum``: whether the log has a quorum;
+    ``most_late_s``: seconds after which a SENT target that has not returned halts the release. The stage and
+    steps are replicated, so any driver that takes over goes on from the same point.
     """
     plan = release.plan
     if release.stage is Stage.BACKING:
@@ -198,15 +208,15 @@
     ]
     if release.stage is not Stage.RUNNING:
         return returning
-    if not quorum:  # nobody new goes out, and who drives says why it stands still
+    if not quorum:  # no further target goes out, and the halt names the reason
         return [*returning, Todo(Act.HALT, reason="no quorum")]
     stuck = [
-        name for name, since in late.items() if since > most_late_s and release.steps.get(name) is Step.SENT
+        name for name, since in late.items() if since > max_late_s and release.steps.get(name) is Step.SENT
     ]
     if stuck:
-        return [*returning, Todo(Act.HALT, reason=f"{stuck[0]} did not return in {most_late_s:g} s")]
+        return [*returning, Todo(Act.HALT, reason=f"{stuck[0]} did not return in {max_late_s:g} s")]
     wave = plan.waves[release.good]
-    if release.whole(release.good):
+    if release.wave_returned(release.good):
         return [Todo(Act.JUDGE)]
     return [
         _act(name, release.steps[name], plan.version, False)
@@ -220,8 +230,8 @@
     return Todo(act, name, version, back)
 
 
-def waves(halls: Mapping[str, list[str]], canary: int, most: int) -> tuple[tuple[str, ...], ...]:
-    """A canary of so many, then hall by hall in parts of at most ``most``: one bad hall is not two."""
+def plan_waves(halls: Mapping[str, list[str]], canary: int, most: int) -> tuple[tuple[str, ...], ...]:
+    """Return the waves: ``canary`` targets, then waves of at most ``most`` targets, each of one hall only."""
     names = [name for hall in sorted(halls) for name in sorted(halls[hall])]
     first = tuple(names[:canary])
     found = [first] if first else []
--- a/beechrock/releases/rows.py
+++ b/beechrock/releases/rows.py
@@ -1,4 +1,4 @@
-"""Values of the agreed state as lists of msgpack, and as words for people. Pure."""
+"""Conversion of the agreed state's values to rows for msgpack, and to text for operators. Pure."""
 
 from collections.abc import Iterable
 from typing import Any
@@ -8,54 +8,64 @@
 from beechrock.releases.permits import Budget, Kind, Refused
 from beechrock.releases.release import Plan, Release, Stage, Step
 
-FORMAT = 1
+FORMAT = 1  # of commands and snapshots
 
 
 def command(verb: str, *rest: Any) -> bytes:
+    """Encode a command of the log."""
     packed: bytes = msgpack.packb([FORMAT, verb, *rest])
     return packed
 
 
-def refusal(found: Refused) -> str:
-    """For people: why, and who is out in its place."""
-    said = found.why.value
-    if found.budget:
-        said += f": {found.budget}, {found.allowed} allowed"
-    return said + (f"; out: {', '.join(found.out)}" if found.out else "")
+def describe_refusal(refused: Refused) -> str:
+    """Return the refusal as text for an operator: the reason, the bound, and the targets that are out."""
+    text = refused.reason.value
+    if refused.budget:
+        text += f": {refused.budget}, {refused.allowed} allowed"
+    return text + (f"; out: {', '.join(refused.out)}" if refused.out else "")
 
 
-def budget_row(one: Budget) -> list[Any]:
-    return [one.name, one.most, one.part, one.kind.value, one.hall, one.service, one.hardware, one.each_hall]
+def budget_row(budget: Budget) -> list[Any]:
+    return [
+        budget.name,
+        budget.most,
+        budget.part,
+        budget.kind.value,
+        budget.hall,
+        budget.service,
+        budget.hardware,
+        budget.each_hall,
+    ]
 
 
 def budget_rows(budgets: Iterable[Budget]) -> list[list[Any]]:
-    return [budget_row(one) for one in budgets]
+    return [budget_row(budget) for budget in budgets]
 
 
-def budget(row: list[Any]) -> Budget:
+def parse_budget(row: list[Any]) -> Budget:
     name, most, part, kind, hall, service, hardware, each_hall = row
     return Budget(name, most, part, Kind(kind), hall, service, hardware, each_hall)
 
 
-def release_row(one: Release) -> list[Any]:
-    plan = one.plan
+def release_row(release: Release) -> list[Any]:
+    plan = release.plan
     return [
         plan.name,
         plan.version,
         plan.before,
         plan.waves,
         plan.for_s,
-        one.stage.value,
-        {name: step.value for name, step in one.steps.items()},
-        one.touched,
-        {name: step.value for name, step in one.undone.items()},
-        one.good,
-        one.fence,
-        one.reason,
+        release.stage.value,
+        {name: step.value for name, step in release.steps.items()},
+        release.touched,
+        {name: step.value for name, step in release.undone.items()},
+        release.good,
+        release.fence,
+        release.reason,
     ]
 
 
-def release(row: list[Any]) -> Release:
+def parse_release(row: list[Any]) -> Release:
     name, version, before, waves, for_s, stage, steps, touched, undone, good, fence, reason = row
     plan = Plan(name, version, before, tuple(map(tuple, waves)), for_s)
     return Release(
--- a/beechrock/releases/servers.py
+++ b/beechrock/releases/servers.py
@@ -1,6 +1,4 @@
-"""Servers below, as this node has to do with them: which it uses, which are out, and whether it reaches those
-that are to return. Thin, with a bound on all of it.
-"""
+"""Downstream servers as one node sees them: which are used, out, or reached again before their return."""
 
 import asyncio
 from collections.abc import Iterable
@@ -8,68 +6,74 @@
 
 from beechrock import logs
 from beechrock.releases.permits import Kind
-from beechrock.releases.words import MOST_TOLD, Reach, Told
+from beechrock.releases.words import MAX_SERVER_REPORTS, Reach, Told
 
 if TYPE_CHECKING:
     from beechrock.releases.part import Releases
 
-REACH_S = 1.0  # until one that is silent counts as not reached
-AT_ONCE = 256  # connections that are tried side by side
-EACH_S = 0.5  # from one good try of a server that is to return to the next; a word goes as often
+CONNECT_TIMEOUT_S = 1.0  # seconds until a silent server counts as not reached
+MAX_CONCURRENT_CONNECTS = 256
+CHECK_INTERVAL_S = 0.5  # from a successful check of a returning server to the next; as often as reports
 
 
 def address_of(target: str) -> tuple[str, int]:
+    """Return host and port of a server's name, which is ``host:port``."""
     host, _, port = target.rpartition(":")
     return host, int(port)
 
 
-async def reach(target: str) -> None:
-    """OSError, TimeoutError where it takes no connection."""
-    async with asyncio.timeout(REACH_S):
+async def connect(target: str) -> None:
+    """Connect to a server and close. Raises OSError or TimeoutError if it takes no connection."""
+    async with asyncio.timeout(CONNECT_TIMEOUT_S):
         _, writer = await asyncio.open_connection(*address_of(target))
     writer.close()
 
 
-async def unreached(targets: Iterable[str]) -> frozenset[str]:
-    """Those that take no connection now; after ``REACH_S`` for each ``AT_ONCE`` of them at the latest."""
-    turn, found = asyncio.Semaphore(AT_ONCE), set[str]()
+async def unreachable(targets: Iterable[str]) -> frozenset[str]:
+    """Return the servers that take no connection now.
 
-    async def one(target: str) -> None:
-        async with turn:
+    It takes at most CONNECT_TIMEOUT_S for each batch of MAX_CONCURRENT_CONNECTS servers.
+    """
+    slots, found = asyncio.Semaphore(MAX_CONCURRENT_CONNECTS), set[str]()
+
+    async def check(target: str) -> None:
+        async with slots:
             try:
-                await reach(target)
+                await connect(target)
             except (OSError, TimeoutError):
                 found.add(target)
 
-    await asyncio.gather(*map(one, targets))
+    await asyncio.gather(*map(check, targets))
     return frozenset(found)
 
 
-class Below:
-    """Each node tries for itself those that are to return, and tells the others with its word."""
+class ServerChecks:
+    """This node's checks of returning servers, which its reports pass on to the other nodes."""
 
     def __init__(self, part: "Releases") -> None:
         self.part = part
-        self.tried: dict[str, tuple[int, Reach]] = {}  # by server that is to return: fence, newest try
+        self.tried: dict[str, tuple[int, Reach]] = {}  # by returning server: fence, newest result
 
     def listed(self) -> list[list[Any]]:
-        """Name and services of each server of the inventory."""
+        """Return name and services of each server in the inventory."""
         found: dict[str, set[str]] = {}
         meaning = getattr(self.part.program, "meaning", None)
-        for service, places in (meaning.upstreams if meaning is not None else {}).items():
-            for host, port in places:
+        for service, addresses in (meaning.upstreams if meaning is not None else {}).items():
+            for host, port in addresses:
                 found.setdefault(f"{host}:{port}", set()).add(service)
         return sorted([name, sorted(services)] for name, services in found.items())
 
-    def told(self) -> tuple[Told, ...]:
-        """Of those that are to return: whether this node reaches them."""
+    def reports(self) -> tuple[Told, ...]:
+        """Return whether this node reaches each returning server, the oldest fences first."""
         return tuple(
-            (name, fence, one)
-            for name, (fence, one) in sorted(self.tried.items(), key=lambda tried: tried[1][0])[:MOST_TOLD]
+            (name, fence, reach)
+            for name, (fence, reach) in sorted(self.tried.items(), key=lambda tried: tried[1][0])[
+                :MAX_SERVER_REPORTS
+            ]
         )
 
-    def turn(self) -> None:
-        """Those out by permit get nothing new here, what they run goes on to its end; and the tries."""
+    def update(self) -> None:
+        """Send no new work to servers that are out, whose runs go on; check the returning ones."""
         machine, work = self.part.machine, self.part.program.servers
         held = sorted(
             name for name in machine.permits.held if machine.permits.targets[name].kind is Kind.SERVER
@@ -78,7 +82,7 @@
             work.leave_out(out)
             logs.event("releases.servers", out=held)
         returning = {name: machine.returning[name] for name in held if name in machine.returning}
-        self.tried = {name: one for name, one in self.tried.items() if returning.get(name) == one[0]}
+        self.tried = {name: check for name, check in self.tried.items() if returning.get(name) == check[0]}
         if not returning:
             return
         used = {name for name, _ in self.listed()}
@@ -87,16 +91,16 @@
                 self.tried[name] = fence, Reach.UNUSED
             else:
                 self.tried.setdefault(name, (fence, Reach.NO))
-                self.part.once(f"reach {name}", self._try(name, fence))
+                self.part.once(f"reach {name}", self._check(name, fence))
 
-    async def _try(self, target: str, fence: int) -> None:
+    async def _check(self, target: str, fence: int) -> None:
         found = Reach.NO
         try:
-            await reach(target)
+            await connect(target)
             found = Reach.YES
         finally:
             if self.tried.get(target) == (fence, Reach.YES if found is Reach.NO else Reach.NO):
                 self.tried[target] = fence, found
-                self.part.beat_at = float("-inf")  # told with the next turn
+                self.part.reported_at = float("-inf")  # so that the next tick of the part sends a report
                 self.part.wake.set()
-        await asyncio.sleep(EACH_S)
+        await asyncio.sleep(CHECK_INTERVAL_S)
--- a/beechrock/releases/words.py
+++ b/beechrock/releases/words.py
@@ -1,7 +1,7 @@
-"""What nodes say to each other twice a second, and whom that leaves as down. Pure.
+"""Reports that nodes send to each other twice a second, and which nodes count as down by them. Pure.
 
-Invariants: at most one word a name of the fleet is kept; whoever was not heard for ``gone_s``, or says that
-it does not serve, is down; no word gives or ends a right.
+Invariants: at most one report of each node is kept; a node counts as down if it was silent for ``gone_s`` or
+reports, without a permit, that it does not serve; no report grants or ends a permit.
 """
 
 from collections.abc import Iterable, Mapping
@@ -14,33 +14,33 @@
 from beechrock.core.actor import ModuleActor
 from beechrock.core.request_counts import RequestCounts
 from beechrock.core.requests import Request, Verdict
-from beechrock.releases.driver import MOST_WAITS, Status, figures, row
+from beechrock.releases.driver import MAX_WAITS, Status, figures_row, parse_figures
 from beechrock.releases.judge import Figures
 
-FORMAT = 2  # with the move that an outage follows
-SERVERS = 3  # a message of its own, which a node that does not know it passes over
+FORMAT = 2  # of node reports; the first with ``moved``
+SERVERS = 3  # format of server reports, a separate message that older versions ignore
 READY = "ready"
-MOST_TOLD = 64  # servers that are to return, those told first; the others come after them
+MAX_SERVER_REPORTS = 64  # servers in one message, those with the oldest fences; the others follow later
 
 
 class Reach(IntEnum):
-    """Of a server that is to return, as one node has it."""
+    """Whether one node reaches a returning server."""
 
     NO = 0
     YES = 1
-    UNUSED = 2  # its inventory does not list it
+    UNUSED = 2  # the node's inventory does not list the server
 
 
-Told = tuple[str, int, Reach]  # the server, its permit's fence
+Told = tuple[str, int, Reach]  # report on one server: its name, its permit's fence, whether it is reached
 
 
 def proved(reached: int, of: int) -> bool:
-    """A server is back once over half of those that use it reach it: one node alone may be the only one."""
+    """Return whether a server is back: over half of its users reach it. One node alone may be mistaken."""
     return 2 * reached > of
 
 
-class Timed(RequestCounts):
-    """The node's tally, which also knows how many were served later than their class's aim."""
+class SlowCounts(RequestCounts):
+    """The node's request counts, with those served later than the latency objective of their class."""
 
     def __init__(self, module: ModuleActor) -> None:
         super().__init__()
@@ -52,33 +52,35 @@
         self.slow += verdict is Verdict.SERVED and self.module.clock() - request.born > objective_s
 
 
-def counted(tally: RequestCounts) -> Figures:
-    by = {verdict: sum(n for (_, v), n in tally.replies.items() if v is verdict) for verdict in Verdict}
+def tally(counts: RequestCounts) -> Figures:
+    """Return the figures that a report carries."""
+    by = {verdict: sum(n for (_, v), n in counts.replies.items() if v is verdict) for verdict in Verdict}
     return Figures(
         sum(by.values()),
         by[Verdict.SERVED],
         by[Verdict.REFUSED],
         by[Verdict.FAILED],
-        getattr(tally, "slow", 0),
+        getattr(counts, "slow", 0),
     )
 
 
 @dataclass(frozen=True, slots=True)
 class Word:
-    """``serving``: of the second address; ``state``: of ``node.State``; ``waits``: of a driver alone."""
+    """A node's report. ``serving``: state of its admin address; ``state``: value of ``node.State``."""
 
     serving: str
     state: str
     version: str
-    open: int
+    open: int  # requests in progress
     figures: Figures
-    driver: int = 0  # the fence under which this node drives
-    waits: tuple[str, ...] = ()
-    outage: float = 0.0  # seconds in which it saw no leader, and the release has not moved since
-    moved: int = 0  # the log's index of the release's last move, which ``outage`` speaks of
+    driver: int = 0  # fence under which this node drives; 0: it does not
+    waits: tuple[str, ...] = ()  # what the driver waits for; empty at other nodes
+    outage: float = 0.0  # seconds without a leader, if no release has moved since
+    moved: int = 0  # index of the last command that changed a release, to which ``outage`` refers
 
 
 def encode(word: Word) -> bytes:
+    """Encode a node's report."""
     packed: bytes = msgpack.packb(
         [
             FORMAT,
@@ -86,7 +88,7 @@
             word.state,
             word.version,
             word.open,
-            row(word.figures),
+            figures_row(word.figures),
             word.driver,
             list(word.waits),
             word.outage,
@@ -96,28 +98,31 @@
     return packed
 
 
-def encode_servers(told: tuple[Told, ...]) -> bytes:
-    packed: bytes = msgpack.packb([SERVERS, [list(one) for one in told]])
+def encode_servers(reports: tuple[Told, ...]) -> bytes:
+    """Encode the reports on returning servers."""
+    packed: bytes = msgpack.packb([SERVERS, [list(report) for report in reports]])
     return packed
 
 
 def decode(data: bytes) -> Word | tuple[Told, ...] | None:
-    """None: of another format, or nothing of ours."""
+    """Decode a message; None if its format is unknown or it is malformed."""
     try:
-        told = msgpack.unpackb(data)
-        if told[0] == SERVERS:
-            return tuple((str(name), int(fence), Reach(one)) for name, fence, one in told[1][:MOST_TOLD])
-        if told[0] != FORMAT:
+        values = msgpack.unpackb(data)
+        if values[0] == SERVERS:
+            return tuple(
+                (str(name), int(fence), Reach(reach)) for name, fence, reach in values[1][:MAX_SERVER_REPORTS]
+            )
+        if values[0] != FORMAT:
             return None
-        _, serving, state, version, open_, counts, driver, waits, outage, moved = told
+        _, serving, state, version, open_, counts, driver, waits, outage, moved = values
         return Word(
             str(serving),
             str(state),
             str(version),
             int(open_),
-            figures(counts),
+            parse_figures(counts),
             int(driver),
-            tuple(map(str, waits[:MOST_WAITS])),
+            tuple(map(str, waits[:MAX_WAITS])),
             float(outage),
             int(moved),
         )
@@ -127,11 +132,11 @@
 
 @dataclass(slots=True)
 class Heard:
-    """The others' newest words."""
+    """The newest report of each node, this one included."""
 
-    gone_s: float
-    words: dict[str, tuple[float, int, Word]] = field(default_factory=dict)
-    servers: dict[str, tuple[float, tuple[Told, ...]]] = field(default_factory=dict)
+    gone_s: float  # seconds of silence after which a node counts as down
+    words: dict[str, tuple[float, int, Word]] = field(default_factory=dict)  # by node: time, life, report
+    servers: dict[str, tuple[float, tuple[Told, ...]]] = field(default_factory=dict)  # by node: time, reports
 
     def take(self, now: float, sender: str, life: int, word: Word | tuple[Told, ...]) -> None:
         if isinstance(word, Word):
@@ -139,7 +144,8 @@
         else:
             self.servers[sender] = now, word
 
-    def lately(self, now: float) -> dict[str, Status]:
+    def recent_statuses(self, now: float) -> dict[str, Status]:
+        """Return the status of each node that was heard within ``gone_s``."""
         return {
             name: Status(life, word.figures, word.open)
             for name, (at, life, word) in self.words.items()
@@ -149,8 +155,10 @@
     def down(
         self, now: float, names: Iterable[str], held: Mapping[str, Any], dead: Iterable[str] = ()
     ) -> frozenset[str]:
-        """Of these names; ``dead``: as the membership says. Whoever is out by permit is not called down for
-        saying so."""
+        """Return which of the nodes are down. ``dead``: nodes that the membership reports as dead.
+
+        A node that holds a permit is not down merely because it reports that it does not serve.
+        """
         gone = set(dead)
         for name in names:
             at, _, word = self.words.get(name, (float("-inf"), 0, None))
@@ -159,36 +167,42 @@
         return frozenset(gone)
 
     def outage(self, now: float, of: int, moved: int) -> str:
-        """What a release is to stop for: over half of the nodes saw no leader for so long since it moved.
+        """Return why a release is to halt: over half of the nodes reported an outage since it last moved.
 
-        Seen in the benchmark on a starved machine: one node alone had been cut off for 8 s, came to drive,
-        and halted a release that waited for a return. And beside full load: words half a second old spoke of
-        an outage before the release was begun, and halted it at its first step.
+        One report is not enough: in the benchmark on a starved machine, a single node that had been cut off
+        for 8 s became the driver and halted a release that waited for a return. Reports of an older move are
+        ignored: under full load, reports half a second old spoke of an outage from before the release began,
+        and halted it at its first step.
         """
-        told = sorted(
+        outages = sorted(
             word.outage
             for at, _, word in self.words.values()
             if word.outage and word.moved == moved and now - at <= self.gone_s
         )
-        return f"no quorum for {told[0]:.0f} s" if 2 * len(told) > of else ""
+        return f"no quorum for {outages[0]:.0f} s" if 2 * len(outages) > of else ""
 
     def reached(self, now: float, target: str, fence: int) -> tuple[int, int]:
-        """How many reach a server that is to return, of how many that use it. Who is heard and did not yet
-        say counts as one that uses it and does not reach it."""
-        lately = {name: told for name, (at, told) in self.servers.items() if now - at <= self.gone_s}
-        told = [
-            next((how for one, of, how in lately.get(name, ()) if (one, of) == (target, fence)), Reach.NO)
+        """Return how many nodes reach a returning server, and how many use it.
+
+        A node that is heard but has not reported on the server counts as a user that does not reach it.
+        """
+        recent = {name: reports for name, (at, reports) in self.servers.items() if now - at <= self.gone_s}
+        results = [
+            next(
+                (reach for server, of, reach in recent.get(name, ()) if (server, of) == (target, fence)),
+                Reach.NO,
+            )
             for name, (at, _, _) in self.words.items()
             if now - at <= self.gone_s
         ]
-        return told.count(Reach.YES), len(told) - told.count(Reach.UNUSED)
+        return results.count(Reach.YES), len(results) - results.count(Reach.UNUSED)
 
     def driver(self, now: float) -> tuple[str, tuple[str, ...]]:
-        """Who drives, as far as heard, and what it waits for."""
-        told = [
+        """Return the node that reports the newest driver's fence, and what it waits for."""
+        drivers = [
             (word.driver, name, word.waits)
             for name, (at, _, word) in self.words.items()
             if word.driver and now - at <= self.gone_s
         ]
-        _, name, waits = max(told, default=(0, "", ()))
+        _, name, waits = max(drivers, default=(0, "", ()))
         return name, waits
--- a/tests/releases/test_driver.py
+++ b/tests/releases/test_driver.py
@@ -1,7 +1,7 @@
 """The driver: when it halts, and what it calls late, expired, or an outage."""
 
 from beechrock.lab.releases_sim import GONE_S, QUORUM_S, RULES
-from beechrock.releases.agreed import VOTERS, own
+from beechrock.releases.agreed import VOTERS, configured_budgets
 from beechrock.releases.driver import Driver, Seen, Status, Watch
 from beechrock.releases.judge import Figures
 from beechrock.releases.machine import Machine
@@ -108,12 +108,12 @@
         return one
 
     drives(told.names, loose, 0)
-    assert own(machine.permits.budgets) == loose  # of no version: as whoever drives has it
+    assert configured_budgets(machine.permits.budgets) == loose  # of no version: as whoever drives has it
     drives(told.names, tight, 2)
-    assert (own(machine.permits.budgets), machine.budgets_version) == (tight, 2)
+    assert (configured_budgets(machine.permits.budgets), machine.budgets_version) == (tight, 2)
     for version in (0, 1, 2):  # an older file, or another one of that version, drives
         late = drives([*told.names, f"e{version}"], loose, version, voters=2 + version)
-        assert own(machine.permits.budgets) == tight and f"e{version}" in machine.names
+        assert configured_budgets(machine.permits.budgets) == tight and f"e{version}" in machine.names
         assert machine.permits.budgets[-1].most == 2 + version  # the log's voters go with the log
         assert bool([line for line in late.waits if "raise budgets_version" in line]) is (version == 2)
         told.index += 1
@@ -123,7 +123,7 @@
     other.restore(machine.snapshot())
     assert other.budgets_version == 2 and other.snapshot() == machine.snapshot()
     drives(told.names, loose, 3)
-    assert (own(machine.permits.budgets), machine.budgets_version) == (loose, 3)
+    assert (configured_budgets(machine.permits.budgets), machine.budgets_version) == (loose, 3)
 
 
 def test_an_outage_is_one_only_if_nobody_moved_the_release_meanwhile() -> None:
--- a/tests/releases/test_histories.py
+++ b/tests/releases/test_histories.py
@@ -32,7 +32,7 @@
         assert any(word in what for what in audit), word
 
 
-HELD = Facts(fence=7, for_s=10.0, may_go=True, here=True, proved=True)
+HELD = Facts(fence=7, for_s=10.0, may_go=True, registered=True, proved=True)
 
 
 def test_a_holder_paused_past_its_permits_end_gives_it_back_and_does_not_go() -> None:
@@ -40,20 +40,22 @@
     assert [do.act for do in node.decide(0.1, HELD)] == [Act.READ]
     node.settled(0.2)
     assert [do.act for do in node.decide(0.3, HELD)] == [Act.GO]
-    gone = Facts(fence=7, for_s=10.0, may_go=True, gone=True, here=True, proved=False)
+    gone = Facts(fence=7, for_s=10.0, may_go=True, go_applied=True, registered=True, proved=False)
     assert [do.act for do in node.decide(30.0, gone)] == [Act.UNUSED] and not node.drained
 
 
 def test_after_a_pause_it_reads_the_log_before_it_goes_or_changes_its_version() -> None:
     node = Node(1.0, 5.0, 0.0)
     node.settled(0.0)
-    gone = Facts(fence=7, for_s=10.0, may_go=True, gone=True, here=True)
+    gone = Facts(fence=7, for_s=10.0, may_go=True, go_applied=True, registered=True)
     assert [do.act for do in node.decide(3.0, gone)] == [Act.READ] and not node.drained
     node.settled(3.1)
     assert [do.act for do in node.decide(3.2, gone)] == [Act.DRAIN] and node.drained
-    busy = Facts(fence=7, for_s=10.0, gone=True, here=True, word="2", version="1", open=1)
+    busy = Facts(
+        fence=7, for_s=10.0, go_applied=True, registered=True, wanted_version="2", version="1", open=1
+    )
     assert not node.decide(3.3, busy)  # what runs finishes
-    idle = Facts(fence=7, for_s=10.0, gone=True, here=True, word="2", version="1")
+    idle = Facts(fence=7, for_s=10.0, go_applied=True, registered=True, wanted_version="2", version="1")
     assert [do.act for do in node.decide(9.0, idle)] == [Act.READ]
     node.settled(9.1)
     assert [(do.act, do.version) for do in node.decide(9.2, idle)] == [(Act.CHANGE, "2")]
@@ -61,13 +63,15 @@
 
 
 def test_a_life_that_comes_up_drained_says_that_it_is_out_and_asks_for_the_go_that_was_lost() -> None:
-    gone = Facts(fence=7, for_s=10.0, may_go=True, gone=True, here=True, word="2", version="1")
+    gone = Facts(
+        fence=7, for_s=10.0, may_go=True, go_applied=True, registered=True, wanted_version="2", version="1"
+    )
     node = Node(1.0, 5.0, 0.0, drained=True)
     node.settled(0.0)
     assert [(do.act, do.fence) for do in node.decide(0.1, gone)] == [(Act.OUT, 7)]
     assert [do.act for do in node.decide(0.2, gone)] == [Act.CHANGE]
     # Told to come back at its first look, it says so too; the life that drained it has said it.
-    back = Facts(fence=7, for_s=10.0, gone=True, here=True, to_return=True)
+    back = Facts(fence=7, for_s=10.0, go_applied=True, registered=True, to_return=True)
     node = Node(1.0, 5.0, 0.0, drained=True)
     assert [do.act for do in node.decide(0.1, back)] == [Act.OUT] and not node.decide(0.2, back)
     first = Node(1.0, 5.0, 0.0)
@@ -77,11 +81,11 @@
     # Killed between its marker and its `go`: it is out, and changes nothing before the log knows.
     node = Node(1.0, 5.0, 0.0, drained=True)
     node.settled(0.0)
-    lost = Facts(fence=7, for_s=10.0, may_go=True, here=True, word="2", version="1")
+    lost = Facts(fence=7, for_s=10.0, may_go=True, registered=True, wanted_version="2", version="1")
     assert [(do.act, do.fence) for do in node.decide(0.1, lost)] == [(Act.GO, 7)]
     assert [do.act for do in node.decide(0.2, gone)] == [Act.OUT]
     # Its right to go has ended meanwhile: it only comes back.
-    ended = Facts(fence=7, for_s=10.0, here=True, to_return=True)
+    ended = Facts(fence=7, for_s=10.0, registered=True, to_return=True)
     node = Node(0.0, 5.0, 0.0, drained=True)
     node.settled(0.0)
     assert [do.act for do in node.decide(0.1, ended)] == [Act.SERVE]
@@ -99,21 +103,31 @@
         (2.8, 6, 0, []),
         (2.9, 6, 0, [Act.CHANGE]),
     ):
-        facts = Facts(fence=7, gone=True, here=True, word="2", version="1", open=open_, taken=taken)
+        facts = Facts(
+            fence=7,
+            go_applied=True,
+            registered=True,
+            wanted_version="2",
+            version="1",
+            open=open_,
+            taken=taken,
+        )
         assert [do.act for do in node.decide(now, facts)] == told, now
 
 
 def test_it_serves_again_only_after_it_was_good_without_a_break() -> None:
     node = Node(2.0, 5.0, 0.0, drained=True)
     node.settled(0.0)
-    told = Facts(fence=7, here=True, word="2", version="2")
+    told = Facts(fence=7, registered=True, wanted_version="2", version="2")
     assert not node.decide(0.5, told) and not node.decide(1.4, told)
-    assert not node.decide(1.9, Facts(fence=7, here=True, word="2", version="2", linked=False))
+    assert not node.decide(
+        1.9, Facts(fence=7, registered=True, wanted_version="2", version="2", connected=False)
+    )
     assert not node.decide(2.6, told) and not node.decide(3.5, told) and not node.decide(4.4, told)
     assert [do.act for do in node.decide(4.8, told)] == [Act.SERVE] and not node.drained
     assert [do.act for do in node.decide(4.9, told)] == [Act.BACK]
     # Not its version: it stays where it is.
-    assert not Node(0.0, 5.0, 0.0, drained=True).decide(0.1, Facts(fence=7, here=True))
+    assert not Node(0.0, 5.0, 0.0, drained=True).decide(0.1, Facts(fence=7, registered=True))
 
 
 def test_a_fleet_is_whole_once_it_is_described_driven_and_all_have_proved_themselves() -> None:
@@ -166,7 +180,7 @@
         assert word is not None
         heard.take(at, name, 1, word)
     assert heard.down(6.0, ["a", "b", "c", "d", "e"], {"c": 1}, ["f"]) == {"a", "b", "e", "f"}
-    assert sorted(heard.lately(6.0)) == ["b", "c", "d"] and heard.driver(6.0) == ("d", ("x",))
+    assert sorted(heard.recent_statuses(6.0)) == ["b", "c", "d"] and heard.driver(6.0) == ("d", ("x",))
     for name, outage in (("a", 9.0), ("b", 0.0), ("c", 8.0), ("d", 7.0)):
         heard.take(7.0, name, 1, Word("ready", "in", "1", 0, Figures(), outage=outage, moved=3))
     assert heard.outage(8.0, 5, 3) == "no quorum for 7 s" and heard.outage(8.0, 6, 3) == ""  # over half
--- a/tests/releases/test_operators.py
+++ b/tests/releases/test_operators.py
@@ -10,7 +10,7 @@
 from beechrock.releases.operators import Operators
 from beechrock.releases.part import Releases
 from beechrock.releases.rows import command
-from beechrock.releases.told import Told
+from beechrock.releases.told import ReleasesSettings
 
 HALLS = {"a": "east", "b": "west", "c": "east", "d": "west"}
 
@@ -19,20 +19,20 @@
     """A node whose copy of the log is behind until it is read; ``led``: whether a read can be had."""
 
     def __init__(self, led: bool = True) -> None:
-        self.machine, self.counters, self.told, self.led = Machine(), Counters(), Told(), led
+        self.machine, self.counters, self.settings, self.led = Machine(), Counters(), ReleasesSettings(), led
         self.log = [command("describe", 1, sorted(HALLS), [], [], [])]
         self.log += [command("here", name, 1, hall, "x", "1") for name, hall in HALLS.items()]
 
-    async def settled(self) -> None:
+    async def wait_for_log(self) -> None:
         await asyncio.sleep(0)
         if not self.led:
             raise NoQuorumError("no read within 3 s", where="agreed log at a", do="come back")
         while self.log:
             self.machine.apply(self.machine.index + 1, self.log.pop(0))
 
-    async def say(self, verb: str, *rest: Any) -> Any:
+    async def propose(self, verb: str, *rest: Any) -> Any:
         """The log has all commands before this one, whatever this node had of them."""
-        await self.settled()
+        await self.wait_for_log()
         done, what = self.machine.apply(self.machine.index + 1, command(verb, *rest))
         if not done:
             raise ReleaseStateError(str(what))
--- a/tests/releases/test_releases.py
+++ b/tests/releases/test_releases.py
@@ -7,8 +7,8 @@
 from hypothesis import strategies as st
 
 from beechrock.releases.judge import Figures, Rules, Verdict, judge
-from beechrock.releases.permits import Ask, Budget, Permit, Permits, Refusal, Refused, Target
-from beechrock.releases.release import Act, Plan, Release, Stage, Step, next_acts, waves
+from beechrock.releases.permits import Budget, Permit, PermitRequest, Permits, Refusal, Refused, Target
+from beechrock.releases.release import Act, Plan, Release, Stage, Step, next_actions, plan_waves
 
 HALLS = ("east", "west", "north")
 TARGETS = [
@@ -48,7 +48,7 @@
             case 0 | 1 | 2:
                 before = permits.out(down)
                 held = permits.held.get(name)
-                found = permits.ask(index, Ask(name, draw.choice("pq"), "why", 60.0, down))
+                found = permits.request(index, PermitRequest(name, draw.choice("pq"), "why", 60.0, down))
                 if isinstance(found, Permit) and held is None:
                     assert found.fence == index > max(granted, default=0)
                     granted.add(index)
@@ -72,13 +72,15 @@
         [Target("a", hall="east"), Target("b", hall="west"), Target("c", hall="west")],
         [Budget("all", most=9)],
     )
-    assert permits.ask(1, Ask("a", "op", "", 1.0)) == Refused(Refusal.LAST, "hall east", 0, ())
-    assert isinstance(permits.ask(2, Ask("b", "op", "", 1.0)), Permit)
-    assert permits.ask(3, Ask("c", "op", "", 1.0)) == Refused(Refusal.LAST, "hall west", 0, ("b",))
-    claimed = permits.ask(4, Ask("c", "op", "fire", 1.0, claim=True))
+    assert permits.request(1, PermitRequest("a", "op", "", 1.0)) == Refused(Refusal.LAST, "hall east", 0, ())
+    assert isinstance(permits.request(2, PermitRequest("b", "op", "", 1.0)), Permit)
+    assert permits.request(3, PermitRequest("c", "op", "", 1.0)) == Refused(
+        Refusal.LAST, "hall west", 0, ("b",)
+    )
+    claimed = permits.request(4, PermitRequest("c", "op", "fire", 1.0, claim=True))
     assert isinstance(claimed, Permit) and claimed.claimed and (4, "claimed", "c", "op") in permits.audit
-    assert permits.ask(5, Ask("b", "other", "", 1.0)) == Refused(Refusal.HELD, out=("op",))
-    assert permits.ask(6, Ask("x", "op", "", 1.0)) == Refused(Refusal.UNKNOWN)
+    assert permits.request(5, PermitRequest("b", "other", "", 1.0)) == Refused(Refusal.HELD, out=("op",))
+    assert permits.request(6, PermitRequest("x", "op", "", 1.0)) == Refused(Refusal.UNKNOWN)
 
 
 @pytest.mark.parametrize(
@@ -100,7 +102,7 @@
     assert budget.allowed(of) == allowed
 
 
-PLAN = Plan("r1", "2", "1", waves({"east": ["e1", "e2", "e3"], "west": ["w1", "w2", "w3"]}, 1, 2))
+PLAN = Plan("r1", "2", "1", plan_waves({"east": ["e1", "e2", "e3"], "west": ["w1", "w2", "w3"]}, 1, 2))
 
 
 def test_waves_begin_with_the_canary_and_keep_to_one_hall() -> None:
@@ -122,7 +124,7 @@
         if draw.random() < 0.01:
             release.move("back")
         before = (dict(release.steps), dict(release.undone), release.stage, release.good)
-        for todo in next_acts(release, {}, True, 60.0)[: draw.randrange(1, 4)]:
+        for todo in next_actions(release, {}, True, 60.0)[: draw.randrange(1, 4)]:
             table = release.undone if todo.back else release.steps
             if todo.act is Act.JUDGE:
                 verdict = draw.choice(list(Verdict))
@@ -136,15 +138,15 @@
             assert before == (release.steps, release.undone, release.stage, release.good)
         for n, wave in enumerate(PLAN.waves):
             if any(release.steps[name] is not Step.TODO for name in wave):
-                assert all(release.whole(earlier) for earlier in range(n)) and release.good >= n
+                assert all(release.wave_returned(earlier) for earlier in range(n)) and release.good >= n
     for steps in world.values():
         assert len(set(steps)) == len(steps), steps
 
 
 def judged(verdict: Verdict):  # type: ignore[no-untyped-def]
-    from beechrock.releases.judge import Judged
+    from beechrock.releases.judge import Judgement
 
-    return Judged(verdict, "drawn")
+    return Judgement(verdict, "drawn")
 
 
 def test_the_way_back_takes_those_that_were_touched_last_first_and_a_halted_one_still_returns() -> None:
@@ -158,7 +160,10 @@
     assert release.move("halt", "bad") and not release.step(1, "e3", Step.TODO)
     assert release.step(1, "e2", Step.SENT)  # who is out returns all the same
     assert release.move("back") and list(release.undone) == ["e2", "e1"]
-    assert [todo.version for todo in next_acts(release, {}, False, 9.0)] == ["1", "1"]  # even without figures
+    assert [todo.version for todo in next_actions(release, {}, False, 9.0)] == [
+        "1",
+        "1",
+    ]  # even without figures
     for name in ("e2", "e1"):
         for step in (Step.TODO, Step.PERMITTED, Step.SENT):
             assert release.step(2, name, step, back=True) and not release.step(1, name, step, back=True)
@@ -168,11 +173,11 @@
 def test_no_quorum_and_a_node_that_does_not_return_halt_a_release() -> None:
     release = Release(PLAN)
     release.move("start")
-    assert next_acts(release, {}, False, 9.0)[-1].reason == "no quorum"
+    assert next_actions(release, {}, False, 9.0)[-1].reason == "no quorum"
     for step in (Step.TODO, Step.PERMITTED):
         release.step(1, "e1", step)
-    assert next_acts(release, {"e1": 9.5}, True, 9.0)[-1].reason == "e1 did not return in 9 s"
-    assert [todo.act for todo in next_acts(release, {"e1": 8.5}, True, 9.0)] == [Act.CHECK]
+    assert next_actions(release, {"e1": 9.5}, True, 9.0)[-1].reason == "e1 did not return in 9 s"
+    assert [todo.act for todo in next_actions(release, {"e1": 8.5}, True, 9.0)] == [Act.CHECK]
 
 
 GOOD = Figures(1000, 980, 10, 5, 5)
