--- a/beechrock/releases/agreed.py
+++ b/beechrock/releases/agreed.py
@@ -110,7 +110,7 @@
         if known is None and len(self.nodes) >= MAX_NODES:
             return False, f"over {MAX_NODES} nodes"
         if known is not None and life < known.life:
-            return False, "a later life was here"
+            return False, "the log knows a later life"
         if known is not None and life == known.life:
             return True, index
         self.nodes[name] = Node(life, hall, hardware, version)
@@ -125,7 +125,7 @@
         """Mark a node that serves without a permit as proved; it held none, or its process started anew."""
         node = self.nodes.get(name)
         if node is None or node.life != life:
-            return False, "another life is here"
+            return False, "the log knows another life"
         if name in self.permits.held:
             return False, "out under a permit: `back` names its fence"
         node.proved = True
@@ -193,7 +193,7 @@
     def _older_driver(self, fence: int) -> str:
         """Return why a driver with this fence is refused; empty if it is the newest, whose fence is kept."""
         if fence < self.fence:
-            return f"an older driver: fence {fence}, and {self.fence} was heard"
+            return f"an older driver: fence {fence}, and {self.fence} is known"
         self.fence = fence
         return ""
 
@@ -213,7 +213,7 @@
         # A node that never registered has no hall yet. In simulation (seed 50) such a request was granted,
         # and the last node of a hall went out.
         if request.target in self.names and request.target not in self.nodes:
-            return False, f"{request.target} was never here"
+            return False, f"{request.target} has never registered"
         held = request.target in self.permits.held
         found = self.permits.request(index, request)
         if isinstance(found, Refused):
@@ -224,7 +224,7 @@
             if not found.claimed and not request.already_out:
                 self._check_budgets(self.permits.targets[request.target])
             self._record_permit(
-                index, found, "claimed" if found.claimed else "granted", nothing=request.already_out
+                index, found, "claimed" if found.claimed else "granted", already_out=request.already_out
             )
         return True, found.fence
 
@@ -244,7 +244,7 @@
         if reason := self._older_driver(driver):
             return False, reason
         if not self.permits.valid(target, fence) or target in self.gone:
-            return False, "went, or holds no such permit"
+            return False, "already out, or no permit under this fence"
         self.expired[target] = fence
         self._record_permit(index, self.permits.held[target], "expired")
         return True, fence
@@ -253,7 +253,7 @@
         """Ask a target to return, for an operator; its permit ends only with its proof that it serves."""
         permit = self.permits.held.get(target)
         if permit is None:
-            return False, f"{target} is out under no permit"
+            return False, f"{target} holds no permit"
         if permit.release:
             return False, f"{target} is out for release {permit.release}: pause, halt or back that"
         self.returning[target] = permit.fence
@@ -270,14 +270,14 @@
         if permit is None or permit.fence != fence:
             return False, "not out under this fence"
         if node is not None and node.life != life:
-            return False, "another life is here"
-        word = self.word(target) if permit.release else ""
-        if not (unused or self.to_return(target) or (node is not None and word == node.version)):
-            return False, f"told to have version {word}" if word else "not told to return"
+            return False, "the log knows another life"
+        wanted = self.word(target) if permit.release else ""
+        if not (unused or self.to_return(target) or (node is not None and wanted == node.version)):
+            return False, f"not at the wanted version {wanted}" if wanted else "not asked to return"
         self.permits.back(index, target, fence)
         if node is not None:
             node.proved = True
-        if node is None or word != node.version:
+        if node is None or wanted != node.version:
             self._reset_step(index, permit)
         self._finish_permit(index, permit, "back")
         return True, fence
@@ -285,7 +285,7 @@
     def _force(self, index: int, target: str, who: str, reason: str) -> Done:
         permit = self.permits.held.get(target)
         if permit is None:
-            return False, f"{target} is out under no permit"
+            return False, f"{target} holds no permit"
         self.permits.force_back(index, target, f"{who}: {reason}"[:MAX_TEXT])
         self._reset_step(index, permit)
         self._finish_permit(index, permit, "forced")
@@ -305,7 +305,7 @@
 
     # --- events and checks
 
-    def _record_permit(self, index: int, permit: Permit, state: str, nothing: bool = False) -> None:
+    def _record_permit(self, index: int, permit: Permit, state: str, already_out: bool = False) -> None:
         self.rows.append(
             {
                 "event": "permit",
@@ -313,7 +313,7 @@
                 "target": permit.target,
                 "fence": permit.fence,
                 "state": state,
-                "over": permit.claimed or nothing,
+                "over": permit.claimed or already_out,
                 "by": permit.holder,
             }
         )
@@ -343,32 +343,34 @@
 
     def _check_budgets(self, target: Target) -> None:
         """Check that the permits held fit each budget that covers the target, by an independent count."""
-        for one in self.permits.budgets:
-            mine = [
+        for budget in self.permits.budgets:
+            covered = [
                 t
                 for t in self.permits.targets.values()
-                if one.covers(t) and one.covers(target) and (not one.each_hall or t.hall == target.hall)
+                if budget.covers(t)
+                and budget.covers(target)
+                and (not budget.each_hall or t.hall == target.hall)
             ]
-            if mine and sum(t.name in self.permits.held for t in mine) > one.allowed(len(mine)):
-                self._fail(f"{target.name} was let out over budget {one.name}")
+            if covered and sum(t.name in self.permits.held for t in covered) > budget.allowed(len(covered)):
+                self._fail(f"{target.name} was let out over budget {budget.name}")
 
     def check(self) -> None:
         """Raise BrokenInvariantError if the state breaks an invariant."""
         held = self.permits.held
         fences = [permit.fence for permit in held.values()]
         if len(set(fences)) != len(fences) or any(fence > self.index for fence in fences):
-            self._fail("two permits with one fence, or a fence that is not yet")
+            self._fail("two permits share a fence, or a fence is above the index")
         for table in (self.gone, self.expired, self.returning):
             if any(name not in held or held[name].fence != fence for name, fence in table.items()):
-                self._fail("a word about a permit that is not held")
+                self._fail("state is kept for a permit that is not held")
         if self.gone.keys() & self.expired.keys():
-            self._fail("went out under a right that had ended")
+            self._fail("a target went out under an expired permit")
         if sum(release.open for release in self.releases.values()) > 1:
             self._fail("two releases are under way")
         for release in self.releases.values():
             left = {name for name, step in release.steps.items() if step is not Step.TODO}
             if left != set(release.touched) or len(release.touched) != len(left):
-                self._fail(f"release {release.plan.name}: steps and order differ")
+                self._fail(f"release {release.plan.name}: the steps and the order of touched targets differ")
 
     def _fail(self, what: str) -> None:
         raise BrokenInvariantError(what, where="machine releases", do="keep the log; see docs/releases.md")
--- a/beechrock/releases/driver.py
+++ b/beechrock/releases/driver.py
@@ -38,13 +38,13 @@
     """A recent report of a node about itself."""
 
     life: int
-    figures: Figures
+    figures: Figures  # since its process started
     open: int = 0  # requests in progress
 
 
 @dataclass(frozen=True, slots=True)
 class Seen:
-    """The input of one step of the driver.
+    """The input of one step of the driver: the agreed state, and what this node sees of the fleet.
 
     ``down``: nodes that links and membership report as down, with or without a permit; ``outage``: reason to
     halt the release for a lost quorum, or empty.
@@ -71,13 +71,10 @@
     quorum_s: float
     lost_at: float | None = None  # start of the present outage; None while there is a leader
     moved: int = 0  # index of the last command that changed a release, as the outage began
-    last_outage: tuple[int, float] = (
-        -1,
-        0.0,
-    )  # that index for the last long outage, and its length in seconds
+    last_outage: tuple[int, float] = (-1, 0.0)  # of the last long outage: that index, length in seconds
 
     def look(self, now: float, led: bool, machine: Agreed) -> float:
-        """Return the seconds of the last outage; 0: none, one still lasts, or a release has moved lost_at."""
+        """Return the seconds of the last outage; 0: none, one still lasts, or a release has moved since."""
         if not led:
             if self.lost_at is None:
                 self.lost_at, self.moved = now, machine.moved
@@ -98,9 +95,7 @@
     gone_s: float  # seconds for which too many nodes must be down to halt the release
     first_seen: dict[tuple[str, ...], float] = field(default_factory=dict)  # by condition: when first seen
     refusals: dict[str, tuple[float, str]] = field(default_factory=dict)  # refused permits: (time, reason)
-    baselines: dict[str, tuple[int, Figures]] = field(
-        default_factory=dict
-    )  # other nodes: life, first figures
+    baselines: dict[str, tuple[int, Figures]] = field(default_factory=dict)  # others' life, first figures
     waits: list[str] = field(default_factory=list)  # lines that name what the driver waits for
 
     def step(self, now: float, seen: Seen) -> list[Command]:
--- a/beechrock/releases/errors.py
+++ b/beechrock/releases/errors.py
@@ -4,20 +4,20 @@
 
 
 class ReleaseError(OperatorError):
-    """The root of the errors of ``releases``."""
+    """Root of the errors of ``releases``."""
 
     event = "release.error"
 
 
 class PermitRefusedError(ReleaseError):
-    """One more out would be over a budget, or the last of its hall or service; nothing has changed."""
+    """The permit would exceed a budget, or take out the last of a hall or service; nothing has changed."""
 
     event = "permit.refused"
     exit_code = 1
 
 
 class UnknownTargetError(ReleaseError):
-    """No such node, server, permit or release in the agreed state."""
+    """The agreed state has no such node, server, permit or release."""
 
     event = "release.unknown"
 
@@ -30,6 +30,6 @@
 
 
 class BrokenInvariantError(ReleaseError):
-    """What can never be was found in the agreed permits; this process takes no part in them any more."""
+    """An invariant of the agreed permits is broken: this process takes no part in releases any more."""
 
     event = "releases.broken"
--- a/beechrock/releases/machine.py
+++ b/beechrock/releases/machine.py
@@ -47,7 +47,7 @@
             AttributeError,
             msgpack.UnpackException,
         ) as error:
-            done = False, f"a command that is none: {type(error).__name__}"
+            done = False, f"a malformed command: {type(error).__name__}"
         self.index = index
         try:
             self.check()
@@ -133,7 +133,7 @@
         if not name or not names or len(set(names)) != len(names) or not all(waves):
             return False, "no name, an empty wave, or a node twice"
         if unknown := sorted(set(names) - set(self.names)):
-            return False, f"{unknown[0]}: no node of the fleet, as it was described"
+            return False, f"{unknown[0]}: not a node of the described fleet"
         self.releases.pop(name, None)
         for old in [key for key, release in self.releases.items() if not release.open][: -MAX_RELEASES + 1]:
             del self.releases[old]
@@ -146,7 +146,7 @@
         """Change a release's stage for an operator, by one of TRANSITIONS."""
         release = self.releases.get(name)
         if release is None or what not in TRANSITIONS:
-            return False, f"no release {name}" if release is None else f"no word {what}"
+            return False, f"no release {name}" if release is None else f"unknown action {what}"
         other = self.running()
         if what == "start" and other is not None:
             return False, f"release {other.plan.name} is under way"
@@ -177,7 +177,7 @@
         if isinstance(release, str):
             return False, release
         if not release.can_leave(target, Step.TODO, back):
-            return False, "not now"
+            return False, "not possible in its present state"
         cold = self.cold()
         done, what = self._grant(
             index,
@@ -207,13 +207,13 @@
             return False, release
         node, held = self.nodes.get(target), self.permits.held.get(target)
         if step is Step.TODO or (step is Step.PERMITTED and (held is None or held.release != name)):
-            return False, "a permit comes first"
+            return False, "the target holds no permit of this release"
         if step is Step.SENT and (
             node is None or held is not None or not node.proved or node.version != release.version_for(target)
         ):
-            return False, "not back with its version"
+            return False, "the target is not back with its version"
         if not release.step(fence, target, step, bool(back)):
-            return False, "not now"
+            return False, "not possible in its present state"
         if step is Step.PERMITTED:
             self.starts[target] = 0
         self._record_release(index, name, {Step.PERMITTED: "sent", Step.SENT: "returned"}[step], target, back)
@@ -224,7 +224,7 @@
         if isinstance(release, str):
             return False, release
         if not release.judged(fence, wave, Judgement(Verdict(verdict), reason[:MAX_TEXT])):
-            return False, "not now"
+            return False, "not possible in its present state"
         self.permits.record(index, f"wave {wave + 1} {verdict} {reason}"[:MAX_TEXT].strip(), name, "driver")
         self._record_release(index, name, f"judged {verdict}")
         return True, release.stage.value
@@ -235,7 +235,7 @@
         if isinstance(release, str):
             return False, release
         if not release.move("halt", reason[:MAX_TEXT]):
-            return False, "not now"
+            return False, "not possible in its present state"
         self.permits.record(index, f"halted: {reason}"[:MAX_TEXT], name, "driver")
         self._record_release(index, name, "halt")
         return True, index
--- a/beechrock/releases/marker.py
+++ b/beechrock/releases/marker.py
@@ -1,7 +1,7 @@
 """Files that outlive a node's process: the marker ``OUT`` of its permit, and the version to start.
 
 After a disk error, the caller retries ``out`` and ``wanted``. A pending removal of ``OUT`` is kept here
-(``owed``) until it is durable, or until a later permit has written its own marker.
+(``removal_pending``) until it is durable, or until a later permit has written its own marker.
 """
 
 import asyncio
@@ -17,8 +17,8 @@
 
     def __init__(self, files: Files) -> None:
         self.files = files
-        self.turn = asyncio.Lock()  # serializes writes and removals of OUT
-        self.owed = False  # OUT is to be removed, and its removal is not durable yet
+        self.lock = asyncio.Lock()  # serializes writes and removals of OUT
+        self.removal_pending = False  # OUT is to be removed, and its removal is not durable yet
 
     def found(self) -> bool:
         """Return whether the marker OUT exists."""
@@ -27,21 +27,21 @@
     async def out(self, fence: int) -> None:
         """Write the marker OUT with the permit's fence."""
         # Without the lock, a removal whose thread starts late would remove the marker of a later permit.
-        async with self.turn:
-            self.owed = False
+        async with self.lock:
+            self.removal_pending = False
             await asyncio.to_thread(self._write, OUT, str(fence))
 
     async def back(self) -> None:
         """Remove the marker OUT."""
-        self.owed = True
-        await self.settle()
+        self.removal_pending = True
+        await self.finish_removal()
 
-    async def settle(self) -> None:
+    async def finish_removal(self) -> None:
         """Remove the marker OUT if that is pending; after an error it stays pending."""
-        async with self.turn:
-            if self.owed:
+        async with self.lock:
+            if self.removal_pending:
                 await asyncio.to_thread(self._remove)
-                self.owed = False
+                self.removal_pending = False
 
     async def wanted(self, version: str) -> None:
         """Write the version that the supervisor is to start."""
--- a/beechrock/releases/operators.py
+++ b/beechrock/releases/operators.py
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from beechrock.releases.part import Releases
 
-MAX_ANSWERS, MAX_WORD_BYTES, AUDIT_SHOWN = 64, 200, 200  # AUDIT_SHOWN: audit entries in the view
+MAX_ANSWERS, MAX_TEXT_BYTES, AUDIT_SHOWN = 64, 200, 200  # AUDIT_SHOWN: audit entries in the view
 Query = dict[str, str]  # the arguments of a call
 
 
@@ -31,10 +31,10 @@
     return value
 
 
-def _word(query: Query, key: str, need: bool = True) -> str:
+def _text(query: Query, key: str, need: bool = True) -> str:
     value = query.get(key, "")
-    if (need and not value) or len(value.encode()) > MAX_WORD_BYTES:
-        raise ReleaseError(f"{value!r}", where=key, wanted=f"1 to {MAX_WORD_BYTES} bytes")
+    if (need and not value) or len(value.encode()) > MAX_TEXT_BYTES:
+        raise ReleaseError(f"{value!r}", where=key, wanted=f"1 to {MAX_TEXT_BYTES} bytes")
     return value
 
 
@@ -47,7 +47,7 @@
 
     def _start(self, query: Query, work: Coroutine[Any, Any, Any]) -> dict[str, Any]:
         """Run the work in a task that keeps its result under the call's token."""
-        token = query.get("token", "")[:MAX_WORD_BYTES]
+        token = query.get("token", "")[:MAX_TEXT_BYTES]
         self.answers.pop(token, None)
         while len(self.answers) >= MAX_ANSWERS:
             del self.answers[next(iter(self.answers))]
@@ -68,12 +68,12 @@
 
     def request_permit(self, query: Query) -> dict[str, Any]:
         """Request a permit."""
-        target, who = _word(query, "target"), _word(query, "who")
+        target, who = _text(query, "target"), _text(query, "who")
         return self._start(
             query,
             self.part.ask(
                 target,
-                _word(query, "why", need=False),
+                _text(query, "why", need=False),
                 _number(query, "for_s", 0.0),
                 query.get("claim") == "yes",
                 who,
@@ -82,17 +82,17 @@
 
     def give_back(self, query: Query) -> dict[str, Any]:
         """Ask a target to return, or end its permit by force."""
-        target, who = _word(query, "target"), _word(query, "who")
+        target, who = _text(query, "target"), _text(query, "who")
         if query.get("force") == "yes":
-            return self._start(query, self.part.propose("force", target, who, _word(query, "why")))
-        return self._start(query, self.part.propose("return", target, who))
+            return self._start(query, self.part.propose_or_raise("force", target, who, _text(query, "why")))
+        return self._start(query, self.part.propose_or_raise("return", target, who))
 
     def plan(self, query: Query) -> dict[str, Any]:
         """Plan a release with waves by hall over all nodes, or over those in ``nodes``."""
-        name, version, who = (_word(query, key) for key in ("name", "version", "who"))
+        name, version, who = (_text(query, key) for key in ("name", "version", "who"))
         max_wave_size, canary = max(1, int(_number(query, "most", 1))), int(_number(query, "canary", 1))
         for_s = _number(query, "for_s", 0.0) or self.part.settings.for_s
-        nodes = [name for name in query.get("nodes", "").split(",") if name]
+        nodes = [node_name for node_name in query.get("nodes", "").split(",") if node_name]
 
         async def planned() -> Any:
             # A lagging copy of the log may lack halls or nodes, and its waves would span halls.
@@ -100,7 +100,7 @@
             machine, halls = self.part.machine, dict[str, list[str]]()
             for node in nodes or machine.names:
                 halls.setdefault(machine.nodes[node].hall if node in machine.nodes else "", []).append(node)
-            return await self.part.propose(
+            return await self.part.propose_or_raise(
                 "plan",
                 name,
                 version,
@@ -121,12 +121,12 @@
         """Start, pause, resume, halt or roll back a release."""
         return self._start(
             query,
-            self.part.propose(
+            self.part.propose_or_raise(
                 "word",
-                _word(query, "name"),
-                _word(query, "what"),
-                _word(query, "who"),
-                _word(query, "reason", need=False),
+                _text(query, "name"),
+                _text(query, "what"),
+                _text(query, "who"),
+                _text(query, "reason", need=False),
             ),
         )
 
--- a/beechrock/releases/part.py
+++ b/beechrock/releases/part.py
@@ -71,7 +71,7 @@
     # --- for the other parts, and operators
 
     async def ask(self, target: str, why: str, for_s: float = 0.0, claim: bool = False, who: str = "") -> int:
-        """Return a permit's fence. Raises PermitRefusedError, NoQuorumError, UnsureError."""
+        """Return the fence. Raises PermitRefusedError (lists who is out), NoQuorumError, UnsureError."""
         down = self._down()
         if target not in self.names:
             # Servers send no reports: without this check, one that is down would count as in service.
@@ -93,7 +93,7 @@
     async def back(self, target: str, fence: int) -> bool:
         """Give back this node's unused permit; ask a server to return, which is out until it is reached."""
         if target not in self.names:
-            await self.propose("return", target, self.name)
+            await self.propose_or_raise("return", target, self.name)
             return True
         done: tuple[bool, Any] = await self.agree.propose(
             MACHINE, command("back", target, fence, self._life_of(target), True), LOG_TIMEOUT_S
@@ -108,7 +108,7 @@
         """Wait until the machine is at least as new as this call. Raises NoQuorumError."""
         await self.agree.settled(LOG_TIMEOUT_S)
 
-    async def propose(self, verb: str, *rest: Any) -> Any:
+    async def propose_or_raise(self, verb: str, *rest: Any) -> Any:
         """Propose an operator's command. Raises UnknownTargetError or ReleaseStateError, if refused."""
         done, what = await self.agree.propose(MACHINE, command(verb, *rest), LOG_TIMEOUT_S)
         if not done:
@@ -121,7 +121,7 @@
         """Read the marker. Raises ConfigError without an admin address, OSError without the folder."""
         if self.program.serving is None:
             raise ConfigError(
-                "a node goes out by its second address",
+                "a node is drained through its admin address",
                 where="releases",
                 wanted="LB_ADMIN_ADDR",
                 do="or leave [releases] out",
@@ -149,8 +149,8 @@
             for do in self.node.decide(now, self._facts()):
                 self._do(now, do)
             # SERVE is decided only once: without a retry, a disk error just then kept the marker forever.
-            if self.marker is not None and self.marker.owed:
-                self.once("unmark", self.marker.settle())
+            if self.marker is not None and self.marker.removal_pending:
+                self.once("unmark", self.marker.finish_removal())
             self._show()
             self.server_checks.update()
             self.outage = self.watch.look(now, bool(self.agree.leader), self.machine)
@@ -272,7 +272,7 @@
                 if not self.by_hand:
                     self.program.serving.ok()
                 assert self.marker is not None
-                self.marker.owed = True
+                self.marker.removal_pending = True
                 logs.event("node.in", target=self.name, version=self.settings.version)
                 # Report at once: by the last report, peers count this node as down and may refuse permits.
                 self.reported_at = now - REPORT_S
@@ -320,7 +320,7 @@
             return
         self.in_progress.add(key)
 
-        async def whole() -> None:
+        async def run() -> None:
             try:
                 await work
             except (OperatorError, OSError) as error:  # no quorum, or a disk error: a later tick retries
@@ -331,7 +331,7 @@
                 self.in_progress.discard(key)
                 self.wake.set()
 
-        self.counters.spawn(whole(), "releases.do")
+        self.counters.spawn(run(), "releases.do")
 
     # --- the driver
 
--- a/beechrock/releases/permits.py
+++ b/beechrock/releases/permits.py
@@ -2,8 +2,8 @@
 
 A target is an API node or a downstream server. Its states are IN, and OUT under one permit. A permit is
 requested, granted under a fence (the log index of the grant), and ended by ``back`` with that fence or by an
-operator's ``force_back``. Its time limit ends only the holder's right to *go* out, by the holder's own clock.
-It never brings the target back: a target whose permit expired counts as out until ``back``.
+operator's ``force_back``. Its time limit ends only the holder's right to *go* out, by the clocks of holder
+and driver. It never brings the target back: a target whose permit expired counts as out until ``back``.
 
 Invariants
 - In no prefix of the log are more targets out than each budget that covers them allows. Claimed permits are
@@ -61,15 +61,15 @@
             and self.hardware in ("", target.hardware)
         )
 
-    def allowed(self, of: int) -> int:
-        """Return how many of ``of`` targets may be out; 0 for a bound of 0, and for a single target."""
-        if of <= 1:
+    def allowed(self, count: int) -> int:
+        """Return how many of ``count`` targets may be out; 0 for a bound of 0, and for a single target."""
+        if count <= 1:
             return 0
         if self.most is not None:
-            return min(self.most, of - 1)
+            return min(self.most, count - 1)
         # A share above zero lets one out, or a small fleet could never be replaced.
-        part = 0 if not self.part else max(1, int(self.part * of + 1e-9))
-        return min(part, of - 1)
+        part = 0 if not self.part else max(1, int(self.part * count + 1e-9))
+        return min(part, count - 1)
 
 
 @dataclass(frozen=True, slots=True)
@@ -98,9 +98,9 @@
     """Why a permit was refused, and which targets are out."""
 
     reason: Refusal
-    budget: str = ""
-    allowed: int = 0
-    out: tuple[str, ...] = ()
+    budget: str = ""  # name of the budget, or of the group that would have no member left
+    allowed: int = 0  # how many may be out
+    out: tuple[str, ...] = ()  # targets that are out; for HELD, the holder of the other permit
 
 
 @dataclass(frozen=True, slots=True)
@@ -110,10 +110,10 @@
     target: str
     holder: str
     reason: str
-    for_s: float
+    for_s: float  # seconds after which the right to go out ends
     down: frozenset[str] = frozenset()  # targets that the requester sees as not serving
     cold: frozenset[str] = frozenset()  # nodes that are back, but have not yet proved that they serve
-    claim: bool = False
+    claim: bool = False  # grant the permit even over a budget
     release: str = ""
     already_out: bool = False  # the target is out already, so no budget is checked
 
@@ -122,7 +122,7 @@
 class Permits:
     """The table of permits; changed only by commands of the agreed log."""
 
-    targets: dict[str, Target] = field(default_factory=dict)
+    targets: dict[str, Target] = field(default_factory=dict)  # by name
     budgets: tuple[Budget, ...] = ()
     held: dict[str, Permit] = field(default_factory=dict)  # permits by target name
     audit: list[tuple[int, str, str, str]] = field(default_factory=list)  # (index, action, target, actor)
@@ -169,20 +169,20 @@
     def exceeded(self, target: Target, not_serving: frozenset[str]) -> Refused | None:
         """Return the refusal by the first bound that this target would exceed; None if it fits all."""
         out = self.out(not_serving) | {target.name}
-        for kind, mine in self._minimum_groups(target):
-            if mine and mine <= out:
-                return Refused(Refusal.LAST, kind, 0, tuple(sorted(out & mine - {target.name})))
+        for group, members in self._minimum_groups(target):
+            if members and members <= out:
+                return Refused(Refusal.LAST, group, 0, tuple(sorted(out & members - {target.name})))
         for budget in self.budgets:
             if not budget.covers(target):
                 continue
-            all_of = {
+            covered = {
                 t.name
                 for t in self.targets.values()
                 if budget.covers(t) and (not budget.each_hall or t.hall == target.hall)
             }
-            allowed = budget.allowed(len(all_of))
-            if len(out & all_of) > allowed:
-                others = tuple(sorted(out & all_of - {target.name}))
+            allowed = budget.allowed(len(covered))
+            if len(out & covered) > allowed:
+                others = tuple(sorted(out & covered - {target.name}))
                 return Refused(Refusal.BUDGET, budget.name, allowed, others)
         return None
 
@@ -232,9 +232,9 @@
         for budget in self.budgets:
             covered = [t for t in self.targets.values() if budget.covers(t)]
             for hall in sorted({t.hall for t in covered}) if budget.each_hall else [""]:
-                all_of = {t.name for t in covered if hall in ("", t.hall)}
+                members = {t.name for t in covered if hall in ("", t.hall)}
                 rows.append(
-                    (f"{budget.name} {hall}".rstrip(), len(out & all_of), budget.allowed(len(all_of)))
+                    (f"{budget.name} {hall}".rstrip(), len(out & members), budget.allowed(len(members)))
                 )
         return rows
 
--- a/beechrock/releases/release.py
+++ b/beechrock/releases/release.py
@@ -40,7 +40,7 @@
 
 
 NEXT_STEP = {Step.TODO: Step.PERMITTED, Step.PERMITTED: Step.SENT, Step.SENT: Step.RETURNED}
-TRANSITIONS = {
+TRANSITIONS = {  # by command: stages in which it is possible, and the next stage
     "start": ({Stage.PLANNED}, Stage.RUNNING),
     "pause": ({Stage.RUNNING}, Stage.PAUSED),
     "resume": ({Stage.PAUSED, Stage.HALTED}, Stage.RUNNING),
@@ -78,9 +78,9 @@
             for name in wave:
                 self.steps.setdefault(name, Step.TODO)
 
-    def move(self, what: str, reason: str = "") -> bool:
+    def move(self, command: str, reason: str = "") -> bool:
         """Change the stage, for an operator or by the driver's halt. False: not possible in this stage."""
-        allowed, stage = TRANSITIONS[what]
+        allowed, stage = TRANSITIONS[command]
         if self.stage not in allowed:
             return False
         self.stage, self.reason = stage, reason
@@ -102,8 +102,8 @@
         # A target that is out may return in any stage, or it would count as out forever.
         if back is not (self.stage is Stage.BACKING) and (back or leaves is not Step.SENT):
             return False
-        table = self.undone if back else self.steps
-        if table.get(target) is not leaves or leaves not in NEXT_STEP:
+        steps = self.undone if back else self.steps
+        if steps.get(target) is not leaves or leaves not in NEXT_STEP:
             return False
         if back or leaves is Step.SENT:
             return True
@@ -113,11 +113,11 @@
         """Move one target to its next step. False: an older driver, or it can't leave that step now."""
         if not self.accept_driver(fence) or not self.can_leave(target, leaves, back):
             return False
-        table = self.undone if back else self.steps
+        steps = self.undone if back else self.steps
         if leaves is Step.TODO and not back:
             self.touched.append(target)
-        table[target] = NEXT_STEP[leaves]
-        if back and all(step is Step.RETURNED for step in table.values()):
+        steps[target] = NEXT_STEP[leaves]
+        if back and all(step is Step.RETURNED for step in steps.values()):
             self.stage = Stage.UNDONE
         return True
 
@@ -127,10 +127,10 @@
         SENT is reset too: in simulation (seed 467) a node was paused past its permit's end after its version
         was sent, gave the permit back unused, and the rollback waited for it forever.
         """
-        table = self.undone if self.stage is Stage.BACKING else self.steps
-        if table.get(target) not in (Step.PERMITTED, Step.SENT):
+        steps = self.undone if self.stage is Stage.BACKING else self.steps
+        if steps.get(target) not in (Step.PERMITTED, Step.SENT):
             return False
-        table[target] = Step.TODO
+        steps[target] = Step.TODO
         if self.stage is not Stage.BACKING:
             self.touched.remove(target)
         return True
@@ -161,7 +161,7 @@
 
     def wave_of(self, target: str) -> int:
         """Return the index of the target's wave."""
-        return next(n for n, wave in enumerate(self.plan.waves) if target in wave)
+        return next(index for index, wave in enumerate(self.plan.waves) if target in wave)
 
     def wave_returned(self, wave: int) -> bool:
         """Return whether all targets of the wave have returned."""
@@ -230,12 +230,14 @@
     return Todo(act, name, version, back)
 
 
-def plan_waves(halls: Mapping[str, list[str]], canary: int, most: int) -> tuple[tuple[str, ...], ...]:
-    """Return the waves: ``canary`` targets, then waves of at most ``most`` targets, each of one hall only."""
+def plan_waves(halls: Mapping[str, list[str]], canary: int, max_size: int) -> tuple[tuple[str, ...], ...]:
+    """Return a wave of ``canary`` targets, then waves of at most ``max_size`` targets of one hall each."""
     names = [name for hall in sorted(halls) for name in sorted(halls[hall])]
-    first = tuple(names[:canary])
-    found = [first] if first else []
+    canary_wave = tuple(names[:canary])
+    waves = [canary_wave] if canary_wave else []
     for hall in sorted(halls):
-        left = [name for name in sorted(halls[hall]) if name not in first]
-        found.extend(tuple(left[at : at + most]) for at in range(0, len(left), max(1, most)))
-    return tuple(found)
+        remaining = [name for name in sorted(halls[hall]) if name not in canary_wave]
+        waves.extend(
+            tuple(remaining[start : start + max_size]) for start in range(0, len(remaining), max(1, max_size))
+        )
+    return tuple(waves)
--- a/beechrock/releases/rows.py
+++ b/beechrock/releases/rows.py
@@ -71,9 +71,9 @@
     return Release(
         plan,
         Stage(stage),
-        {n: Step(s) for n, s in steps.items()},
+        {target: Step(step) for target, step in steps.items()},
         touched,
-        {n: Step(s) for n, s in undone.items()},
+        {target: Step(step) for target, step in undone.items()},
         good,
         fence,
         reason,
--- a/beechrock/releases/servers.py
+++ b/beechrock/releases/servers.py
@@ -52,7 +52,7 @@
 
     def __init__(self, part: "Releases") -> None:
         self.part = part
-        self.tried: dict[str, tuple[int, Reach]] = {}  # by returning server: fence, newest result
+        self.results: dict[str, tuple[int, Reach]] = {}  # by returning server: fence, newest result
 
     def listed(self) -> list[list[Any]]:
         """Return name and services of each server in the inventory."""
@@ -67,7 +67,7 @@
         """Return whether this node reaches each returning server, the oldest fences first."""
         return tuple(
             (name, fence, reach)
-            for name, (fence, reach) in sorted(self.tried.items(), key=lambda tried: tried[1][0])[
+            for name, (fence, reach) in sorted(self.results.items(), key=lambda result: result[1][0])[
                 :MAX_SERVER_REPORTS
             ]
         )
@@ -82,15 +82,17 @@
             work.leave_out(out)
             logs.event("releases.servers", out=held)
         returning = {name: machine.returning[name] for name in held if name in machine.returning}
-        self.tried = {name: check for name, check in self.tried.items() if returning.get(name) == check[0]}
+        self.results = {
+            name: result for name, result in self.results.items() if returning.get(name) == result[0]
+        }
         if not returning:
             return
         used = {name for name, _ in self.listed()}
         for name, fence in returning.items():
             if name not in used:
-                self.tried[name] = fence, Reach.UNUSED
+                self.results[name] = fence, Reach.UNUSED
             else:
-                self.tried.setdefault(name, (fence, Reach.NO))
+                self.results.setdefault(name, (fence, Reach.NO))
                 self.part.once(f"reach {name}", self._check(name, fence))
 
     async def _check(self, target: str, fence: int) -> None:
@@ -99,8 +101,8 @@
             await connect(target)
             found = Reach.YES
         finally:
-            if self.tried.get(target) == (fence, Reach.YES if found is Reach.NO else Reach.NO):
-                self.tried[target] = fence, found
+            if self.results.get(target) == (fence, Reach.YES if found is Reach.NO else Reach.NO):
+                self.results[target] = fence, found
                 self.part.reported_at = float("-inf")  # so that the next tick of the part sends a report
                 self.part.wake.set()
         await asyncio.sleep(CHECK_INTERVAL_S)
--- a/beechrock/releases/words.py
+++ b/beechrock/releases/words.py
@@ -1,7 +1,7 @@
 """Reports that nodes send to each other twice a second, and which nodes count as down by them. Pure.
 
-Invariants: at most one report of each node is kept; a node counts as down if it was silent for ``gone_s`` or
-reports, without a permit, that it does not serve; no report grants or ends a permit.
+Invariants: at most one report of each kind is kept for a node; a node counts as down if it was
+silent for ``gone_s`` or reports, without a permit, that it does not serve; no report grants or ends a permit.
 """
 
 from collections.abc import Iterable, Mapping
@@ -19,7 +19,7 @@
 
 FORMAT = 2  # of node reports; the first with ``moved``
 SERVERS = 3  # format of server reports, a separate message that older versions ignore
-READY = "ready"
+READY = "ready"  # state of a node whose admin address reports that it serves
 MAX_SERVER_REPORTS = 64  # servers in one message, those with the oldest fences; the others follow later
 
 
@@ -34,9 +34,9 @@
 Told = tuple[str, int, Reach]  # report on one server: its name, its permit's fence, whether it is reached
 
 
-def proved(reached: int, of: int) -> bool:
-    """Return whether a server is back: over half of its users reach it. One node alone may be mistaken."""
-    return 2 * reached > of
+def proved(reached: int, users: int) -> bool:
+    """Return whether a server is back: over half of its users reach it, as one alone may be the only one."""
+    return 2 * reached > users
 
 
 class SlowCounts(RequestCounts):
@@ -54,12 +54,15 @@
 
 def tally(counts: RequestCounts) -> Figures:
     """Return the figures that a report carries."""
-    by = {verdict: sum(n for (_, v), n in counts.replies.items() if v is verdict) for verdict in Verdict}
+    by_verdict = {
+        verdict: sum(count for (_, other), count in counts.replies.items() if other is verdict)
+        for verdict in Verdict
+    }
     return Figures(
-        sum(by.values()),
-        by[Verdict.SERVED],
-        by[Verdict.REFUSED],
-        by[Verdict.FAILED],
+        sum(by_verdict.values()),
+        by_verdict[Verdict.SERVED],
+        by_verdict[Verdict.REFUSED],
+        by_verdict[Verdict.FAILED],
         getattr(counts, "slow", 0),
     )
 
@@ -132,13 +135,14 @@
 
 @dataclass(slots=True)
 class Heard:
-    """The newest report of each node, this one included."""
+    """The newest reports of each node, this one included."""
 
     gone_s: float  # seconds of silence after which a node counts as down
     words: dict[str, tuple[float, int, Word]] = field(default_factory=dict)  # by node: time, life, report
     servers: dict[str, tuple[float, tuple[Told, ...]]] = field(default_factory=dict)  # by node: time, reports
 
     def take(self, now: float, sender: str, life: int, word: Word | tuple[Told, ...]) -> None:
+        """Keep a message in place of the sender's last one of that kind."""
         if isinstance(word, Word):
             self.words[sender] = now, life, word
         else:
@@ -166,7 +170,7 @@
                 gone.add(name)
         return frozenset(gone)
 
-    def outage(self, now: float, of: int, moved: int) -> str:
+    def outage(self, now: float, node_count: int, moved: int) -> str:
         """Return why a release is to halt: over half of the nodes reported an outage since it last moved.
 
         One report is not enough: in the benchmark on a starved machine, a single node that had been cut off
@@ -179,7 +183,7 @@
             for at, _, word in self.words.values()
             if word.outage and word.moved == moved and now - at <= self.gone_s
         )
-        return f"no quorum for {outages[0]:.0f} s" if 2 * len(outages) > of else ""
+        return f"no quorum for {outages[0]:.0f} s" if 2 * len(outages) > node_count else ""
 
     def reached(self, now: float, target: str, fence: int) -> tuple[int, int]:
         """Return how many nodes reach a returning server, and how many use it.
@@ -189,7 +193,11 @@
         recent = {name: reports for name, (at, reports) in self.servers.items() if now - at <= self.gone_s}
         results = [
             next(
-                (reach for server, of, reach in recent.get(name, ()) if (server, of) == (target, fence)),
+                (
+                    reach
+                    for server, server_fence, reach in recent.get(name, ())
+                    if (server, server_fence) == (target, fence)
+                ),
                 Reach.NO,
             )
             for name, (at, _, _) in self.words.items()
--- a/tests/releases/test_machine.py
+++ b/tests/releases/test_machine.py
@@ -151,7 +151,7 @@
     assert log("word", "r", "back", "op", "")[0] and not log("take", 5, "r", "a", True, [], [])[0]
     assert not log("describe", 4, [], [], [], [])[0] and log.machine.names == NAMES
     assert log("describe", 5, [*NAMES, "e"], [], [], budget_rows([Budget("fleet", most=4)]))[0]
-    assert log.ask("e") == (False, "e was never here")
+    assert log.ask("e") == (False, "e has never registered")
 
 
 def test_what_was_let_out_and_told_nothing_returns_as_if_never_asked() -> None:
--- a/tests/releases/test_marker_disks.py
+++ b/tests/releases/test_marker_disks.py
@@ -19,8 +19,8 @@
 
 
 async def back(marker: Marker) -> None:
-    marker.owed = True
-    await tried(marker.settle)
+    marker.removal_pending = True
+    await tried(marker.finish_removal)
 
 
 async def tried(work: Callable[[], Awaitable[None]]) -> None:
@@ -102,9 +102,9 @@
         files.fault = Fault(files.step + 1, files.step + 2)
         with pytest.raises(OSError):
             await marker.back()
-        assert marker.owed
+        assert marker.removal_pending
         await marker.out(6)
-        await marker.settle()  # the try that comes again
-        assert marker.found() and not marker.owed
+        await marker.finish_removal()  # the try that comes again
+        assert marker.found() and not marker.removal_pending
 
     asyncio.run(story())
--- a/tests/releases/test_operators.py
+++ b/tests/releases/test_operators.py
@@ -30,7 +30,7 @@
         while self.log:
             self.machine.apply(self.machine.index + 1, self.log.pop(0))
 
-    async def propose(self, verb: str, *rest: Any) -> Any:
+    async def propose_or_raise(self, verb: str, *rest: Any) -> Any:
         """The log has all commands before this one, whatever this node had of them."""
         await self.wait_for_log()
         done, what = self.machine.apply(self.machine.index + 1, command(verb, *rest))
