--- a/tests/releases/test_checker.py
+++ b/tests/releases/test_checker.py
@@ -1,4 +1,4 @@
-"""The checker of a releases' history finds what can never be."""
+"""The checker of a releases' history finds broken invariants."""
 
 import pytest
 
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize(
-    ("events", "words"),
+    ("events", "message"),
     [
         (
             [
@@ -73,7 +73,7 @@
             ],
             "",
         ),
-        # A life that came up drained: its `go` from a snapshot, and it counts.
+        # A process that started drained has its `go` from a snapshot, and counts as out.
         (
             [
                 row(2, "a", 2, "granted"),
@@ -104,15 +104,22 @@
         ([SERVERS, row(3, "a", 3, "granted"), row(4, "b", 4, "claimed", over=True)], ""),
         (
             [
-                {"event": "release", "index": n, "name": "r", "target": "a", "what": "sent", "back": False}
-                for n in (2, 3)
+                {
+                    "event": "release",
+                    "index": index,
+                    "name": "r",
+                    "target": "a",
+                    "what": "sent",
+                    "back": False,
+                }
+                for index in (2, 3)
             ],
             "twice in release r",
         ),
     ],
 )
-def test_the_checker_finds_what_can_never_be(events: list[dict[str, object]], words: str) -> None:
+def test_the_checker_finds_each_broken_invariant(events: list[dict[str, object]], message: str) -> None:
     from beechrock.lab.fleet.checkers import check
 
     found = check([DESCRIBED, *events], ["releases"])
-    assert bool(found) is bool(words) and words in " ".join(found)
+    assert bool(found) is bool(message) and message in " ".join(found)
--- a/tests/releases/test_histories.py
+++ b/tests/releases/test_histories.py
@@ -1,4 +1,4 @@
-"""Whole histories in simulation, and the stories of single guards of the node."""
+"""Whole histories in simulation, and tests of the rules of node, marker and reports."""
 
 import asyncio
 import threading
@@ -22,7 +22,7 @@
         assert not history(seed).broken, seed
 
 
-def test_histories_hold_what_they_are_to_try() -> None:
+def test_histories_cover_the_cases_that_they_are_to_try() -> None:
     worlds: list[World] = [history(seed) for seed in range(12)]
     assert sum(world.resumed for world in worlds) > 20
     assert sum(world.below.back for world in worlds) > 8
@@ -54,15 +54,15 @@
     busy = Facts(
         fence=7, for_s=10.0, go_applied=True, registered=True, wanted_version="2", version="1", open=1
     )
-    assert not node.decide(3.3, busy)  # what runs finishes
+    assert not node.decide(3.3, busy)  # open requests finish first
     idle = Facts(fence=7, for_s=10.0, go_applied=True, registered=True, wanted_version="2", version="1")
     assert [do.act for do in node.decide(9.0, idle)] == [Act.READ]
     node.settled(9.1)
     assert [(do.act, do.version) for do in node.decide(9.2, idle)] == [(Act.CHANGE, "2")]
-    assert not node.decide(9.3, idle)  # told once
+    assert not node.decide(9.3, idle)  # the change is started once
 
 
-def test_a_life_that_comes_up_drained_says_that_it_is_out_and_asks_for_the_go_that_was_lost() -> None:
+def test_a_process_that_starts_drained_reports_that_it_is_out_and_repeats_a_lost_go() -> None:
     gone = Facts(
         fence=7, for_s=10.0, may_go=True, go_applied=True, registered=True, wanted_version="2", version="1"
     )
@@ -70,7 +70,8 @@
     node.settled(0.0)
     assert [(do.act, do.fence) for do in node.decide(0.1, gone)] == [(Act.OUT, 7)]
     assert [do.act for do in node.decide(0.2, gone)] == [Act.CHANGE]
-    # Told to come back at its first look, it says so too; the life that drained it has said it.
+    # A process that is to return at its first decision reports that it is out, too. The process that drained
+    # the node reports it with DRAIN, and not again.
     back = Facts(fence=7, for_s=10.0, go_applied=True, registered=True, to_return=True)
     node = Node(1.0, 5.0, 0.0, drained=True)
     assert [do.act for do in node.decide(0.1, back)] == [Act.OUT] and not node.decide(0.2, back)
@@ -78,13 +79,14 @@
     first.settled(0.0)
     assert [do.act for do in first.decide(0.1, gone)] == [Act.DRAIN]
     assert Act.OUT not in {do.act for do in first.decide(0.2, gone)}
-    # Killed between its marker and its `go`: it is out, and changes nothing before the log knows.
+    # After a kill between its marker and its `go`, a node is out, and changes nothing before its `go` is in
+    # the log.
     node = Node(1.0, 5.0, 0.0, drained=True)
     node.settled(0.0)
     lost = Facts(fence=7, for_s=10.0, may_go=True, registered=True, wanted_version="2", version="1")
     assert [(do.act, do.fence) for do in node.decide(0.1, lost)] == [(Act.GO, 7)]
     assert [do.act for do in node.decide(0.2, gone)] == [Act.OUT]
-    # Its right to go has ended meanwhile: it only comes back.
+    # If its right to go has ended meanwhile, it only comes back.
     ended = Facts(fence=7, for_s=10.0, registered=True, to_return=True)
     node = Node(0.0, 5.0, 0.0, drained=True)
     node.settled(0.0)
@@ -94,7 +96,7 @@
 def test_a_drained_node_leaves_only_once_front_ends_send_it_nothing_more() -> None:
     node = Node(1.0, 9.0, 0.0, drained=True, quiet_s=1.0)
     node.settled(0.0)
-    for now, taken, open_, told in (
+    for now, taken, open_, expected in (
         (0.0, 5, 0, [Act.OUT]),
         (0.0, 5, 0, []),
         (0.9, 6, 0, []),
@@ -112,49 +114,53 @@
             open=open_,
             taken=taken,
         )
-        assert [do.act for do in node.decide(now, facts)] == told, now
+        assert [do.act for do in node.decide(now, facts)] == expected, now
 
 
-def test_it_serves_again_only_after_it_was_good_without_a_break() -> None:
+def test_a_node_serves_again_only_after_it_was_ready_without_a_break() -> None:
     node = Node(2.0, 5.0, 0.0, drained=True)
     node.settled(0.0)
-    told = Facts(fence=7, registered=True, wanted_version="2", version="2")
-    assert not node.decide(0.5, told) and not node.decide(1.4, told)
+    returning = Facts(fence=7, registered=True, wanted_version="2", version="2")
+    assert not node.decide(0.5, returning) and not node.decide(1.4, returning)
     assert not node.decide(
         1.9, Facts(fence=7, registered=True, wanted_version="2", version="2", connected=False)
     )
-    assert not node.decide(2.6, told) and not node.decide(3.5, told) and not node.decide(4.4, told)
-    assert [do.act for do in node.decide(4.8, told)] == [Act.SERVE] and not node.drained
-    assert [do.act for do in node.decide(4.9, told)] == [Act.BACK]
-    # Not its version: it stays where it is.
+    assert (
+        not node.decide(2.6, returning)
+        and not node.decide(3.5, returning)
+        and not node.decide(4.4, returning)
+    )
+    assert [do.act for do in node.decide(4.8, returning)] == [Act.SERVE] and not node.drained
+    assert [do.act for do in node.decide(4.9, returning)] == [Act.BACK]
+    # Without the wanted version it stays drained.
     assert not Node(0.0, 5.0, 0.0, drained=True).decide(0.1, Facts(fence=7, registered=True))
 
 
-def test_a_fleet_is_whole_once_it_is_described_driven_and_all_have_proved_themselves() -> None:
+def test_a_fleet_is_whole_once_it_is_described_has_a_driver_and_all_nodes_are_proved() -> None:
     node = {"proved": True, "down": False}
-    told: dict[str, Any] = {"driver": "a", "described": True, "nodes": [node, node]}
-    assert whole(told)
+    view: dict[str, Any] = {"driver": "a", "described": True, "nodes": [node, node]}
+    assert whole(view)
     for worse in (
         {"described": False},
         {"driver": ""},
         {"nodes": [node, {**node, "proved": False}]},
         {"nodes": [node, {**node, "down": True}]},
     ):
-        assert not whole({**told, **worse}), worse
+        assert not whole({**view, **worse}), worse
 
 
-def test_a_marker_that_is_taken_away_late_is_not_the_next_permits(tmp_path: Path) -> None:
-    class Slow(Files):
+def test_a_late_removal_leaves_the_marker_of_the_next_permit(tmp_path: Path) -> None:
+    class SlowFiles(Files):
         held, looks = threading.Event(), 0
 
         def names(self) -> list[str]:
             self.looks += 1
             if self.looks == 1:
-                self.held.wait(10.0)  # a thread that gets no core
+                self.held.wait(10.0)  # a thread that gets no CPU time
             return super().names()
 
-    async def late_and_next() -> None:
-        files = Slow(tmp_path)
+    async def remove_and_write() -> None:
+        files = SlowFiles(tmp_path)
         files.write(OUT, 0, b"5")
         marker = Marker(files)
         late = asyncio.ensure_future(marker.back())
@@ -165,10 +171,10 @@
         await asyncio.gather(late, go)
         assert OUT in files.names() and files.read(OUT) == b"7"
 
-    asyncio.run(late_and_next())
+    asyncio.run(remove_and_write())
 
 
-def test_who_is_silent_or_says_that_it_does_not_serve_is_down_unless_a_permit_covers_that() -> None:
+def test_a_node_is_down_if_it_is_silent_or_reports_without_a_permit_that_it_does_not_serve() -> None:
     heard = Heard(2.0)
     for at, name, serving in (
         (0.0, "a", "ready"),
@@ -183,26 +189,28 @@
     assert sorted(heard.recent_statuses(6.0)) == ["b", "c", "d"] and heard.driver(6.0) == ("d", ("x",))
     for name, outage in (("a", 9.0), ("b", 0.0), ("c", 8.0), ("d", 7.0)):
         heard.take(7.0, name, 1, Word("ready", "in", "1", 0, Figures(), outage=outage, moved=3))
-    assert heard.outage(8.0, 5, 3) == "no quorum for 7 s" and heard.outage(8.0, 6, 3) == ""  # over half
-    assert heard.outage(8.0, 5, 4) == ""  # it has moved since: words of before say nothing of that
+    assert (
+        heard.outage(8.0, 5, 3) == "no quorum for 7 s" and heard.outage(8.0, 6, 3) == ""
+    )  # 3 of 6 are not over half
+    assert heard.outage(8.0, 5, 4) == ""  # the release has moved since the reported outages
     assert decode(b"") is None and decode(b"\x92\x02\xa1a") is None
 
 
-def test_a_server_is_proved_by_over_half_of_those_that_use_it() -> None:
+def test_a_server_is_proved_once_over_half_of_its_users_reach_it() -> None:
     heard = Heard(2.0)
 
-    def says(at: float, name: str, *told: Told) -> None:
-        for word in (decode(encode(Word("ready", "in", "1", 0, Figures()))), decode(encode_servers(told))):
+    def report(at: float, name: str, *servers: Told) -> None:
+        for word in (decode(encode(Word("ready", "in", "1", 0, Figures()))), decode(encode_servers(servers))):
             assert word is not None
             heard.take(at, name, 1, word)
 
-    says(0.0, "long ago", ("h:1", 7, Reach.YES))
-    says(5.0, "a", ("h:2", 8, Reach.YES), ("h:1", 7, Reach.YES))
-    says(5.0, "b", ("h:1", 7, Reach.NO))
-    says(5.0, "c", ("h:1", 7, Reach.UNUSED))
-    says(0.0, "d", ("h:1", 7, Reach.YES))
-    says(5.0, "d", ("h:1", 6, Reach.YES))  # of its permit before
+    report(0.0, "long ago", ("h:1", 7, Reach.YES))
+    report(5.0, "a", ("h:2", 8, Reach.YES), ("h:1", 7, Reach.YES))
+    report(5.0, "b", ("h:1", 7, Reach.NO))
+    report(5.0, "c", ("h:1", 7, Reach.UNUSED))
+    report(0.0, "d", ("h:1", 7, Reach.YES))
+    report(5.0, "d", ("h:1", 6, Reach.YES))  # a report on an earlier permit
     assert heard.reached(6.0, "h:1", 7) == (1, 3) and not proved(1, 3)
-    says(6.0, "b", ("h:1", 7, Reach.YES))
+    report(6.0, "b", ("h:1", 7, Reach.YES))
     assert heard.reached(6.0, "h:1", 7) == (2, 3) and proved(2, 3)
     assert not proved(1, 2) and not proved(0, 0) and proved(1, 1)
--- a/tests/releases/test_kills.py
+++ b/tests/releases/test_kills.py
@@ -1,5 +1,7 @@
-"""A voter killed in the middle of a write of the log, while permits are asked for (benchmarks/releases.py
-sweeps the writes)."""
+"""A voter killed during a write of the log, while permits are requested.
+
+benchmarks/releases.py sweeps all writes.
+"""
 
 import asyncio
 from pathlib import Path
--- a/tests/releases/test_machine.py
+++ b/tests/releases/test_machine.py
@@ -1,4 +1,4 @@
-"""The agreed machine: permits, words and releases as commands of the log, and its snapshot."""
+"""The state machine of releases: its commands and its snapshot, and the checks of its settings."""
 
 from pathlib import Path
 from typing import Any
@@ -18,7 +18,7 @@
 
 
 class Log:
-    """Commands one after another, as a log hands them on."""
+    """A log that applies one command after another; it starts with a described fleet of proved nodes."""
 
     def __init__(self, most: int = 1) -> None:
         self.machine, self.index = Machine(), 0
@@ -48,29 +48,29 @@
         assert self("word", "r", "start", "op", "")[0]
 
 
-def test_a_permit_ends_by_its_fence_and_life_alone_and_its_right_to_go_by_a_word() -> None:
+def test_a_permit_ends_only_under_its_fence_and_life_and_its_right_to_go_by_expire() -> None:
     log = Log()
     _, fence = log.ask("a")
     assert not log.ask("b")[0] and log.ask("a") == (True, fence)
     assert not log("go", "a", fence - 1)[0] and not log("back", "a", fence, 1)[0]
     assert log("expire", 1, "a", fence)[0] and not log("go", "a", fence)[0]
-    assert not log.ask("b")[0]  # nobody went, and it counts all the same
+    assert not log.ask("b")[0]  # an expired permit still counts as out
     assert not log("back", "a", fence, 2)[0] and log("back", "a", fence, 1)[0]
     _, newer = log.ask("a")
     assert not log("go", "a", fence)[0] and log("go", "a", newer)[0]
-    assert not log("expire", 1, "a", newer)[0]  # it went in time
-    assert not log("back", "a", fence, 1, True)[0]  # an old word that comes late
-    assert not log("back", "a", newer, 1)[0]  # drained by an operator, who has not asked for it
+    assert not log("expire", 1, "a", newer)[0]  # a target that went out in time doesn't expire
+    assert not log("back", "a", fence, 1, True)[0]  # a late command with an old fence
+    assert not log("back", "a", newer, 1)[0]  # no operator has asked it to return
     log("here", "a", 2, "east", "big", "1")
     assert not log("proved", "a", 2)[0] and not log("back", "a", newer, 1)[0]
     assert log("return", "a", "op")[0] and log("back", "a", newer, 2)[0]
     assert [row[1] for row in log.machine.permits.audit][-2:] == ["told to return", "back"]
 
 
-def test_cold_and_down_count_and_a_server_is_out_at_once() -> None:
+def test_cold_and_down_nodes_count_as_out_and_a_server_is_out_from_its_grant() -> None:
     log = Log(most=2)
-    log("here", "b", 2, "east", "big", "1")  # b began anew: cold until it proves itself
-    assert not log.ask("a")[0]  # the last of its hall, as b does not count
+    log("here", "b", 2, "east", "big", "1")  # b restarted, and is cold until it proves that it serves
+    assert not log.ask("a")[0]  # the last of its hall, as b is cold
     assert log.ask("c")[0] and log.ask("d", claim=True)[0]
     assert not log.ask("a", claim=False)[0]
     log("proved", "b", 2)
@@ -80,45 +80,45 @@
     assert log("return", "1.2.3.4:5", "op")[0] and log("back", "1.2.3.4:5", fence, 0)[0]
 
 
-def test_a_server_counts_from_its_permit_until_its_proof_and_the_last_of_a_service_is_in() -> None:
-    log, (one, two, three, alone) = Log(), (f"1.2.3.4:{port}" for port in (1, 2, 3, 4))
-    servers = [[one, ["s"]], [two, ["s", "t"]], [three, ["s", "t"]], [alone, ["u"]]]
+def test_a_server_counts_as_out_until_its_proof_and_the_last_of_a_service_stays_in() -> None:
+    log, (first, second, third, alone) = Log(), (f"1.2.3.4:{port}" for port in (1, 2, 3, 4))
+    servers = [[first, ["s"]], [second, ["s", "t"]], [third, ["s", "t"]], [alone, ["u"]]]
     budgets = budget_rows([Budget("db", most=1, kind=Kind.SERVER, service="s")])
     assert log("describe", 2, NAMES, [], servers, budgets)[0]
-    _, fence = log.ask(one)
-    assert log.ask(two) == (False, f"over a budget: db, 1 allowed; out: {one}")
-    # Its right to go has no end, as it went at once; and without a proof it is not back.
-    assert not log("expire", 2, one, fence)[0] and not log("back", one, fence, 0)[0]
-    assert log("return", one, "op")[0] and not log.ask(two)[0]
-    assert not log("back", one, fence - 1, 0)[0] and log("back", one, fence, 0)[0]
-    # What the asker can't reach counts as out: by the budget, and as the last of its service.
-    assert log.ask(two, down=(one,)) == (False, f"over a budget: db, 1 allowed; out: {one}")
-    assert log("describe", 2, NAMES, [], servers, [])[0]  # never the last one, without a budget too
-    assert log.ask(two, down=(three,)) == (
+    _, fence = log.ask(first)
+    assert log.ask(second) == (False, f"over a budget: db, 1 allowed; out: {first}")
+    # A server is out from its grant, so its right to go never expires; without a proof it is not back.
+    assert not log("expire", 2, first, fence)[0] and not log("back", first, fence, 0)[0]
+    assert log("return", first, "op")[0] and not log.ask(second)[0]
+    assert not log("back", first, fence - 1, 0)[0] and log("back", first, fence, 0)[0]
+    # A server that the requester can't reach counts as out, in the budget and for the last of its service.
+    assert log.ask(second, down=(first,)) == (False, f"over a budget: db, 1 allowed; out: {first}")
+    assert log("describe", 2, NAMES, [], servers, [])[0]  # the last one stays in even without a budget
+    assert log.ask(second, down=(third,)) == (
         False,
-        f"the last of its hall or service: service t, 0 allowed; out: {three}",
+        f"the last of its hall or service: service t, 0 allowed; out: {third}",
     )
-    assert not log.ask(alone)[0] and log.ask(one)[0] and log.ask(two)[0] and not log.ask(three)[0]
-    assert log.ask(three, claim=True)[0] and log.machine.permits.held[three].claimed
-    # One that never returns is out until an operator answers for it, or it is listed no more.
-    assert log("force", one, "op", "it serves")[0] and one not in log.machine.gone
+    assert not log.ask(alone)[0] and log.ask(first)[0] and log.ask(second)[0] and not log.ask(third)[0]
+    assert log.ask(third, claim=True)[0] and log.machine.permits.held[third].claimed
+    # A server that never returns is out until an operator forces its permit to end, or it is not listed.
+    assert log("force", first, "op", "it serves")[0] and first not in log.machine.gone
     assert log("describe", 2, NAMES, [], servers[:1] + servers[2:], [])[0]
-    assert set(log.machine.permits.held) == {three} == set(log.machine.gone)
+    assert set(log.machine.permits.held) == {third} == set(log.machine.gone)
     other = Machine()
     other.restore(log.machine.snapshot())
     assert other.snapshot() == log.machine.snapshot() and other.gone == log.machine.gone
 
 
-def test_a_node_returns_with_the_version_it_was_told_and_the_way_back_needs_no_budget_that_it_uses() -> None:
+def test_a_node_returns_with_the_wanted_version_and_its_rollback_needs_no_second_budget() -> None:
     log = Log()
     log.release()
     _, fence = log("take", 5, "r", "a", False, [], [9, 9, 0, 0, 0])
-    assert not log("take", 4, "r", "a", False, [], [])[0]  # a driver before
-    assert not log("take", 5, "r", "b", False, [], [])[0]  # the canary is not judged
+    assert not log("take", 4, "r", "a", False, [], [])[0]  # an older driver
+    assert not log("take", 5, "r", "b", False, [], [])[0]  # the canary has not been judged
     assert log("go", "a", fence)[0] and log("step", 5, "r", "a", "permitted", False)[0]
     assert not log("step", 5, "r", "a", "permitted", False)[0]
     log("here", "a", 2, "east", "big", "1.5")
-    assert not log("back", "a", fence, 2)[0]  # not the version that it was told
+    assert not log("back", "a", fence, 2)[0]  # not the wanted version
     log("here", "a", 3, "east", "big", "2")
     assert log.machine.starts == {"a": 1}
     assert log("back", "a", fence, 3)[0] and log("step", 5, "r", "a", "sent", False)[0]
@@ -126,8 +126,8 @@
     _, fence = log("take", 6, "r", "b", False, [], [])
     assert log("go", "b", fence)[0] and log("step", 6, "r", "b", "permitted", False)[0]
     assert log("stop", 6, "r", "bad")[0] and log("word", "r", "back", "op", "")[0]
-    log("here", "a", 4, "east", "big", "2")  # the broken version: a is cold, b is out
-    # A budget of one, and two are out; what is out as it is adds nothing to it.
+    log("here", "a", 4, "east", "big", "2")  # the broken version starts: a is cold, b is out
+    # Two are out under a budget of one: a rollback of nodes that are out already needs no budget.
     assert log("take", 6, "r", "b", True, [], []) == (True, fence)
     assert log("take", 6, "r", "a", True, [], [])[0] and not log.ask("c")[0]
     for name, life in (("a", 5), ("b", 2)):
@@ -138,7 +138,7 @@
     assert log.machine.releases["r"].stage is Stage.UNDONE and not log.machine.permits.held
 
 
-def test_the_way_back_of_one_that_serves_waits_for_the_budget_and_an_older_driver_describes_nothing() -> None:
+def test_the_rollback_of_a_serving_node_waits_for_the_budget_and_older_drivers_are_refused() -> None:
     log = Log()
     log.release()
     _, fence = log("take", 5, "r", "a", False, [], [])
@@ -154,7 +154,7 @@
     assert log.ask("e") == (False, "e has never registered")
 
 
-def test_what_was_let_out_and_told_nothing_returns_as_if_never_asked() -> None:
+def test_a_target_that_returns_unchanged_is_asked_for_again() -> None:
     log = Log()
     log.release()
     _, fence = log("take", 5, "r", "a", False, [], [])
@@ -163,7 +163,7 @@
     assert log.machine.releases["r"].steps["a"] is Step.TODO
     assert log("word", "r", "resume", "op", "")[0]
     _, fence = log("take", 6, "r", "a", False, [], [])
-    # Told its version, paused past its permit's end, and in service as it was.
+    # The node is SENT, then paused past its permit's end, and still serves with its old version.
     assert log("go", "a", fence)[0] and log("step", 6, "r", "a", "permitted", False)[0]
     assert log("back", "a", fence, 1, True)[0] and log.machine.releases["r"].steps["a"] is Step.TODO
     assert log("take", 6, "r", "a", False, [], [])[0]
@@ -188,14 +188,14 @@
         ({"budgets": [{"name": "x", "most": 1}, {"name": "x", "most": 2}]}, "budgets"),
     ],
 )
-def test_a_table_that_cannot_be_meant_is_refused_by_its_key(table: dict[str, Any], where: str) -> None:
+def test_an_invalid_table_is_refused_with_the_name_of_its_key(table: dict[str, Any], where: str) -> None:
     with pytest.raises(ConfigError) as found:
         read(table, "file: releases", Path())
     assert where in found.value.where
     assert read({"budgets": [{"name": "x", "most": 0}]}, "file", Path()).budgets == (Budget("x", most=0),)
 
 
-def test_a_snapshot_is_the_same_state_and_of_another_format_it_is_refused() -> None:
+def test_a_snapshot_restores_the_same_state_and_other_formats_are_refused() -> None:
     log = Log(most=2)
     log.release()
     log("take", 5, "r", "a", False, [], [1])
--- a/tests/releases/test_marker_disks.py
+++ b/tests/releases/test_marker_disks.py
@@ -1,4 +1,4 @@
-"""The releases' marker on a disk that fails for a while, in each step, with kills and power cuts."""
+"""The marker of releases on a disk that fails for a while at any step, with kills and power cuts."""
 
 import asyncio
 import contextlib
@@ -14,37 +14,37 @@
 
 from beechrock.releases.marker import OUT, WANTED, Marker
 
-MOST_TRIES = 20
+MAX_TRIES = 20
 Step = Callable[[Marker], Awaitable[None]]
 
 
 async def back(marker: Marker) -> None:
     marker.removal_pending = True
-    await tried(marker.finish_removal)
+    await retried(marker.finish_removal)
 
 
-async def tried(work: Callable[[], Awaitable[None]]) -> None:
-    """As the part does: what the disk refused comes again."""
-    for _ in range(MOST_TRIES):
+async def retried(work: Callable[[], Awaitable[None]]) -> None:
+    """Retry after each disk error, as the part does."""
+    for _ in range(MAX_TRIES):
         try:
             return await work()
         except OSError:
             continue
-    raise AssertionError("never taken")
+    raise AssertionError("every try failed")
 
 
 HISTORY: tuple[tuple[Step, bool, bytes], ...] = (
-    (lambda marker: tried(lambda: marker.out(5)), True, b""),
-    (lambda marker: tried(lambda: marker.wanted("2.0")), True, b"2.0"),
+    (lambda marker: retried(lambda: marker.out(5)), True, b""),
+    (lambda marker: retried(lambda: marker.wanted("2.0")), True, b"2.0"),
     (back, False, b"2.0"),
-    (lambda marker: tried(lambda: marker.out(6)), True, b"2.0"),
-    (lambda marker: tried(lambda: marker.wanted("3.0")), True, b"3.0"),
+    (lambda marker: retried(lambda: marker.out(6)), True, b"2.0"),
+    (lambda marker: retried(lambda: marker.wanted("3.0")), True, b"3.0"),
     (back, False, b"3.0"),
 )
 
 
 def run(files: FailingFiles) -> int:
-    """How many steps were taken, until a kill."""
+    """Run the history until its end or a kill; return the number of completed steps."""
     done = 0
 
     async def steps() -> None:
@@ -60,7 +60,7 @@
 
 
 def check(files: FailingFiles, done: int) -> None:
-    """What a start finds is what the last step left, or the one that a kill broke off."""
+    """Check that a start finds the state after the last completed step, or after the interrupted one."""
     allowed = [(False, b""), *((out, wanted) for _, out, wanted in HISTORY)][done : done + 2]
     found = (Marker(files).found(), bytes(files.live[WANTED].cache) if WANTED in files.live else b"")
     assert found in allowed, (found, allowed, files.fault)
@@ -68,7 +68,7 @@
         assert bytes(files.live[OUT].cache) in (b"5", b"6")
 
 
-def steps() -> int:
+def count_steps() -> int:
     files = FailingFiles()
     assert run(files) == len(HISTORY)
     return files.step
@@ -77,25 +77,25 @@
 @pytest.mark.parametrize("drops", [False, True])
 @pytest.mark.parametrize("number", [errno.EIO, errno.ENOSPC])
 @pytest.mark.parametrize("length", [1, 2, 7])
-def test_each_step_failing_for_a_while_leaves_what_was_told(length: int, number: int, drops: bool) -> None:
-    for first in range(1, steps() + 1):
+def test_a_fault_at_any_step_leaves_the_last_written_state(length: int, number: int, drops: bool) -> None:
+    for first in range(1, count_steps() + 1):
         files = FailingFiles(Fault(first, first + length, number, drops))
         assert run(files) == len(HISTORY)
-        for left in (files.killed(), files.power_cut(True), files.power_cut(False)):
-            check(left, len(HISTORY))
+        for files_left in (files.killed(), files.power_cut(True), files.power_cut(False)):
+            check(files_left, len(HISTORY))
 
 
 @pytest.mark.parametrize("after", [0, 1, 2, 4])
-def test_a_kill_in_or_after_a_fault_leaves_the_old_or_the_new_whole(after: int) -> None:
-    for first in range(1, steps() + 1):
+def test_a_kill_during_or_after_a_fault_leaves_the_old_or_the_new_state(after: int) -> None:
+    for first in range(1, count_steps() + 1):
         files = FailingFiles(Fault(first, first + 3), kill_at=first + after)
         done = run(files)
-        for left in (files.killed(), files.power_cut(True), files.power_cut(False)):
-            check(left, done)
+        for files_left in (files.killed(), files.power_cut(True), files.power_cut(False)):
+            check(files_left, done)
 
 
-def test_what_is_owed_never_takes_away_the_marker_of_a_later_permit() -> None:
-    async def story() -> None:
+def test_a_pending_removal_never_removes_the_marker_of_a_later_permit() -> None:
+    async def write_between_retries() -> None:
         files = FailingFiles()
         marker = Marker(files)
         await marker.out(5)
@@ -104,7 +104,7 @@
             await marker.back()
         assert marker.removal_pending
         await marker.out(6)
-        await marker.finish_removal()  # the try that comes again
+        await marker.finish_removal()  # the retry
         assert marker.found() and not marker.removal_pending
 
-    asyncio.run(story())
+    asyncio.run(write_between_retries())
--- a/tests/releases/test_operators.py
+++ b/tests/releases/test_operators.py
@@ -1,4 +1,4 @@
-"""What operators ask of a node for, answered from the log and not from what this node has of it by chance."""
+"""Calls of operators are answered from the newest log, even at a node whose copy lags."""
 
 import asyncio
 from typing import Any, cast
@@ -16,7 +16,7 @@
 
 
 class Lagging:
-    """A node whose copy of the log is behind until it is read; ``led``: whether a read can be had."""
+    """A node whose copy of the log lags until a read; ``led``: whether a read succeeds."""
 
     def __init__(self, led: bool = True) -> None:
         self.machine, self.counters, self.settings, self.led = Machine(), Counters(), ReleasesSettings(), led
@@ -31,7 +31,7 @@
             self.machine.apply(self.machine.index + 1, self.log.pop(0))
 
     async def propose_or_raise(self, verb: str, *rest: Any) -> Any:
-        """The log has all commands before this one, whatever this node had of them."""
+        """Apply the command after all earlier commands of the log."""
         await self.wait_for_log()
         done, what = self.machine.apply(self.machine.index + 1, command(verb, *rest))
         if not done:
@@ -39,7 +39,7 @@
         return what
 
 
-async def planned(node: Lagging) -> dict[str, Any]:
+async def plan_at(node: Lagging) -> dict[str, Any]:
     calls = Operators(cast(Releases, node))
     calls.plan({"name": "r", "version": "2", "who": "op", "most": "2", "token": "t"})
     while "t" not in calls.answers:
@@ -47,11 +47,11 @@
     return calls.answers["t"]
 
 
-def test_a_plan_at_a_node_that_lags_is_made_from_the_log_and_without_one_not_at_all() -> None:
+def test_a_plan_at_a_lagging_node_uses_the_newest_log_and_fails_without_a_quorum() -> None:
     node = Lagging()
-    assert asyncio.run(planned(node))["done"]
+    assert asyncio.run(plan_at(node))["done"]
     plan = node.machine.releases["r"].plan
     assert plan.waves == (("a",), ("c",), ("b", "d")) and plan.before == "1"
     node = Lagging(led=False)
-    answer = asyncio.run(planned(node))
+    answer = asyncio.run(plan_at(node))
     assert not answer["done"] and answer["error"] == "NoQuorumError" and not node.machine.releases
--- a/tests/releases/test_processes.py
+++ b/tests/releases/test_processes.py
@@ -1,4 +1,4 @@
-"""Real processes, real links, and faults between them: permits and releases that go on, and never too far."""
+"""Permits and releases with real processes, real links and faults between them."""
 
 import asyncio
 import re
@@ -17,41 +17,43 @@
 
 
 def play(tmp_path: Path, work: Callable[[Play], Awaitable[None]], **more: Any) -> None:
-    """And whatever happened, nothing that can never be."""
-
-    async def whole() -> None:
-        async with Play(tmp_path, NAMES, HALLS, **more) as told:
-            for name in NAMES:  # whoever asks later goes by its own view of the others
-                await told.ready(name)
-            await work(told)
-            history = told.fleet.history()
+    """Run a test on a fleet, and check the invariants over its history."""
+
+    async def run() -> None:
+        async with Play(tmp_path, NAMES, HALLS, **more) as running:
+            for name in NAMES:  # requests depend on the requester's view of the others
+                await running.ready(name)
+            await work(running)
+            history = running.fleet.history()
             found = check(history, ["agree", "duties", "releases", "sound"])
-            assert not found, (found[:3], told.fleet.save_history())
-            assert not told.fleet.troubles(), told.fleet.save_history()
+            assert not found, (found[:3], running.fleet.save_history())
+            assert not running.fleet.troubles(), running.fleet.save_history()
 
-    asyncio.run(whole())
+    asyncio.run(run())
 
 
-def permits(told: dict[str, Any]) -> list[str]:
-    return [permit["target"] for permit in told["permits"]]
+def permits(view: dict[str, Any]) -> list[str]:
+    return [permit["target"] for permit in view["permits"]]
 
 
-async def command(play: Play, at: str, *told: str) -> tuple[int, str]:
-    """The command line, as an operator has it."""
+async def command(play: Play, at: str, *arguments: str) -> tuple[int, str]:
+    """Run a command line against a node; return its exit code and output."""
     address = "{}:{}".format(*play.fleet.nodes[at].address("second address"))
-    found = await asyncio.to_thread(CliRunner().invoke, main, [*told, "--at", address])
+    found = await asyncio.to_thread(CliRunner().invoke, main, [*arguments, "--at", address])
     return found.exit_code, found.output
 
 
 async def back(play: Play, at: str, target: str) -> None:
     assert (await play.say(at, "return", target=target))["done"]
-    await play.until(at, lambda told: target not in permits(told), f"{target} back")
+    await play.until(at, lambda view: target not in permits(view), f"{target} back")
 
 
-def test_the_last_permit_is_one_ones_over_a_cut_a_stopped_leader_and_a_paused_holder(tmp_path: Path) -> None:
+def test_the_last_permit_has_one_holder_despite_a_partition_a_stopped_leader_and_a_paused_holder(
+    tmp_path: Path,
+) -> None:
     async def work(play: Play) -> None:
         fleet = play.fleet
-        # Two operators, on both sides of a cut, at the same moment.
+        # Two operators request a permit at the same moment, on both sides of a partition.
         fleet.links.split(["a", "b"], ["c", "d", "e"])
         answers = await asyncio.gather(*(play.say(at, "ask", target=at) for at in ("a", "c")))
         unsure = ("NoQuorumError", "UnsureError")
@@ -65,67 +67,71 @@
             await fleet.until(granted)
         fleet.links.heal()
         for at in ("a", "b"):
-            await play.until(at, lambda told: permits(told) == ["c"], "one permit, at both sides")
-        code, said = await command(play, "b", "drain", "list")
-        assert code == 0 and re.search("^fleet +1 +1$", said, re.M) and re.search("^c +op ", said, re.M), said
-        assert "voters of the log" in said
-        code, said = await command(play, "b", "drain", "ask", "d", "--as", "night")
-        assert code == 1 and "out: c" in said, said
+            await play.until(at, lambda view: permits(view) == ["c"], "one permit, at both sides")
+        code, output = await command(play, "b", "drain", "list")
+        assert (
+            code == 0 and re.search("^fleet +1 +1$", output, re.M) and re.search("^c +op ", output, re.M)
+        ), output
+        assert "voters of the log" in output
+        code, output = await command(play, "b", "drain", "ask", "d", "--as", "night")
+        assert code == 1 and "out: c" in output, output
         await back(play, "e", "c")
 
-        # The leader stopped while it grants, and continued after the next one has granted.
+        # The leader is stopped while it grants, and continued after the next leader has granted.
         leader = (await play.view("a"))["leader"]
         other = next(name for name in NAMES if name != leader)
         asked = asyncio.ensure_future(play.say(leader, "ask", target=leader))
         await asyncio.sleep(0)
         fleet.stop(leader)
-        await play.until(other, lambda told: told["leader"] not in ("", leader), "a next leader")
-        await play.until(other, lambda told: told["driver"] not in ("", leader), "a next driver")
+        await play.until(other, lambda view: view["leader"] not in ("", leader), "a next leader")
+        await play.until(other, lambda view: view["driver"] not in ("", leader), "a next driver")
         first = await play.say(other, "ask", target=other)
         fleet.go_on(leader)
         second = await asked
         assert not (first["done"] and second["done"]), (first, second)
-        await play.until(other, lambda told: len(permits(told)) <= 1 and told["leader"], "one permit")
+        await play.until(other, lambda view: len(permits(view)) <= 1 and view["leader"], "one permit")
         for target in permits(await play.view(other)):
             await back(play, other, target)
         await play.ready(other)
 
-        # A holder paused past its permit's end, which then would act.
+        # A holder is paused past its permit's end, and must not go out after it.
         at, holder = [name for name in NAMES if name != (await play.view("a"))["leader"]][:2]
         fleet.stop(holder)
         answer = await play.say(at, "ask", target=holder, for_s=1.0)
         assert answer["done"], answer
-        await play.until(at, lambda told: any(p["expired"] for p in told["permits"]), "an expired permit")
-        assert not (await play.say(at, "ask", target=at))["done"]  # nobody went, and it counts
+        await play.until(at, lambda view: any(p["expired"] for p in view["permits"]), "an expired permit")
+        assert not (await play.say(at, "ask", target=at))["done"]  # it never went out, but counts as out
         fleet.go_on(holder)
-        await play.until(at, lambda told: not permits(told), "the permit given back unused")
+        await play.until(at, lambda view: not permits(view), "the permit given back unused")
         assert not [e for e in fleet.events(holder, "node.out") if e["fence"] == answer["what"]]
 
-    play(tmp_path, work, voters=5, tables={"gone_s": 60.0})  # cut off is not down: that would refuse too
+    # With a shorter ``gone_s``, nodes that are cut off would count as down, which would refuse permits too.
+    play(tmp_path, work, voters=5, tables={"gone_s": 60.0})
 
 
-def test_a_release_outlives_its_driver_and_all_its_processes_at_once(tmp_path: Path) -> None:
+def test_a_release_completes_though_its_driver_and_then_all_processes_are_killed(tmp_path: Path) -> None:
     async def work(play: Play) -> None:
         fleet = play.fleet
-        # Frames are doubled, lost and late all the time, so those of one node overtake those of another.
+        # Frames are duplicated, lost and delayed, so frames of one node overtake those of another.
         fleet.links.set(NAMES, NAMES, double=0.3, drop=0.03, delay_s=0.1)
         await play.release("a", "2", canary=1, nodes="d")
-        # Killed between a step's decision and its act: the permit is there, and the word is not.
+        # The driver is killed after the permit was granted and before the next step.
         await fleet.until(lambda: [e for e in fleet.events(event="release") if e["what"] == "permitted"])
         driver = (await play.view("a"))["driver"]
         await play.kill(driver)
         at = next(name for name in "abc" if name != driver)
-        await play.until(at, lambda told: told["driver"] not in ("", driver), "a next driver")
+        await play.until(at, lambda view: view["driver"] not in ("", driver), "a next driver")
         await play.start(driver)
         await fleet.until(lambda: [e for e in fleet.events(event="release.change")])
-        # All at once, while one is on its way.
+        # All processes are killed at once, while one node changes its version.
         await play.kill(*NAMES)
         await play.start(*NAMES)
-        one = await play.stage("a", "done")
-        assert set(one["steps"].values()) == {"returned"}
-        await play.until("a", lambda told: not permits(told), "none out")
-        # Killed while it was out, it came up drained, said so, and never drained anew. Seen on busy cores:
-        # the driver was d itself, killed between its `go` and its word, and no life told that it was out.
+        release = await play.stage("a", "done")
+        assert set(release["steps"].values()) == {"returned"}
+        await play.until("a", lambda view: not permits(view), "none out")
+        # A node killed while it was out starts drained, reports that it is out, and does not drain again. On
+        # busy cores, d itself was the driver and was killed between its `go` and its report, and no process
+        # of d reported that it was out.
         outs = fleet.events("d", "node.out")
         assert {e["fence"] for e in fleet.events("d", "release.change")} <= {e["fence"] for e in outs}, outs
         drained = [e["fence"] for e in outs if not e["already"]]
@@ -135,49 +141,49 @@
     play(tmp_path, work)
 
 
-def test_the_way_back_goes_while_the_broken_version_uses_up_the_budget(tmp_path: Path) -> None:
+def test_a_rollback_proceeds_while_the_broken_version_uses_up_the_budget(tmp_path: Path) -> None:
     async def work(play: Play) -> None:
         fleet = play.fleet
-        # Both of a wave are out with a version that does not come up, and the budget is used up by them.
+        # Both nodes of a wave are out with a version that does not start, which uses up the budget.
         play.left |= {"b", "d"}
         await play.release("c", "bad", name="q", canary=2, nodes="b,d")
         await play.until(
             "c",
-            lambda told: all(step == "sent" for step in told["releases"][-1]["steps"].values()),
-            "both told",
+            lambda view: all(step == "sent" for step in view["releases"][-1]["steps"].values()),
+            "both targets sent",
         )
         await fleet.until(lambda: not fleet.nodes["b"].up and not fleet.nodes["d"].up)
         assert not (await play.say("c", "ask", target="e"))["done"]
-        code, said = await command(play, "c", "release", "back", "q", "--why", "it does not come up")
-        assert code == 0, said
+        code, output = await command(play, "c", "release", "back", "q", "--why", "it does not come up")
+        assert code == 0, output
         await play.until(
             "c",
-            lambda told: all(step == "sent" for step in told["releases"][-1]["undone"].values()),
-            "both told the way back",
+            lambda view: all(step == "sent" for step in view["releases"][-1]["undone"].values()),
+            "both rollbacks sent",
         )
-        play.left.clear()  # bad is started, and at its node's word the one before
+        play.left.clear()  # the bad version starts, and is then replaced by the previous one
         await play.stage("c", "undone", name="q")
-        told = await play.view("c")
-        assert {node["version"] for node in told["nodes"] if node["name"] in "bd"} == {"1"}
-        assert not told["permits"] and not play.lost() and not play.ran_twice()
-        code, said = await command(play, "c", "release", "status")
-        assert code == 0 and "q: 1 -> bad: undone" in said, said
-        code, said = await command(play, "c", "release", "audit")
-        assert "back it does not come up" in said, said
+        view = await play.view("c")
+        assert {node["version"] for node in view["nodes"] if node["name"] in "bd"} == {"1"}
+        assert not view["permits"] and not play.lost() and not play.ran_twice()
+        code, output = await command(play, "c", "release", "status")
+        assert code == 0 and "q: 1 -> bad: undone" in output, output
+        code, output = await command(play, "c", "release", "audit")
+        assert "back it does not come up" in output, output
 
     play(tmp_path, work, tables={"budgets": [{"name": "fleet", "most": 2}]})
 
 
-def test_a_server_below_gets_nothing_new_while_it_is_out_and_the_last_one_never_is(tmp_path: Path) -> None:
+def test_a_server_that_is_out_gets_no_new_work_and_the_last_one_stays_in(tmp_path: Path) -> None:
     async def work(play: Play) -> None:
         first, second = play.servers
         play.load(20)
-        await play.fleet.until(lambda: first.runs)  # of two that are idle, the first in the list
+        await play.fleet.until(lambda: first.runs)  # of two idle servers, the first in the list is used
         assert (await play.say("a", "ask", target=play.places[0]))["done"]
         await play.fleet.until(
             lambda: len({e["node"] for e in play.fleet.events(event="releases.servers")}) == len(NAMES)
         )
-        await play.fleet.until(lambda: not first.open)  # what it runs finishes
+        await play.fleet.until(lambda: not first.open)  # open runs finish
         runs, others = first.runs, second.runs
         await play.fleet.until(lambda: second.runs > others + 20)
         assert first.runs == runs
@@ -189,76 +195,77 @@
     play(tmp_path, work)
 
 
-def test_a_log_that_stood_still_halts_the_release_and_one_that_waits_for_its_operator_returns(
+def test_a_lost_quorum_halts_a_release_and_its_drained_node_returns_by_a_rollback(
     tmp_path: Path,
 ) -> None:
     async def work(play: Play) -> None:
         fleet = play.fleet
         await play.release("a", "2", nodes="d")
-        await fleet.until(lambda: fleet.events("d", "release.change"))  # drained, and told; it only waits
+        # Wait until d is drained and only waits for its operator.
+        await fleet.until(lambda: fleet.events("d", "release.change"))
         fleet.stop("b", "c")
-        await play.until("a", lambda told: not told["leader"], "no leader")
-        answer = await play.say("a", "ask", target="e")  # 3 s, and so beyond quorum_s
+        await play.until("a", lambda view: not view["leader"], "no leader")
+        answer = await play.say("a", "ask", target="e")  # takes 3 s, which is longer than quorum_s
         assert not answer["done"], answer
         fleet.go_on("b", "c")
-        one = await play.stage("a", "halted")
-        assert "no quorum" in one["reason"], one
+        release = await play.stage("a", "halted")
+        assert "no quorum" in release["reason"], release
         assert fleet.nodes["d"].up and (await play.view("d"))["state"] == "changing"
-        await play.until("a", lambda told: told["driver"], "a driver")
+        await play.until("a", lambda view: view["driver"], "a driver")
         assert (await play.say("e", "word", name="r", what="back"))["done"]
         await play.stage("e", "undone")
-        await play.until("d", lambda told: told["state"] == "in" and not permits(told), "d in service")
+        await play.until("d", lambda view: view["state"] == "in" and not permits(view), "d in service")
 
     play(tmp_path, work, tables={"gone_s": 60.0, "quorum_s": 2.0, "on_change": "wait"})
 
 
-def test_a_lost_hall_and_clocks_that_leap_halt_a_release_and_let_nobody_else_out(tmp_path: Path) -> None:
+def test_a_lost_hall_halts_a_release_and_jumping_clocks_let_no_other_node_out(tmp_path: Path) -> None:
     async def work(play: Play) -> None:
         fleet = play.fleet
         await play.release("a", "2", canary=1, nodes="a,b")
         await fleet.until(lambda: [e for e in fleet.events(event="release") if e["what"] == "permitted"])
-        # The hall of the others is lost in mid-wave, and with it no more than the budget may be out.
+        # The other hall is lost in the middle of a wave, which exceeds the budget.
         await play.kill("d", "e")
-        one = await play.stage("b", "halted", "done")
-        assert one["stage"] == "halted" and "2 down" in one["reason"], one
+        release = await play.stage("b", "halted", "done")
+        assert release["stage"] == "halted" and "2 down" in release["reason"], release
         assert not (await play.say("b", "ask", target="c"))["done"]
-        await play.until("b", lambda told: not permits(told), "who was out is back")
+        await play.until("b", lambda view: not permits(view), "nodes that were out are back")
         await play.start("d", "e")
         await play.ready("b")
         for name in NAMES[:3]:
             fleet.clock(name, leap_s=500.0)
         await play.ready("b")
         assert (await play.say("b", "word", name="r", what="resume"))["done"]
-        await play.until("b", lambda told: told["releases"][0]["steps"]["b"] != "todo", "the next wave")
+        await play.until("b", lambda view: view["releases"][0]["steps"]["b"] != "todo", "the next wave")
         for name in NAMES:
             fleet.clock(name, leap_s=2000.0)
-        # At the worst a node is called late; nobody else goes meanwhile, and the checker has the whole of it.
-        one = await play.stage("b", "halted", "done")
-        if one["stage"] == "halted":
+        # At worst a node counts as late; the checker finds any other node that went out meanwhile.
+        release = await play.stage("b", "halted", "done")
+        if release["stage"] == "halted":
             assert (await play.say("c", "word", name="r", what="back"))["done"]
             await play.stage("c", "undone")
 
     play(tmp_path, work, clocks=True)
 
 
-def test_permits_are_granted_round_a_leader_that_is_cut_one_way_and_while_a_voter_is_replaced(
+def test_permits_are_granted_despite_a_one_way_cut_of_the_leader_and_while_a_voter_is_replaced(
     tmp_path: Path,
 ) -> None:
     async def work(play: Play) -> None:
         fleet, place = play.fleet, play.places[0]
 
         async def granted(at: str) -> None:
-            """A permit for a server, and it back; who leads may change meanwhile."""
+            """Request a permit for a server and return it; the leader may change meanwhile."""
 
             async def once() -> bool:
                 return bool((await play.say(at, "ask", target=place))["done"])
 
             await fleet.until(once, what=f"a permit at {at}")
-            await fleet.until(lambda: returned(at), what=f"told to return at {at}")
-            await play.until(at, lambda told: not permits(told), "it back")
+            await fleet.until(lambda: returned(at), what=f"a request to return at {at}")
+            await play.until(at, lambda view: not permits(view), "its return")
 
         async def leader() -> str:
-            return str(await play.until("d", lambda told: told["leader"], "a leader"))
+            return str(await play.until("d", lambda view: view["leader"], "a leader"))
 
         async def returned(at: str) -> bool:
             return bool((await play.say(at, "return", target=place))["done"]) or not permits(
@@ -273,19 +280,19 @@
 
             await fleet.until(done, what=query)
 
-        for deaf in (False, True):  # it is heard by nobody, and then it hears nobody
+        for deaf in (False, True):  # first nobody hears the leader, then it hears nobody
             lead = await leader()
             others = [name for name in NAMES if name != lead]
             fleet.links.cut(*((others, lead) if deaf else (lead, others)))
-            await play.until("d", lambda told, lead=lead: told["leader"] not in ("", lead), "another leader")
+            await play.until("d", lambda view, lead=lead: view["leader"] not in ("", lead), "another leader")
             await granted("d")
             fleet.links.heal()
-            await play.until(lead, lambda told: told["leader"], "its leader")
+            await play.until(lead, lambda view: view["leader"], "its leader")
         load = asyncio.ensure_future(granted("e"))
         await voters("add=e", ["a", "b", "c", "e"])
         await voters("remove=b", ["a", "c", "e"])
         await load
-        await play.kill("b")  # that was one of three, and is none now
+        await play.kill("b")  # a former voter
         await granted("d")
         await play.start("b")
 
