--- a/beechrock/releases/agreed.py
+++ b/beechrock/releases/agreed.py
@@ -122,7 +122,7 @@
         return True, index
 
     def _proved(self, index: int, name: str, life: int) -> Done:
-        """Mark a node that serves without a permit as proved; it held none, or its process started anew."""
+        """Mark a node that serves as proved; it holds no permit."""
         node = self.nodes.get(name)
         if node is None or node.life != life:
             return False, "the log knows another life"
--- a/beechrock/releases/driver.py
+++ b/beechrock/releases/driver.py
@@ -101,8 +101,8 @@
     def step(self, now: float, seen: Seen) -> list[Command]:
         """Return the commands to propose now."""
         machine = seen.machine
-        live: set[tuple[str, ...]] = set()
-        commands = self._describe(seen) + self._expire(now, machine, live)
+        active: set[tuple[str, ...]] = set()  # keys of the conditions that hold in this step
+        commands = self._describe(seen) + self._expire(now, machine, active)
         self.waits = []
         if seen.budgets_version == machine.budgets_version > 0 and (
             configured_budgets(seen.budgets) != configured_budgets(machine.permits.budgets)
@@ -114,8 +114,8 @@
         if release is None:
             self.baselines, self.refusals = {}, {}
         elif machine.index:
-            commands += self._release(now, seen, release, live)
-        self.first_seen = {key: at for key, at in self.first_seen.items() if key in live}
+            commands += self._release(now, seen, release, active)
+        self.first_seen = {key: at for key, at in self.first_seen.items() if key in active}
         del self.waits[MAX_WAITS:]
         return commands
 
@@ -123,9 +123,9 @@
         """Record the log's refusal of a ``take``, which is retried after PERMIT_RETRY_S."""
         self.refusals[target] = now, reason
 
-    def _seconds_seen(self, now: float, live: set[tuple[str, ...]], *key: str) -> float:
+    def _seconds_seen(self, now: float, active: set[tuple[str, ...]], *key: str) -> float:
         """Return the seconds for which this condition has held without a break."""
-        live.add(key)
+        active.add(key)
         return now - self.first_seen.setdefault(key, now)
 
     def _describe(self, seen: Seen) -> list[Command]:
@@ -142,29 +142,31 @@
             return []
         return [Command("describe", (*fleet, budget_rows(budgets), *([version] if version else [])))]
 
-    def _expire(self, now: float, machine: Agreed, live: set[tuple[str, ...]]) -> list[Command]:
+    def _expire(self, now: float, machine: Agreed, active: set[tuple[str, ...]]) -> list[Command]:
         commands = []
         for name, permit in machine.permits.held.items():
             if name in machine.gone or name in machine.expired:
                 continue
-            if self._seconds_seen(now, live, "permit", name, str(permit.fence)) > permit.for_s:
+            if self._seconds_seen(now, active, "permit", name, str(permit.fence)) > permit.for_s:
                 commands.append(Command("expire", (name, permit.fence)))
         return commands
 
-    def _release(self, now: float, seen: Seen, release: Release, live: set[tuple[str, ...]]) -> list[Command]:
+    def _release(
+        self, now: float, seen: Seen, release: Release, active: set[tuple[str, ...]]
+    ) -> list[Command]:
         name, running = release.plan.name, release.stage is Stage.RUNNING
         late = {
-            target: self._seconds_seen(now, live, "sent", name, target)
+            target: self._seconds_seen(now, active, "sent", name, target)
             for target, step in release.steps.items()
             if step is Step.SENT
         }
         if running:
-            reason = seen.outage or self._too_many_down(now, seen, live) or self._breach(now, seen, release)
+            reason = seen.outage or self._too_many_down(now, seen, active) or self._breach(now, seen, release)
             if reason:
                 return [Command("stop", (name, reason))]
         commands = []
         for todo in next_actions(release, late, True, self.return_s):
-            commands += self._act(now, seen, release, todo, live, late)
+            commands += self._act(now, seen, release, todo, active, late)
         return commands
 
     def _act(
@@ -173,7 +175,7 @@
         seen: Seen,
         release: Release,
         todo: Todo,
-        live: set[tuple[str, ...]],
+        active: set[tuple[str, ...]],
         late: Mapping[str, float],
     ) -> list[Command]:
         machine, name, target = seen.machine, release.plan.name, todo.target
@@ -206,7 +208,7 @@
                     seen,
                     release,
                     release.plan.waves[wave],
-                    self._seconds_seen(now, live, "judge", name, str(wave)),
+                    self._seconds_seen(now, active, "judge", name, str(wave)),
                 )
                 if judged.verdict is not Verdict.WAIT:
                     return [Command("judged", (name, wave, judged.verdict.value, judged.reason))]
@@ -215,7 +217,7 @@
 
     # --- reasons to halt a release
 
-    def _too_many_down(self, now: float, seen: Seen, live: set[tuple[str, ...]]) -> str:
+    def _too_many_down(self, now: float, seen: Seen, active: set[tuple[str, ...]]) -> str:
         """Return the reason if, for ``gone_s``, more nodes without a permit are down than a budget allows."""
         machine = seen.machine
         out = (seen.down | machine.cold()) - machine.permits.held.keys()
@@ -232,7 +234,7 @@
                 if (
                     lost
                     and len(lost) > budget.allowed(len(covered))
-                    and (self._seconds_seen(now, live, "down", budget.name, hall) >= self.gone_s)
+                    and (self._seconds_seen(now, active, "down", budget.name, hall) >= self.gone_s)
                 ):
                     return (
                         f"{len(lost)} down, budget {budget.name} allows {budget.allowed(len(covered))}: "
--- a/beechrock/releases/node.py
+++ b/beechrock/releases/node.py
@@ -15,7 +15,7 @@
   open or a new request, or after ``drain_s``.
 - The node serves again, and reports that, only after it could serve and was connected for ``warm_s`` without
   a break.
-- In doubt the node stays as it is: in service if it serves, drained if it does not.
+- In doubt the node keeps its state: in service if it serves, drained if it does not.
 """
 
 from dataclasses import dataclass, field
@@ -42,7 +42,7 @@
     GO = "go"  # write the marker, and propose to the log to go out under the fence
     DRAIN = "drain"  # take no new work, as the operators' call does
     OUT = "out"  # report that the node is out under the fence; it was drained before
-    CHANGE = "change"  # change to ``version``: exit, or wait for an operator, as ``on_change`` says
+    CHANGE = "change"  # change to ``version``: exit or wait for an operator, by the setting ``on_change``
     SERVE = "serve"  # take work again
     BACK = "back"  # end the permit in the log under the fence
     UNUSED = "unused"  # end the permit in the log without having gone out
@@ -79,7 +79,7 @@
 
 @dataclass(slots=True)
 class Node:
-    """The node's state. ``drained`` starts as the marker on disk says, then follows DRAIN and SERVE."""
+    """The node's state. ``drained``: as the marker on disk at the start, then by DRAIN and SERVE."""
 
     warm_s: float
     drain_s: float
--- a/beechrock/releases/operators.py
+++ b/beechrock/releases/operators.py
@@ -138,17 +138,17 @@
         driver, waits = part.waits()
         nodes = []
         for name in machine.names or part.names:
-            node, (at, _, word) = machine.nodes.get(name), reports.get(name, (now, 0, None))
+            node, (at, _, report) = machine.nodes.get(name), reports.get(name, (now, 0, None))
             nodes.append(
                 {
                     "name": name,
                     "hall": node.hall if node else "",
                     "version": node.version if node else "",
                     "life": node.life if node else 0,
-                    "state": word.state if word else "unknown",
-                    "serving": word.serving if word else "unknown",
-                    "open": word.open if word else None,
-                    "heard_s": round(now - at, 1) if word else None,
+                    "state": report.state if report else "unknown",
+                    "serving": report.serving if report else "unknown",
+                    "open": report.open if report else None,
+                    "heard_s": round(now - at, 1) if report else None,
                     "proved": bool(node and node.proved),
                     "down": name in down,
                     "cold": name in cold,
--- a/beechrock/releases/part.py
+++ b/beechrock/releases/part.py
@@ -53,7 +53,7 @@
         self.name, self.life = self.talk.name, self.talk.life
         self.names = sorted({self.name, *self.talk.peers})
         self.machine, self.heard = Machine(), Heard(settings.gone_s)
-        self.machine.changed = self._changed
+        self.machine.changed = self._on_changed
         self.agree.host(MACHINE, self.machine)
         self.node = Node(settings.warm_s, settings.drain_s, clock(), quiet_s=settings.quiet_s)
         self.watch, self.outage = Watch(settings.quorum_s), 0.0
@@ -134,7 +134,7 @@
             # A process that starts while its node is out is not listed until it has proved that it serves.
             self.node.drained = True
             self.program.serving.fail()
-        self.talk.on(CHANNEL, self._take)
+        self.talk.on(CHANNEL, self._on_message)
         if self.settings.drives:
             self.duties.declare(Duty(DUTY), Driving(self))
 
@@ -151,7 +151,7 @@
             # SERVE is decided only once: without a retry, a disk error just then kept the marker forever.
             if self.marker is not None and self.marker.removal_pending:
                 self.once("unmark", self.marker.finish_removal())
-            self._show()
+            self._log_state()
             self.server_checks.update()
             self.outage = self.watch.look(now, bool(self.agree.leader), self.machine)
             self._drive(now)
@@ -164,24 +164,24 @@
     def close(self) -> None:
         """Do nothing: files are open only while they are written."""
 
-    def _changed(self, index: int, rows: list[dict[str, Any]]) -> None:
+    def _on_changed(self, index: int, rows: list[dict[str, Any]]) -> None:
         for row in rows:
             logs.event(str(row["event"]), **{key: value for key, value in row.items() if key != "event"})
         self.wake.set()
 
-    def _take(self, sender: str, life: int, data: bytes) -> None:
-        word = decode(data)
-        if word is None:
+    def _on_message(self, sender: str, life: int, data: bytes) -> None:
+        report = decode(data)
+        if report is None:
             self.counters.add("releases.dropped")
         else:
-            self.heard.take(self.clock(), sender, life, word)
+            self.heard.take(self.clock(), sender, life, report)
 
     def _report(self, now: float) -> None:
         if now - self.reported_at < REPORT_S:
             return
         self.reported_at = now
         fence, driver = self._fence(), self.driver
-        word = Word(
+        report = Word(
             self.program.serving.state.value,
             self.node.state.value,
             self.settings.version,
@@ -192,8 +192,8 @@
             self.outage,
             self.machine.moved,
         )
-        self.heard.take(now, self.name, self.life, word)
-        messages = [encode(word)]
+        self.heard.take(now, self.name, self.life, report)
+        messages = [encode(report)]
         if servers := self.server_checks.reports():
             self.heard.take(now, self.name, self.life, servers)
             messages.append(encode_servers(servers))
@@ -238,7 +238,7 @@
             taken=module.table.counts.taken,
         )
 
-    def _show(self) -> None:
+    def _log_state(self) -> None:
         if self.node.state.value != self.shown:
             self.shown = self.node.state.value
             logs.event(
--- a/beechrock/releases/told.py
+++ b/beechrock/releases/told.py
@@ -20,7 +20,7 @@
     "gone_s": 3.0,
     "quorum_s": 10.0,
 }
-JUDGEMENT = {"least": 200.0, "most_wait_s": 300.0, "worse": 0.01, "sigmas": 4.0}
+JUDGEMENT = {"least": 200.0, "most_wait_s": 300.0, "worse": 0.01, "sigmas": 4.0}  # defaults of the rules
 KEYS = {*TIMES, *JUDGEMENT, "restarts", "version", "on_change", "drives", "budgets", "budgets_version"}
 BUDGET_KEYS = {"name", "most", "part", "kind", "hall", "service", "hardware", "each_hall"}
 MAX_BUDGETS, MAX_NAME_BYTES = 64, 128
