--- a/beechrock/replica/__init__.py
+++ b/beechrock/replica/__init__.py
@@ -1,5 +1,7 @@
-"""Copies of the state that matters: merges, repair, catch-up, leases of budgets, what is learned.
+"""Replicated state of a fleet: records that merge, repair, catch-up, budget leases, and advice about
+servers.
 
-Decides in all modules but ``disk`` and ``part``, purely; those are thin on store/, talk/ and agree/. Owns the
-records of its store and the machine ``budgets``. May import: errors, store, talk, agree. Nothing loads here.
+The modules marked "Pure." make the decisions; ``part``, ``disk``, ``budgets`` and ``advice`` connect them to
+store/, talk/ and agree/. Owns the records of its store and the machine ``budgets`` of the agreed log. May
+import: errors, store, talk, agree. Importing the package alone loads no module.
 """
--- a/beechrock/replica/advice.py
+++ b/beechrock/replica/advice.py
@@ -1,5 +1,6 @@
-"""The thin side of what is learned of servers below: watched at the node's SCGI side, told by the kind
-``learned``, and taken from others by their start, presence and age. ``[replica] advice = true``."""
+"""Exchanges advice about upstream servers: observes the node's SCGI requests, publishes the results as a
+record of the kind ``learned``, and weighs the records of other nodes. Enabled by ``[replica] advice =
+true``."""
 
 import asyncio
 from collections.abc import Callable
@@ -16,9 +17,10 @@
 if TYPE_CHECKING:
     from beechrock.replica.part import Replica
 
-BUSY = 503  # says that it is full, not that it is broken
-MOST_EJECTIONS = 4096
-LATE = 0.5  # of a request's time, after which its end counts against the server
+BUSY = 503  # The server is overloaded, not broken: counts neither as success nor as failure.
+MOST_EJECTIONS = 4096  # Maximum number of servers whose ejection by operators is remembered.
+# Share of a request's time limit; a request that ends without a reply after it counts as a failed one.
+LATE = 0.5
 
 
 class Advising:
@@ -26,20 +28,21 @@
         self.replica, self.work, self.clock = replica, work, replica.clock
         self.health, self.pace, self.teller, self.givers = Health(), Pace(), Teller(), Givers()
         self.slowness = 1.0
-        self.turned = False
-        self.ejections: set[str] | None = None  # that were ever told of here; None: not read yet
+        self.turned = False  # Whether a server's state changed by own observations since the last report.
+        # Keys of all ``ejection`` records seen by this process; None until the table has been read.
+        self.ejections: set[str] | None = None
         replica.on("ejection", self._ejection)
         work.watch = self._watch
         work.servers.cost = lambda address, load: self.health.cost(self.clock(), address, load)
 
     def _watch(self, address: Address, due_s: float) -> Callable[[bytes | None], None]:
-        """A request goes there; what is given back is called with the reply, or None for no end of its own.
-        ``due_s`` 0: it is connected to."""
+        """Start timing a request to ``address``. Return the function to call with its reply, or with None if
+        there was no reply. ``due_s`` is the request's time limit in seconds, 0 for a connection attempt."""
         began = self.clock()
 
         def over(reply: bytes | None) -> None:
             if "{}:{}".format(*address) not in self.health.listed:
-                return  # another node, or a mirror
+                return  # The address is another node's or a mirror's, not one of a listed server.
             now = self.clock()
             if reply is None:
                 if now - began >= LATE * due_s:
@@ -85,8 +88,9 @@
             self.ejections.add(server)
 
     def _by_hand(self) -> frozenset[Address]:
-        """Ejected by operators; a value that begins with ``-`` says that it is well (kinds.py)."""
-        if self.ejections is None:  # what the disk held
+        """Return the servers that operators ejected. A value that begins with ``-`` marks a server as healthy
+        (kinds.py)."""
+        if self.ejections is None:  # The first call reads the records that were loaded from the disk.
             held = self.replica.core.table.of_kind("ejection")
             self.ejections = {record.key for record in held}
         listed, acting = self.health.listed, self.replica.core.table.acting
--- a/beechrock/replica/budgets.py
+++ b/beechrock/replica/budgets.py
@@ -1,4 +1,5 @@
-"""The thin side of leases: through the agreed log, and what the module is told of its parts."""
+"""Connects budget leases to the node: proposes commands to the agreed log, and gives the decision module the
+amounts that this node may spend."""
 
 import asyncio
 import secrets
@@ -14,10 +15,10 @@
 if TYPE_CHECKING:
     from beechrock.replica.part import Replica
 
-WITHIN = 0.6  # of a lease, for a proposal; a later answer is of little use
-TICK = 0.05  # of a lease, between two looks: a fifth of what counts as a pause
-CLOSE_S = 0.5  # between two tries to close one
-TELL_S = 1.0  # between two words on what was spent: people read it, no limit rests on it
+WITHIN = 0.6  # Timeout of a proposal, as a share of a lease's length; a later answer is of little use.
+TICK = 0.05  # Interval of the main loop, as a share of a lease's length: a fifth of holder.PAUSE.
+CLOSE_S = 0.5  # Seconds between two attempts to close the same lease.
+TELL_S = 1.0  # Seconds between two reports of spending. They are for people; no limit depends on them.
 
 
 class Leasing:
@@ -39,12 +40,13 @@
         self.far: set[log.PotKey] = set()
         self.could: bool | None = None
         self.shown: dict[Any, tuple[int, float]] = {}
-        self.untold: dict[tuple[str, int], tuple[float, float]] = {}  # team and period: spent, given back
+        # By team and period: amounts spent and given back that are not in the records yet.
+        self.untold: dict[tuple[str, int], tuple[float, float]] = {}
         self.told_s = float("-inf")
         module = replica.context.module
         self.spending = Spending(self.holder, replica.clock, self._may, self._number)
         self.spending.settings(module.clock(), module.settings)
-        self.spending.fresh = True  # the module began with a fixed part
+        self.spending.fresh = True  # The module started with a fixed share, which has to be replaced.
         module.ports.budget_parts = self.spending
         agree.host(MACHINE, self.machine)
 
@@ -52,7 +54,8 @@
         return not self.stopped and self.replica.core.catchup.may_spend
 
     def _number(self) -> int:
-        """Of the agreed inventory, where this node's is that; 0: its age is not known."""
+        """Return the generation number of the agreed inventory if this node runs that inventory, else 0 for
+        an unknown generation."""
         generations = getattr(self.replica.context.parts.get("duties"), "generations", None)
         if generations is None:
             return 0
@@ -60,19 +63,19 @@
         return int(generations.agreed.number) if same else 0
 
     def stop(self) -> None:
-        """The copies are broken: nothing more is spent from a lease."""
+        """Stop spending from leases, because the replica is broken."""
         self.stopped = self.spending.fresh = True
         self.replica.context.module.wake()
 
     async def _read(self) -> None:
-        """Seen: before the log was read again, a node whose clock was ahead knew of nobody elsewhere, and
-        opened its period."""
+        """Wait until the agreed log has been read. Before that, a node whose clock is ahead would see no
+        other holders in the log, and would open the period of its own clock."""
         while not self.stopped:
             try:
                 await self.agree.settled(max(1.0, self.lease_s))
                 self.read = True
                 return
-            except OperatorError:  # without a majority nothing would be granted either
+            except OperatorError:  # Without a majority no lease would be granted either: retry.
                 await asyncio.sleep(TICK * self.lease_s)
 
     async def run(self) -> None:
@@ -85,7 +88,7 @@
                 self.asking = True
                 self.replica.counters.spawn(self._ask(now, items), "replica.ask")
             for one in self.holder.surplus(now):
-                self.spending.fresh = True  # the cap is lower before it is proposed
+                self.spending.fresh = True  # The cap must be lowered before the give-back is proposed.
                 self._look()
                 self.replica.counters.spawn(self._back(one), "replica.back")
             self._lead(now)
@@ -102,12 +105,13 @@
         return [one for one in items if one[0] not in far]
 
     def _look(self) -> None:
-        """What was spent goes into the copies; the module hears of new parts before its next batch."""
+        """Record what was spent, and wake the module if a lease ended or an amount may have changed, so that
+        it gets the new amounts before its next batch."""
         module = self.replica.context.module
         now = module.clock()
         for team, period, *counts in self.spending.note(now, module.node):
             self.untold[team, period] = counts[0], counts[1]
-        # Seen: told at each look, with a sync and a word to each peer, it was most of what the table cost.
+        # Each report costs a sync and a message to each peer; one per call was most of the replica's cost.
         if self.leaving or self.replica.clock() - self.told_s >= TELL_S:
             self._tell()
         could, self.could = self.could, self._may()
@@ -135,7 +139,7 @@
         finally:
             self.asking = False
         if isinstance(told, list):
-            self.holder.look(self.replica.clock())  # a pause on the way counts before the answer does
+            self.holder.look(self.replica.clock())  # Detect a pause before the answer extends the lease.
             self.holder.answered(sent_s, told)
             self.spending.fresh = True
             self.replica.context.module.wake()
@@ -185,7 +189,7 @@
         await self._propose(command)
 
     async def leave(self) -> None:
-        """What is not spent goes back; what still runs was paid for when it was taken in."""
+        """Give back all unspent amounts. Requests that still run were charged when they were accepted."""
         self.leaving = self.holder.leaving = True
         self._look()
         backs = self.holder.surplus(self.replica.clock())
--- a/beechrock/replica/catchup.py
+++ b/beechrock/replica/catchup.py
@@ -1,16 +1,20 @@
-"""What one that returns lacks, how it gets it, and what it may do meanwhile. Pure.
-
-States: AWAY (nobody has judged this folder yet), TAIL (a giver tells what it knows this one has not
-acknowledged), SNAPSHOT (empty, older or another's memory: ranges of key hashes from ``cursor`` on, which is
-kept on disk), REPAIR (digests against the others), WHOLE.
-Events: ``judged`` (a peer's word on this folder), ``outdated``, ``piece``, ``wants`` (time), ``repaired`` (a
-round with a peer is over, and all that it had is here).
-Transitions: AWAY to TAIL or SNAPSHOT or REPAIR; TAIL and SNAPSHOT to REPAIR; REPAIR to WHOLE; any to SNAPSHOT
-when a peer finds the memory older; WHOLE stays so until the process ends or that.
-
-Invariants: WHOLE only after repair against so many that every majority which this node was ever part of is
-met, or, with a memory that no one found wanting, against a majority with itself; ``cursor`` never goes back
-within one copy; spends nothing in AWAY and SNAPSHOT; counts for no majority but in WHOLE.
+"""State machine of a node that catches up after a start: what it lacks, how it gets it, and what it may do
+meanwhile. Pure.
+
+States: AWAY (no peer has judged this node's store yet), TAIL (a peer sends the changes that this node has
+not acknowledged), SNAPSHOT (the store is empty, older than known or another one's: a full copy is taken by
+ranges of key hashes, from ``cursor`` on, which is kept on disk), REPAIR (digests are compared with the
+others'), WHOLE.
+Events: ``judged`` (a peer's verdict on this node's store), ``outdated``, ``piece``, ``wants`` (time),
+``repaired`` (a repair round with a peer has ended, and all that the peer had is here).
+Transitions: AWAY to TAIL, SNAPSHOT or REPAIR; TAIL to REPAIR or SNAPSHOT; SNAPSHOT to REPAIR; REPAIR to
+WHOLE; any state to SNAPSHOT when a peer finds the store older or outdated. Otherwise WHOLE lasts until the
+process ends.
+
+Invariants: after a loss of memory, a node becomes WHOLE only after repair against so many peers that they
+meet every majority which it was ever part of; otherwise after repair against enough peers to form a majority
+with itself. ``cursor`` never decreases within one copy. A node spends nothing in AWAY and SNAPSHOT, and
+counts for a majority only in WHOLE.
 """
 
 from dataclasses import dataclass, field
@@ -20,8 +24,8 @@
 from beechrock.replica.sums import RANGES
 from beechrock.store.witness import Verdict
 
-MANY = 4096  # a giver that holds so many more is copied from before digests are compared
-SILENT_S = 3.0
+MANY = 4096  # If a peer holds this many records more, a full copy is taken before digests are compared.
+SILENT_S = 3.0  # Seconds without a piece after which another peer is asked.
 
 
 class Stage(Enum):
@@ -34,15 +38,15 @@
 
 @dataclass(slots=True)
 class Catchup:
-    nodes: int  # of the fleet, this one included
-    cursor: int = RANGES  # below RANGES: a copy is under way, from here on; it was kept on disk
-    forgot: bool = False  # this memory was empty or found older: it has to be met by more
+    nodes: int  # Number of nodes in the fleet, this one included.
+    cursor: int = RANGES  # First range still to be copied; RANGES if no copy is in progress. Kept on disk.
+    forgot: bool = False  # Whether the store was empty or found older: repair then needs more peers.
     stage: Stage = Stage.AWAY
-    copies: int = 0  # whole ones that were begun in this life
-    giver: str = ""
-    asked_s: float = 0.0
-    repaired_by: set[str] = field(default_factory=set)
-    history: list[Stage] = field(default_factory=lambda: [Stage.AWAY])
+    copies: int = 0  # Number of full copies started in this life.
+    giver: str = ""  # Peer that is asked for the next piece of the copy.
+    asked_s: float = 0.0  # Time of the last piece, or of the choice of the giver, in monotonic seconds.
+    repaired_by: set[str] = field(default_factory=set)  # Peers whose repair round has ended.
+    history: list[Stage] = field(default_factory=lambda: [Stage.AWAY])  # The last 32 stages, in order.
 
     def __post_init__(self) -> None:
         self.copies = int(self.forgot)
@@ -53,10 +57,10 @@
 
     @property
     def need(self) -> int:
-        """Others to be repaired against."""
+        """Number of other nodes to be repaired against before this node is whole."""
         return self.nodes - self.majority + 1 if self.forgot and self.nodes > 1 else self.majority - 1
 
-    # --- what it may do
+    # --- permissions of the current stage
 
     @property
     def may_spend(self) -> bool:
@@ -64,18 +68,18 @@
 
     @property
     def counts(self) -> bool:
-        """For majorities, as a giver, and as one whose advice is heard."""
+        """Whether this node's acknowledgements count for a majority."""
         return self.stage is Stage.WHOLE
 
     # --- events
 
     def judged(self, now: float, by: str, verdict: Verdict, tail: bool, more: int) -> bool:
-        """``more``: records that the peer holds beyond ours. Whether all causal records are to be set
-        aside."""
+        """Process the verdict of the peer ``by`` on this node's store. ``more``: how many records the peer
+        holds beyond ours. Return whether all causal records have to be set aside."""
         if verdict in (Verdict.OLDER, Verdict.OTHER) and not self.forgot:
             return self.outdated(now, by)
         if self.cursor < RANGES and self.stage is not Stage.SNAPSHOT:
-            self._turn(Stage.SNAPSHOT)  # a copy that was cut off goes on where it was
+            self._turn(Stage.SNAPSHOT)  # An interrupted copy continues at its cursor.
             self.giver, self.asked_s = by, now
         elif self.stage in (Stage.AWAY, Stage.TAIL) and more > MANY:
             self._copy(now, by)
@@ -84,8 +88,8 @@
         return False
 
     def outdated(self, now: float, by: str) -> bool:
-        """A peer dropped tombstones that this node never heard of: what it holds may be deleted. Whether all
-        causal records are to be set aside."""
+        """Start a full copy, because a peer dropped tombstones that this node never received: records held
+        here may have been deleted. Return whether all causal records have to be set aside."""
         if self.stage is Stage.SNAPSHOT:
             return False
         self.forgot, self.copies = True, self.copies + 1
@@ -98,7 +102,8 @@
         self._turn(Stage.SNAPSHOT)
 
     def piece(self, now: float, by: str, start: int, after: int) -> bool:
-        """Whether it continues the copy; another's, an older or a doubled one does not."""
+        """Advance the cursor over a piece of the copy. Return whether it continues the copy; an old or
+        repeated piece does not."""
         if self.stage is not Stage.SNAPSHOT or start != self.cursor or not start < after <= RANGES:
             return False
         self.cursor, self.asked_s, self.giver = after, now, by
@@ -107,7 +112,8 @@
         return True
 
     def wants(self, now: float, others: list[str]) -> str:
-        """The giver to ask for the next piece; another where the one asked is silent. Empty: none."""
+        """Return the peer to ask for the next piece, or an empty string for none. A peer that has been silent
+        for SILENT_S is replaced by the next one."""
         if self.stage is not Stage.SNAPSHOT or not others:
             return ""
         if self.giver not in others or now - self.asked_s > SILENT_S:
@@ -116,7 +122,7 @@
         return self.giver
 
     def repaired(self, by: str) -> bool:
-        """Whether this node is whole from here on."""
+        """Record that the repair round with ``by`` has ended. Return whether this node has become whole."""
         if self.stage not in (Stage.REPAIR, Stage.TAIL):
             return False
         self.repaired_by.add(by)
@@ -128,7 +134,7 @@
         return False
 
     def alone(self) -> None:
-        """A fleet of one has nobody to ask."""
+        """Become whole at once in a fleet of one node, where there is no peer to ask."""
         if self.nodes == 1 and self.stage is Stage.AWAY:
             self._turn(Stage.WHOLE)
 
--- a/beechrock/replica/core.py
+++ b/beechrock/replica/core.py
@@ -1,13 +1,13 @@
-"""A node's copies as one state machine: what it hears and writes, and what it then says. Pure.
+"""State machine of a node's replica: processes messages and own changes, and returns messages to send. Pure.
 
-Events: ``tick`` (time), ``take`` (a message), own changes. Actions: Say. What promises that something lasts
-(acknowledgements, answers, own batches) is said after the sync of all that was changed before it: ``after``.
+Events: ``tick`` (time), ``take`` (a message), own changes. Actions: Say. A message that promises durability
+(an acknowledgement, an answer, an own batch) is sent only after the sync of all changes up to ``Say.after``.
+A peer accepts such a message only with the position of the sender's disk (Held), in an opening of the store
+that it knows from a Hello. So a node that restarts without the promised records is found to be older.
 
-What rests on a disk is taken only with the word on how far that disk is, of an opening that was heard of: so
-who comes back without it is told from who never promised it.
-
-Invariants: a name counts as held by a peer only by its acknowledgement to this start; who is not WHOLE counts
-for no majority; a tombstone leaves the digests only when each peer confirmed a later state.
+Invariants: a peer counts as holding a record only by its acknowledgement to this start of the node; a node
+that is not WHOLE counts for no majority; a tombstone leaves the digests only after each peer has confirmed
+it, or when there are more than the bound (Table.overflow).
 """
 
 from collections.abc import Callable
@@ -29,9 +29,9 @@
 from beechrock.store.codec import Mark
 from beechrock.store.witness import Verdict
 
-HELLO_S = 1.0
-HEARD_S = 3.5  # one that was heard within it is there
-MOST_ASIDE = 10_000
+HELLO_S = 1.0  # Seconds between two Hellos to each peer.
+HEARD_S = 3.5  # Seconds after its last message during which a peer counts as present.
+MOST_ASIDE = 10_000  # Maximum number of records kept aside for operators.
 OUTDATED = "outdated"
 VERDICTS = {verdict.value for verdict in Verdict}
 
@@ -41,17 +41,17 @@
     name: str
     writer: str
     others: tuple[str, ...]
-    base: int  # of batch numbers: random, so that no late word fits
-    mark: Callable[[], tuple[bytes, bytes]]  # of the store as told to others, and its opening's digest
-    judge: Callable[[str, bytes, bool], Verdict]  # of another's mark; remembers it; True: believe it
-    promised: Callable[[str, Held], None] = lambda peer, held: None  # of another's disk; remembered
+    base: int  # Start of the batch numbers: random, so that no late acknowledgement of an earlier life fits.
+    mark: Callable[[], tuple[bytes, bytes]]  # Returns the store's mark, and the digest of its opening.
+    judge: Callable[[str, bytes, bool], Verdict]  # Judges a peer's mark, as Disk.judge does.
+    promised: Callable[[str, Held], None] = lambda peer, held: None  # Remembers the position of its disk.
     kinds: Kinds = field(default_factory=Kinds)
-    repair_s: float = 5.0
-    give_bytes_per_s: float = 4e6
+    repair_s: float = 5.0  # Seconds between two repair rounds.
+    give_bytes_per_s: float = 4e6  # Rate limit for full copies given to peers.
     most_records: int = 1 << 20
-    forgot: bool = False  # the store was empty at its opening
-    cursor: int = RANGES
-    without: frozenset[str] = frozenset()  # guards taken out, by the laboratory alone
+    forgot: bool = False  # Whether the store was empty, or found older, and isn't repaired yet.
+    cursor: int = RANGES  # First range still to be copied; RANGES if no copy is in progress.
+    without: frozenset[str] = frozenset()  # Names of guards to disable; for simulations and tests only.
 
     table: Table = field(init=False)
     spread: Spread = field(init=False)
@@ -60,18 +60,18 @@
     round: Round | None = None
     rounds: int = 0
     next_round_s: float = 0.0
-    turn: int = 0
-    hello_s: float = float("-inf")
-    renewed: bool = False  # whole again after it forgot, and has not said so
-    pulled_s: float = float("-inf")
-    writes: list[tuple[bytes, bytes]] = field(default_factory=list)
+    turn: int = 0  # Number of peers chosen for repair so far, for choosing them in turn.
+    hello_s: float = float("-inf")  # Time of the last Hello, in monotonic seconds.
+    renewed: bool = False  # Whether the node is whole again after a loss of memory and no Hello has said so.
+    pulled_s: float = float("-inf")  # Time of the last Pull, in monotonic seconds.
+    writes: list[tuple[bytes, bytes]] = field(default_factory=list)  # Names and packed states for the disk.
     waiters: Waiters = field(init=False)
     giving: Giving = field(init=False)
-    aside: dict[bytes, Causal] = field(default_factory=dict)  # found in a memory that was set aside
-    refused: int = 0
-    reset: bool = False  # the disk is to note that causal records were set aside
-    noted: tuple[int, bool] = (RANGES, False)  # cursor and whether it forgot, as the disk has it
-    changed: Callable[[bytes], None] = lambda name: None
+    aside: dict[bytes, Causal] = field(default_factory=dict)  # Records set aside from an outdated store.
+    refused: int = 0  # Number of entries and messages refused.
+    reset: bool = False  # Whether the disk still has to record that causal records were set aside.
+    noted: tuple[int, bool] = (RANGES, False)  # The cursor, and whether the node forgot, as last recorded.
+    changed: Callable[[bytes], None] = lambda name: None  # Called with the name after each change.
 
     def __post_init__(self) -> None:
         self.table = Table(self.writer, self.kinds, self.most_records)
@@ -89,22 +89,23 @@
         self.rounds, self.noted = self.base, (self.cursor, self.forgot)
 
     def hold(self, table: Table) -> None:
-        """What the disk held; before anything else."""
+        """Use the table that was loaded from the disk. Must be called before anything else."""
         self.table = table
 
     # --- own changes
 
     def write(self, kind: str, key: str, value: bytes | None) -> bytes:
-        """ReplicaError: refused."""
+        """Write a value, or delete with None; return the record's name. Raises ReplicaError if refused."""
         return self.own_change(self.table.write(kind, key, value))
 
     def own_change(self, name: bytes) -> bytes:
+        """Queue a record that was changed here for all peers; return its name."""
         self.spread.changed(name, self.table.seq)
         self.aside.pop(name, None)
         return name
 
     def when_kept(self, name: bytes, kept: Callable[[], None]) -> Waiter:
-        """Called once a majority's disks, this one's too, hold what stands there now. ReplicaFullError."""
+        """Call ``kept`` once a majority's disks, this one included, hold it. Raises ReplicaFullError."""
         found = self.table.records.get(name)
         return self.waiters.wait(name, found.seq if found else 0, kept)
 
@@ -120,13 +121,13 @@
         return None if settled is None else (pack(settled), 0)
 
     def take_writes(self) -> list[tuple[bytes, bytes]]:
-        """What the disk is to hold next."""
+        """Return and clear the changes that the disk has to store next."""
         writes, self.writes = self.writes, []
         return writes
 
     @property
     def _after(self) -> int:
-        """All that stands here now has to be on disk before it is said."""
+        """Number of changes to sync before a message that depends on the present state is sent."""
         return self.table.seq
 
     # --- time
@@ -136,7 +137,7 @@
 
     @property
     def busy(self) -> bool:
-        """Whether the next tick may have more to say than that this node is there."""
+        """Whether the next tick may have to send more than Hellos."""
         return (
             self.round is not None
             or self.catchup.stage is not Stage.WHOLE
@@ -150,8 +151,8 @@
     def tick(self, now: float) -> list[Say]:
         self.catchup.alone()
         said: list[Say] = []
-        # Seen in plays: one that was emptied, whole again and killed before its next Hello, up to a second
-        # after, came back to peers that knew its former memory alone, and by their word set its own aside.
+        # After a loss, a node that is whole again sends its Hello at once. If it were killed before a regular
+        # one, its peers would know only its former store, and would make it set its new records aside.
         if self.renewed or now - self.hello_s >= HELLO_S:
             self.hello_s, self.renewed = now, False
             hello = self._own_hello()
@@ -193,7 +194,8 @@
         return [Say(self.round.peer, ask, self._after)]
 
     def _whom(self, now: float) -> str:
-        """Who is behind first, then whom this node has not been repaired against, then in turn."""
+        """Return the peer for the next repair round. While this node is not whole, peers that it has not been
+        repaired against come first; among these, peers that are behind; then each in turn."""
         there = self.present(now)
         if self.catchup.stage is not Stage.WHOLE:
             there = [o for o in there if o not in self.catchup.repaired_by] or there
@@ -226,7 +228,7 @@
             self.table.settle(min(heard.upto for heard in self.heard.values()))
 
     def _forget_aside(self) -> None:
-        """What was set aside and is known in the copy that was taken is no loss."""
+        """Drop the records set aside that the present records already cover: they are not lost."""
         for name, said in list(self.aside.items()):
             state = self.table.state(name)
             if isinstance(state, Causal) and state.merge(said).values == state.values:
@@ -235,16 +237,16 @@
     # --- messages
 
     def take(self, now: float, sender: str, message: Message, held: Held | None = None) -> list[Say]:
-        """``held``: of the sender's disk; None from one of an earlier version."""
+        """Process a message; return the replies. ``held``: position of its disk, None in format 1."""
         heard = self.heard.get(sender)
         if heard is None:
             return []
         heard.at_s = now
         if held is not None and not isinstance(message, Hello | Welcome | Pull):
-            # Seen: a disk lied, and its last words before the kill had come without its mark, which went
-            # round once a second. They were acknowledged, and nobody could tell that it came back older.
+            # If only the Hello each second had the position, a disk could lose what its node had promised
+            # since the last one, and no peer could tell that the node came back older.
             if held.digest != heard.opening:
-                return []  # its Hello was lost: comes again, as what is said here does
+                return []  # The Hello of this opening was lost. Both it and this message will be sent again.
             self.promised(sender, held)
         match message:
             case Hello():
@@ -273,7 +275,7 @@
     def _hello(self, sender: str, heard: Heard, told: Hello) -> list[Say]:
         heard.stage, heard.count, heard.root = told.stage, told.count, told.root
         whole = told.stage == Stage.WHOLE.value
-        # One that knows that its memory was found wanting, and took a whole copy since, is believed anew.
+        # A peer that is whole after a full copy in this life is accepted, though its mark is judged as older.
         verdict = self.judge(sender, told.mark, whole and told.again > 0)
         if "witness" in self.without:
             verdict = Verdict.SAME
@@ -284,7 +286,7 @@
         heard.verdict = verdict.value
         opening = Mark.from_bytes(told.mark).digest
         new, heard.opening = opening != heard.opening, opening
-        # Once it has set its records aside, what it says is of the copy that it takes.
+        # A higher count of copies means that the peer has set its outdated records aside.
         heard.outdated = heard.outdated and told.again <= heard.again
         heard.again = told.again
         tail = heard.upto >= 0 and not self.spread.peers[sender].behind
@@ -295,14 +297,14 @@
             len(self.table.records),
             self.catchup.stage.value,
         )
-        # One that began anew knows of no opening of ours, and takes nothing until it does.
+        # A restarted peer doesn't know this store's opening and accepts no other message before a Hello.
         return [*([Say(sender, self._own_hello(), 0)] if new else []), Say(sender, welcome, 0)]
 
     def _welcome(self, now: float, sender: str, heard: Heard, told: Welcome) -> None:
         heard.stage, heard.count = told.stage, told.count
         _, digest = self.mark()
         if told.digest != digest:
-            return  # about an earlier opening
+            return  # The verdict is about an earlier opening of this store.
         more = told.count - len(self.table.records)
         if told.verdict == OUTDATED:
             if self.catchup.outdated(now, sender):
@@ -332,7 +334,7 @@
             except BrokenInvariantError:
                 raise
             except ReplicaError:
-                self.refused += 1  # of a newer version, or damaged: counted, never guessed
+                self.refused += 1  # A record of a newer version, or damaged: not interpreted.
                 continue
             names.add(name)
             if merged.theirs and (found := self._entry(name)) is not None:
@@ -379,13 +381,14 @@
                 self.spread.owe(sender, name, found[1])
         self._round_over(now)
 
-    # --- for people
+    # --- for operators
 
     def differs(self) -> list[bytes]:
+        """Return the names of records with several values, or with a state that was set aside."""
         return sorted(self.table.differing | self.aside.keys())
 
     def resolve(self, kind: str, key: str, value: bytes | None) -> bytes:
-        """A write that has seen all that stands there."""
+        """Replace all values of a record and its state set aside; None deletes. Return the record's name."""
         name = ident(kind, key)
         if (
             value is None
--- a/beechrock/replica/disk.py
+++ b/beechrock/replica/disk.py
@@ -1,4 +1,4 @@
-"""The thin store round a node's copies: log, snapshot, and what is remembered of the others' disks."""
+"""Stores a node's records on disk: log, snapshot, and the marks of the other nodes' stores."""
 
 from dataclasses import dataclass, field
 from typing import Any
@@ -14,7 +14,8 @@
 from beechrock.store.witness import MAX_PEERS, SAVE_EACH_RECORDS, Verdict, Witness, advance_mark
 
 PREFIX = "replica"
-SNAPSHOT_EACH = 16 << 20  # bytes of log after which a snapshot is made; at least half of the last one
+# Bytes of log after which a snapshot is made; the log must also exceed half of the last snapshot.
+SNAPSHOT_EACH = 16 << 20
 
 
 @dataclass(slots=True)
@@ -25,18 +26,20 @@
     store: Store = field(init=False)
     witness: Witness = field(init=False)
     loaded: journal.Loaded = field(init=False)
-    pending: list[bytes] = field(default_factory=list)
-    heard: bool = False  # of others' disks, and not saved yet
+    pending: list[bytes] = field(default_factory=list)  # Encoded entries that are not in the store yet.
+    heard: bool = False  # Whether marks of other nodes' stores have to be saved.
 
     def __post_init__(self) -> None:
-        """StoreError, ReplicaRecordError, OSError."""
+        """Open the store and load its contents. Raises StoreError, ReplicaRecordError or OSError."""
         self.store = Store.open(self.files, PREFIX, StoreLimits(max_bytes=self.most_mb << 20))
         self.witness = Witness(self.files, f"{PREFIX}.witness")
         blank = self.store.recovered.condition is Condition.NEW or (
             self.store.last < self.store.first and self.store.snapshot() is None
         )
         self.loaded = journal.Loaded(forgot=blank)
-        if blank:  # before all else. Seen: killed before its first copy, it came back as one that knew
+        # This has to be the first entry: a node that was killed before its first copy ended would otherwise
+        # restart as one that has lost nothing.
+        if blank:
             self.pending.append(journal.blank())
         if (found := self.store.snapshot()) is not None:
             self.loaded.snapshot(found[1])
@@ -46,7 +49,7 @@
             index += 1
 
     def core(self, name: str, writer: str, others: tuple[str, ...], base: int, **more: Any) -> Core:
-        """The copies as they stood."""
+        """Return a core with the records that were loaded."""
         made = Core(
             name,
             writer,
@@ -67,7 +70,9 @@
         return found.to_bytes(), found.digest
 
     def judge(self, peer: str, told: bytes, believe: bool) -> Verdict:
-        """StoreDamagedError for what is no mark."""
+        """Judge a peer's mark by the one that is remembered, and remember it if it is newer. ``believe``:
+        accept an older mark too, or one of another store. Raises StoreDamagedError for bytes that are no
+        mark."""
         mark = Mark.from_bytes(told)
         verdict = self.witness.judge(peer, mark)
         if believe and verdict in (Verdict.OLDER, Verdict.OTHER):
@@ -79,12 +84,14 @@
         return verdict
 
     def promised(self, peer: str, held: Held) -> None:
-        """Its word rests on so many records: if its disk loses one of them, it is older than that."""
+        """Remember how many records the peer had synced when it sent a promise. If its disk loses one of
+        them, its next mark is judged as older."""
         if (mark := advance_mark(self.witness.known.get(peer), held.digest, held.synced)) is not None:
             self._know(peer, mark, False)
 
     def _know(self, peer: str, mark: Mark, save: bool) -> None:
-        self.witness.known = {**self.witness.known, peer: mark}  # a new one: the thread may be writing it
+        # A new dictionary, as the disk's thread may be writing the old one.
+        self.witness.known = {**self.witness.known, peer: mark}
         late = mark.synced >= self.witness.saved.get(peer, 0) + SAVE_EACH_RECORDS
         self.heard = self.heard or late or save
 
@@ -92,34 +99,37 @@
         return Held(self.store.opening_mark.digest, self.store.progress.synced_seq)
 
     def append(self, core: Core) -> bool:
-        """Note what changed since; whether there is anything to write."""
+        """Queue the entries for all changes since the last call. Return whether there is anything to write or
+        sync."""
         self.pending += journal.entries(core)
-        # After a failed sync nothing is pending, and what was written is not proved.
+        # After a failed sync nothing may be pending, but the written entries still have to be synced.
         return bool(self.pending) or self.heard or self.store.progress.synced_seq < self.store.progress.seq
 
     def sync(self) -> None:
-        """Write and sync what was noted; in a thread, if wanted. StoreFullError: a snapshot makes room.
-        StoreFailedError: nothing may be said that rests on it; the next call tries again."""
+        """Write and sync the pending entries; may run in a thread. Raises StoreFullError, for which a
+        snapshot makes room, or StoreFailedError, after which no message that depends on the entries may be
+        sent; the next call tries again."""
         self.store.rewrite()
         while self.pending:
             self.store.append(self.pending[0])
             del self.pending[0]
         self.store.sync()
-        if self.heard:  # here and not when it is heard: a disk that stalls must not hold up the service
+        if self.heard:  # Saved here and not on receipt: a disk that stalls must not block the service.
             self.heard = False
             try:
                 self.witness.save()
             except OSError:
-                self.heard = True  # a full disk: it is tried again with the next change
+                self.heard = True  # The disk may be full: the next sync tries again.
 
     @property
     def long(self) -> bool:
-        """A snapshot is due in place of the log."""
+        """Whether the log is so long that a snapshot should replace it."""
         return self.store.segments.held_bytes > max(
             self.snapshot_each, self.store.snapshot_file.held_bytes // 2
         )
 
     def save(self, index: int, parts: list[bytes]) -> None:
-        """A snapshot that was begun when the log ended there; not beside ``sync``."""
+        """Write a snapshot that replaces the log up to ``index``. Must not run at the same time as
+        ``sync``."""
         self.store.rewrite()
         self.store.save_snapshot(index, b"".join(parts))
--- a/beechrock/replica/errors.py
+++ b/beechrock/replica/errors.py
@@ -1,22 +1,22 @@
-"""What copies tell an operator."""
+"""Errors of the replica, as shown to operators."""
 
 from beechrock.errors import OperatorError
 
 
 class ReplicaError(OperatorError):
-    """The root of the errors of ``replica``."""
+    """Base class of the errors of ``replica``."""
 
     event = "replica.error"
 
 
 class ReplicaFullError(ReplicaError):
-    """A bound of the copies is reached; nothing was written."""
+    """A bound of the replica is reached; nothing was written."""
 
     event = "replica.full"
 
 
 class ReplicaRecordError(ReplicaError):
-    """Bytes of a record, message or snapshot that cannot be read: damaged, or of a newer version."""
+    """A record, message or snapshot cannot be read: it is damaged, or was written by a newer version."""
 
     event = "replica.record"
 
@@ -29,12 +29,12 @@
 
 
 class NotKeptError(ReplicaError):
-    """A change that no majority has acknowledged in time; it stands here, and still spreads."""
+    """No majority acknowledged a change in time; this node has it, and still sends it to the others."""
 
     event = "replica.not_kept"
 
 
 class BrokenInvariantError(ReplicaError):
-    """What can never be was seen: this node's copies take no part any more; it goes on serving."""
+    """An invariant of the replica is violated: this node's replica has stopped; the node goes on serving."""
 
     event = "replica.broken"
--- a/beechrock/replica/giving.py
+++ b/beechrock/replica/giving.py
@@ -1,7 +1,7 @@
-"""A giver's side of a copy: pieces of ranges, so many bytes a second and no more. Pure.
+"""The giver's side of a full copy: sends pieces of ranges within a rate limit. Pure.
 
-Invariants: one piece at a time for each peer that asks; over any time the bytes given are under the rate
-times that time and one second's worth and a piece.
+Invariants: one piece at a time for each peer that asks; over any time span, the bytes given are at most the
+rate times that span, plus one second's worth and one piece.
 """
 
 from collections.abc import Callable, Iterable
@@ -16,18 +16,20 @@
 @dataclass(slots=True)
 class Giving:
     bytes_per_s: float
-    names: Callable[[int], Iterable[bytes]]  # of a range
-    entry: Callable[[bytes], tuple[bytes, int] | None]
-    asked: dict[str, int] = field(default_factory=dict)  # peer: range from which on
-    credit: float = 0.0
-    credit_s: float | None = None
-    given: int = 0
+    names: Callable[[int], Iterable[bytes]]  # Returns the names of the records in a range.
+    entry: Callable[[bytes], tuple[bytes, int] | None]  # Returns a record's packed state and change number.
+    # By peer: first range of the piece that it asked for.
+    asked: dict[str, int] = field(default_factory=dict)
+    credit: float = 0.0  # Bytes that may be sent now; below 0 after a piece that exceeded it.
+    credit_s: float | None = None  # Time of the last refill, in monotonic seconds.
+    given: int = 0  # Bytes given in this life.
 
     def ask(self, peer: str, cursor: int) -> None:
         if 0 <= cursor < RANGES:
             self.asked[peer] = cursor
 
     def pieces(self, now: float) -> list[tuple[str, Piece]]:
+        """Return the pieces that may be sent now, each with its receiver."""
         before = now if self.credit_s is None else self.credit_s
         self.credit = min(self.bytes_per_s, self.credit + max(0.0, now - before) * self.bytes_per_s)
         self.credit_s = now
--- a/beechrock/replica/health.py
+++ b/beechrock/replica/health.py
@@ -1,14 +1,16 @@
-"""Which servers below a node asks first: by what it saw of them, and before that by what others tell. Pure.
-
-States of a server: WELL; EJECTED (FAILS failures one behind the other, or others say so): asked last, for a
-time that doubles; TRYING (that time is over): one request at a time looks whether it is back.
-Events: ``good``, ``failed`` (own observations), ``advise`` (others' word), time.
-
-Invariants: of a service's servers at most half are asked last, but by operators' word, the node's own first
-among them, so neither a failure of all nor wrong advice leaves the load to a few; an ejection by advice ends
-ADVISED_S after it began, whatever is told meanwhile, and with the first good answer; nobody hears advice
-against a good answer of its own, nor after DOUBT own observations. An order is all that comes of it: who is
-asked last is asked where nobody else takes the connection.
+"""Order in which a node tries upstream servers: by its own observations, and before it has any, by the
+advice of other nodes. Pure.
+
+States of a server: WELL; EJECTED (after FAILS consecutive failures, or by advice): tried last, for a time
+that doubles with each ejection; TRYING (that time is over): one request at a time probes it.
+Events: ``good``, ``failed`` (own observations), ``advise`` (advice of other nodes), time.
+
+Invariants: at most half of a service's servers are tried last, except by ejections of operators; ejections
+by own observations come first among them. So neither a failure of all servers nor wrong advice leaves the
+load to a few. An ejection by advice ends ADVISED_S after it began at the latest, whatever advice comes
+meanwhile, and with the first good reply. Advice ejects no server that has replied well to this node, nor one
+with DOUBT own observations. The result is only an order: a server that is tried last still gets the request
+if no other accepts the connection.
 """
 
 from collections.abc import Iterable, Mapping
@@ -18,12 +20,12 @@
 from beechrock.replica.priors import DOUBT, Advice, Estimate
 
 Address = tuple[str, int]
-FAILS = 5  # failures one behind the other
-FIRST_S, MOST_S = 5.0, 60.0  # an ejection, and the longest
-ADVISED_S = 30.0  # the longest by advice; then it looks itself
-LOOK_S = 10.0  # a server that was not seen for so long is looked at by one request
-LAST = 1e9  # cost of one that is asked last
-MOST_SERVERS = 256  # that are told of and remembered
+FAILS = 5  # Consecutive failures after which a server is ejected.
+FIRST_S, MOST_S = 5.0, 60.0  # Length of the first ejection, and of the longest, in seconds.
+ADVISED_S = 30.0  # Longest ejection by advice, in seconds; then the node probes the server itself.
+LOOK_S = 10.0  # Seconds without an observation after which one request probes a server.
+LAST = 1e9  # Cost of a server that is tried last.
+MOST_SERVERS = 256  # Maximum number of servers remembered and reported.
 
 
 class State(Enum):
@@ -34,27 +36,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Word:
-    """What a node tells of a server; ``ejected_s`` left of an ejection by its own observations."""
+    """One node's report on a server."""
 
-    server: str
-    mean_s: float
-    seen: int
-    age_s: float
-    ejected_s: float
+    server: str  # HOST:PORT
+    mean_s: float  # Mean time of a request, in seconds; 0 if unknown.
+    seen: int  # Number of own observations.
+    age_s: float  # Seconds since the last observation.
+    ejected_s: float  # Seconds left of an ejection by own observations; 0 if not ejected.
 
 
 @dataclass(slots=True)
 class Server:
-    """``until`` is 0 where nobody ejected it."""
+    """What this node knows of a server."""
 
-    latency: Estimate = field(default_factory=lambda: Estimate(0.0))
-    seen: int = 0  # own observations, failures too
-    at_s: float = 0.0  # the last one
-    goods: int = 0
-    fails: int = 0
-    until: float = 0.0
-    turns: int = 0  # ejections one behind the other
-    advised: bool = False  # by others' word alone
+    latency: Estimate = field(default_factory=lambda: Estimate(0.0))  # Time of a request, in seconds.
+    seen: int = 0  # Number of own observations, failures included.
+    at_s: float = 0.0  # Time of the last observation, in monotonic seconds.
+    goods: int = 0  # Number of good replies.
+    fails: int = 0  # Number of consecutive failures.
+    until: float = 0.0  # End of the ejection, in monotonic seconds; 0 if not ejected.
+    turns: int = 0  # Number of consecutive ejections.
+    advised: bool = False  # Whether it is ejected by advice alone.
 
     def state(self, now: float) -> State:
         if not self.until:
@@ -64,14 +66,15 @@
 
 @dataclass(slots=True)
 class Health:
-    """One node's; ``pools`` by service, as its inventory lists them."""
+    """The health of all servers as one node sees it; ``pools`` are the servers of each service in its
+    inventory."""
 
     servers: dict[Address, Server] = field(default_factory=dict)
     pools: Mapping[str, tuple[Address, ...]] = field(default_factory=dict)
-    listed: dict[str, Address] = field(default_factory=dict)  # of all services, by name
-    by_hand: frozenset[Address] = frozenset()  # that operators ejected, until they delete their word
-    last: frozenset[Address] = frozenset()  # asked last
-    turned: list[tuple[Address, str]] = field(default_factory=list)  # what happened, for the log
+    listed: dict[str, Address] = field(default_factory=dict)  # Servers of all services, by HOST:PORT.
+    by_hand: frozenset[Address] = frozenset()  # Servers ejected by operators, until they delete the record.
+    last: frozenset[Address] = frozenset()  # Servers that are tried last.
+    turned: list[tuple[Address, str]] = field(default_factory=list)  # State changes and causes, for the log.
 
     # --- own observations
 
@@ -84,7 +87,8 @@
             self._turned(now, address, "back")
 
     def failed(self, now: float, address: Address, seconds: float = 0.0) -> None:
-        """``seconds``: it took so long without an end."""
+        """Count a failure. ``seconds``: how long a request without a reply took; 0 leaves the latency as
+        is."""
         server = self._seen(now, address)
         if seconds:
             server.latency.observe(seconds)
@@ -114,7 +118,7 @@
         del self.turned[:-MOST_SERVERS]
         self._rank(now)
 
-    # --- others' word
+    # --- advice of other nodes
 
     def advise(
         self,
@@ -123,7 +127,8 @@
         pools: Mapping[str, tuple[Address, ...]],
         by_hand: frozenset[Address] = frozenset(),
     ) -> None:
-        """All that sound and unsound givers tell at present; the weights are theirs (priors.py)."""
+        """Apply the present reports of all other nodes, weighted as in priors.py, and the operators'
+        ejections."""
         self.by_hand = by_hand
         if pools is not self.pools:
             self.pools = pools
@@ -167,7 +172,8 @@
         self.last = frozenset(last)
 
     def cost(self, now: float, address: Address, load: int) -> float:
-        """Who has the least is asked first; ``load``: requests of this node that are open there."""
+        """Return the cost of sending a request to a server; the cheapest is tried first. ``load``: number of
+        this node's open requests there."""
         server = self.servers.get(address)
         if address in self.by_hand:
             return LAST + load
@@ -176,11 +182,13 @@
             return -1.0 if trying else LAST + load
         unknown = server is None or (server.seen < DOUBT and not server.latency.weight)
         if not load and (unknown or (server is not None and server.seen and now - server.at_s > LOOK_S)):
-            return -1.0 + (0.1 * server.seen if server is not None and unknown else 0.0)  # each in turn
+            # An idle server that is unknown or long unobserved goes first; unknown ones are tried in turn.
+            return -1.0 + (0.1 * server.seen if server is not None and unknown else 0.0)
         return (load + 1) * self._latency(server)
 
     def _latency(self, server: Server | None) -> float:
-        """One that nobody knows is taken for as quick as the quickest, so it is soon known."""
+        """Return the expected time of a request. An unknown server counts as fast as the fastest known one,
+        so that it is soon tried."""
         if server is not None and (server.latency.samples or server.latency.weight):
             if not server.latency.weight and server.latency.samples < DOUBT:
                 server.latency.cautious = self._least() or server.latency.mean
@@ -197,10 +205,11 @@
             default=0.0,
         )
 
-    # --- what others are told
+    # --- reports to other nodes
 
     def words(self, now: float) -> list[Word]:
-        """Own observations alone: advice is not passed on."""
+        """Return the reports on all observed servers. Only own observations count: advice is not passed
+        on."""
         return [
             Word(
                 "{}:{}".format(*address),
--- a/beechrock/replica/heard.py
+++ b/beechrock/replica/heard.py
@@ -1,4 +1,4 @@
-"""What a node heard of each peer, and what it says to one."""
+"""The state that a node knows of each peer, and a message to send to one."""
 
 from dataclasses import dataclass
 
@@ -7,19 +7,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Say:
+    """A message to send."""
+
     to: str
     message: Message
-    after: int  # of writes that have to be synced before
+    after: int  # Number of changes that must be synced before the message is sent.
 
 
 @dataclass(slots=True)
 class Heard:
-    at_s: float = float("-inf")
-    stage: str = ""
-    count: int = 0
-    root: bytes = b""
-    upto: int = -1  # our changes up to there are all at this peer
-    verdict: str = ""
-    opening: bytes = b""  # of its store, by its last Hello
-    again: int = 0
-    outdated: bool = False  # it has to take a whole copy before its records are heard
+    """The state of a peer as its messages reported it."""
+
+    at_s: float = float("-inf")  # Time of its last message, in monotonic seconds.
+    stage: str = ""  # Its stage of catch-up.
+    count: int = 0  # Number of records that it holds.
+    root: bytes = b""  # Root digest of its records.
+    upto: int = -1  # The peer holds all changes of this node up to this number; -1 if unknown.
+    verdict: str = ""  # This node's verdict on the peer's store.
+    opening: bytes = b""  # Digest of the opening of its store, from its last Hello.
+    again: int = 0  # Number of full copies it has started in its life, from its last Hello.
+    outdated: bool = False  # Whether it must take a full copy before its records are accepted.
--- a/beechrock/replica/holder.py
+++ b/beechrock/replica/holder.py
@@ -1,11 +1,12 @@
-"""A node's side of its leases: what it may spend now, what it asks for, what it gives back. Pure.
-
-States of a holding: NONE (never granted), HELD, ENDED (by this node's clock, or a pause: it spends nothing
-more until a request that was sent later is answered). Events: ``look`` (time), ``used`` (what is spent),
-``asks``, ``answered``, ``surplus``, ``gave_back``.
-Invariants: ``cap``, read after ``look``, never exceeds what the log granted, less what is given back or may
-be; it is what is spent already in any state but HELD; the end is counted from when the request was sent, less
-DRIFT; a give-back is proposed with one number until it is known how it ended, and lowers the cap first.
+"""A node's side of its leases: what it may spend now, what it requests, and what it gives back. Pure.
+
+States of a holding: NONE (never granted), HELD, ENDED (by this node's clock, or after a pause: nothing more
+is spent until a request that was sent later is answered). Events: ``look`` (time), ``used`` (the amount
+spent), ``asks``, ``answered``, ``surplus``, ``gave_back``.
+Invariants: ``cap``, read after ``look``, never exceeds what the log granted, less the amounts given back or
+in the process of it; in any state but HELD it doesn't exceed the amount already spent; a lease's end is
+counted from when the request was sent, and comes earlier by DRIFT; a give-back is proposed under the same
+number until its result is known, and lowers the cap before it is proposed.
 """
 
 from dataclasses import dataclass, field
@@ -14,13 +15,13 @@
 from beechrock.replica.errors import BrokenInvariantError
 from beechrock.replica.leases import Granted, PotKey
 
-DRIFT = 0.05  # of a lease's length, as docs/fleet.md settles
-PAUSE = 0.25  # of a lease: a longer gap between two looks is a pause
-AHEAD = 4.0  # leases' lengths of need that a holder keeps
-RENEW = 3.0  # requests in a lease's length
-FORGET_S = 10.0  # over which need is averaged
-MOST_HOLDINGS = 4096
-KEEP = 3  # periods of before, for each pot of now
+DRIFT = 0.05  # Allowance for clock drift, as a share of a lease's length; defined in docs/fleet.md.
+PAUSE = 0.25  # A gap between two calls of ``look`` longer than this share of a lease counts as a pause.
+AHEAD = 4.0  # Number of lease lengths whose expected need a holder keeps in reserve.
+RENEW = 3.0  # Number of renewals in the length of a lease.
+FORGET_S = 10.0  # Time over which the need is averaged, in seconds.
+MOST_HOLDINGS = 4096  # Maximum number of current holdings.
+KEEP = 3  # Number of past holdings kept for each current pot.
 
 
 class State(Enum):
@@ -31,45 +32,50 @@
 
 @dataclass(slots=True)
 class Back:
-    """A give-back that is proposed until it is known to be done."""
+    """A give-back, proposed again until it is known to be applied."""
 
     pot: PotKey
-    id: int
-    n: int
+    id: int  # The lease's number.
+    n: int  # Number of this give-back within its lease, from 1.
     amount: float
-    sent_s: float = float("-inf")
+    sent_s: float = float("-inf")  # Time of the last proposal, in monotonic seconds.
 
 
 @dataclass(slots=True)
 class Holding:
+    """This node's lease of one pot."""
+
     pot: PotKey
-    whole: float
-    number: int
+    whole: float  # Size of the whole pot.
+    number: int  # Generation of the inventory that defines the size; 0 if unknown.
     state: State = State.NONE
-    id: int = 0
-    amount: float = 0.0  # granted by the log in the lease of now
-    before: float = 0.0  # spent under leases of ours that were closed: counted there
-    turn: int = 0
-    backs: int = 0
-    ends_s: float = float("-inf")
-    spent: float = 0.0  # under all of them
-    need_per_s: float = 0.0
-    looked_s: float | None = None
-    returning: dict[int, Back] = field(default_factory=dict)  # by lease
-    asked_s: float = float("-inf")
+    id: int = 0  # Number of the current lease; 0 if there was none.
+    amount: float = 0.0  # Amount granted by the log in the current lease.
+    before: float = 0.0  # Amount spent under this node's earlier leases, which the log counts there.
+    turn: int = 0  # Version of the current lease, as last answered by the log.
+    backs: int = 0  # Number of give-backs of the current lease that the log has applied.
+    ends_s: float = float("-inf")  # End of the current lease, in monotonic seconds.
+    spent: float = 0.0  # Amount spent under all leases of this pot.
+    need_per_s: float = 0.0  # Average rate of spending.
+    looked_s: float | None = None  # Time of the last ``used``, in monotonic seconds.
+    returning: dict[int, Back] = field(default_factory=dict)  # By lease: the give-back in progress.
+    asked_s: float = float("-inf")  # Time of the last request, in monotonic seconds.
 
     @property
     def most(self) -> float:
+        """Upper bound of ``cap``: what earlier leases spent, plus the current lease less its pending
+        give-back."""
         pending = self.returning.get(self.id)
         return self.before + self.amount - (pending.amount if pending is not None else 0.0)
 
     @property
     def cap(self) -> float:
-        """How much may be spent in this pot in all; to be read after ``look`` alone."""
+        """Total amount that may be spent in this pot now. Valid only directly after ``look``."""
         return self.most if self.state is State.HELD else min(self.spent, self.most)
 
     def target(self, nodes: int, lease_s: float) -> float:
-        """Enough for AHEAD leases of its need, a small part where that is unknown."""
+        """Return the total amount to hold: enough for AHEAD lease lengths of the need, or a small share of
+        the pot while nothing has been spent."""
         ahead = AHEAD * lease_s * self.need_per_s
         part = self.spent + max(ahead, 0.02 * self.whole) if self.spent else self.whole / (4 * nodes)
         return min(part, self.whole)
@@ -77,28 +83,31 @@
 
 @dataclass(slots=True)
 class Holder:
+    """All leases of this node."""
+
     name: str
     life: int
-    nodes: int
-    lease_s: float
+    nodes: int  # Number of nodes in the fleet.
+    lease_s: float  # Length of a lease, in seconds.
     holdings: dict[PotKey, Holding] = field(default_factory=dict)
-    current: set[PotKey] = field(default_factory=set)
-    floors: dict[str, int] = field(default_factory=dict)  # team: periods up to there are forgotten
-    seen_s: float | None = None
-    next_s: float = float("-inf")  # no lease ends before it
-    since_s: float = float("-inf")  # of the last pause: what was sent before it gives nothing
-    leaving: bool = False  # all that is not spent goes back
-    without: frozenset[str] = frozenset()
+    current: set[PotKey] = field(default_factory=set)  # Pots that are renewed now.
+    floors: dict[str, int] = field(default_factory=dict)  # By team: the latest period that was forgotten.
+    seen_s: float | None = None  # Time of the last ``look``, in monotonic seconds.
+    next_s: float = float("-inf")  # Earliest end of a lease, in monotonic seconds.
+    since_s: float = float("-inf")  # End of the last pause; answers to requests sent before it grant nothing.
+    leaving: bool = False  # Whether all unspent amounts are given back.
+    without: frozenset[str] = frozenset()  # Names of guards to disable; for simulations and tests only.
 
     def look(self, now: float) -> bool:
-        """Before each use: ends what has run out, and all after a pause. Whether anything ended."""
+        """End the leases that have expired, or all leases after a pause. Must be called before each use of
+        ``cap``. Return whether any lease ended."""
         paused = self.seen_s is not None and not 0 <= now - self.seen_s <= PAUSE * self.lease_s
         paused = paused and "pause" not in self.without
         if paused:
             self.since_s = now
         self.seen_s = now
         if not paused and now < self.next_s:
-            return False  # as for nearly every batch that the module decides
+            return False  # The usual case, as this runs before every batch of the decision module.
         ended = False
         for one in self.holdings.values():
             if one.state is State.HELD and (paused or (now >= one.ends_s and "end" not in self.without)):
@@ -109,8 +118,9 @@
         return ended
 
     def pots(self, wanted: dict[PotKey, tuple[float, int]]) -> None:
-        """The pots of now, with their wholes and the inventory's number. Others are no longer renewed, and
-        kept for a while, as a wall clock may go back; what was forgotten is never begun again."""
+        """Set the current pots, each with its size and the inventory's generation. Other holdings are no
+        longer renewed, but kept for KEEP periods, as a wall clock may go back. A forgotten period is never
+        opened again."""
         self.current = set()
         for pot, (whole, number) in list(wanted.items())[:MOST_HOLDINGS]:
             if pot[2] and pot[2] <= self.floors.get(pot[1], 0):
@@ -124,7 +134,7 @@
             self.floors[pot[1]] = max(self.floors.get(pot[1], 0), pot[2])
 
     def used(self, now: float, pot: PotKey, spent: float) -> None:
-        """BrokenInvariantError: more than was granted."""
+        """Set the total amount spent in a pot. Raises BrokenInvariantError if it exceeds what was granted."""
         one = self.holdings[pot]
         if spent > one.spent and spent > one.most + 1e-6 and not self.without:
             raise BrokenInvariantError(f"{spent:g} spent of {one.most:g}", where=f"pot {pot}")
@@ -135,7 +145,8 @@
         one.spent, one.looked_s = spent, now
 
     def asks(self, now: float) -> list[tuple[PotKey, float, int, float]]:
-        """What is due for renewal, or running low; noted as sent now."""
+        """Return requests for the current pots that are due for renewal or running low, each with the pot,
+        its size, the inventory's generation and the additional amount. They count as sent now."""
         due = []
         for one in (self.holdings[pot] for pot in self.current):
             age = now - one.asked_s
@@ -148,7 +159,8 @@
         return due
 
     def answered(self, sent_s: float, told: list[Granted]) -> None:
-        """The log's word on what was asked at ``sent_s``; an older one than is known counts for nothing."""
+        """Process the log's answer to the requests sent at ``sent_s``. Leases older than the known ones are
+        ignored."""
         for granted in told:
             one = self.holdings.get(granted.pot)
             if one is None or granted.id < one.id or (granted.id == one.id and granted.turn <= one.turn):
@@ -165,12 +177,15 @@
                 self.next_s = min(self.next_s, one.ends_s)
 
     def _anew(self, one: Holding, granted: Granted) -> None:
-        """The lease of before was closed. What is spent stays counted there; the rest is given back."""
+        """Replace a lease that was closed by a new one. The amount spent stays counted in the old lease; the
+        rest is given back, unless a give-back of the old lease is still pending."""
         if one.id:
             under = max(0.0, one.spent - one.before)
             rest = one.amount - under
             pending = one.returning.pop(one.id, None)
-            if pending is not None:  # it may be applied or not: what was not told goes after it
+            # The pending give-back stays, as it may not be applied yet. The rest stays counted in the old
+            # lease.
+            if pending is not None:
                 rest -= pending.amount
                 one.returning[one.id] = pending
             elif rest > 0:
@@ -179,7 +194,8 @@
         one.id, one.turn = granted.id, 0
 
     def surplus(self, now: float) -> list[Back]:
-        """What is to be proposed now: far more is held than is needed, or one is not known to be done."""
+        """Return the give-backs to propose now: of holdings that far exceed their need, and earlier ones
+        that are not known to be applied after a lease's length."""
         for one in (self.holdings[pot] for pot in self.current):
             target = one.spent if self.leaving else one.target(self.nodes, self.lease_s)
             spare, least = one.most - target, max(0.05 * one.whole, target - one.spent)
@@ -198,7 +214,8 @@
         return due
 
     def gave_back(self, told: object) -> None:
-        """The log's word on a BACK: a list of Granted, or that it is of no use any more."""
+        """Process the log's answer to a give-back: a list of Granted, or another value if it was not
+        applied."""
         for granted in told if isinstance(told, list) else []:
             one = self.holdings.get(granted.pot)
             if one is None:
--- a/beechrock/replica/journal.py
+++ b/beechrock/replica/journal.py
@@ -1,7 +1,8 @@
-"""What a node's disk holds of its copies: entries of the store, and the snapshot. Pure.
+"""Format of the replica's data on disk: entries of the store's log, and the snapshot. Pure.
 
-An entry is records, a cursor of a copy that is under way, or the note that all causal records were set aside.
-Read again in order, they make the same table; a record is a state, so one that is there twice does no harm.
+An entry holds records, the cursor of a full copy, or the note that all causal records were set aside.
+Replayed in order, entries rebuild the same table. A record is a whole state that merges, so replaying one
+twice is harmless.
 """
 
 from collections.abc import Iterator
@@ -17,13 +18,13 @@
 from beechrock.replica.table import MOST_RECORDS, Table
 
 FORMAT = 1
-MOST_ENTRY = 1 << 20
-PART = 1000  # records in a part of a snapshot
+MOST_ENTRY = 1 << 20  # Size at which an entry of records is closed, in bytes.
+PART = 1000  # Number of records in a part of a snapshot.
 
 
 @dataclass(slots=True)
 class Loaded:
-    """What a store held, before its node is made."""
+    """The contents of a store, loaded before its core is made."""
 
     table: Table = field(default_factory=lambda: Table("", most=2 * MOST_RECORDS))
     aside: dict[bytes, Causal] = field(default_factory=dict)
@@ -31,7 +32,7 @@
     forgot: bool = False
 
     def entry(self, data: bytes) -> None:
-        """ReplicaRecordError for what cannot be read."""
+        """Replay an entry of the log. Raises ReplicaRecordError if it cannot be read."""
         self._take(_read(data))
 
     def _take(self, told: list[Any]) -> None:
@@ -57,14 +58,14 @@
                 raise ReplicaRecordError("an entry of no known kind", where="store replica")
 
     def snapshot(self, data: bytes) -> None:
-        """Entries one behind the other. ReplicaRecordError."""
+        """Load a snapshot, which is a sequence of entries. Raises ReplicaRecordError if it cannot be read."""
         unpacker = msgpack.Unpacker(max_buffer_size=len(data) + 1)
         unpacker.feed(data)
         for told in unpacker:
             self._take(_of_format(told))
 
     def into(self, core: Core) -> None:
-        """Be what was held; ``core`` is new."""
+        """Hand the loaded records to a new core."""
         table = self.table
         table.writer, table.kinds, table.most = core.table.writer, core.table.kinds, core.table.most
         table.touched = core.table.touched
@@ -73,7 +74,7 @@
 
 
 def entries(core: Core) -> list[bytes]:
-    """What is to be appended since the last call, in order."""
+    """Return the log entries for all changes since the last call, in order."""
     made = []
     if core.reset:
         core.reset = False
@@ -95,13 +96,15 @@
 
 
 def blank() -> bytes:
-    """The first entry of a store: until a whole copy was taken, its node has met nothing."""
+    """Return the first entry of an empty store. It marks the node as one that lost its memory until it is
+    whole."""
     return _write("copy", RANGES, True)
 
 
 def snapshot(core: Core) -> Iterator[bytes]:
-    """In parts, so that other work may go on between them: what changes meanwhile is in later entries of the
-    log, and merges. Not over a set-aside: begin again then."""
+    """Return a snapshot in parts, so that other work can run between them. Changes made meanwhile are in
+    later entries of the log, and merge. If records are set aside meanwhile, the snapshot must be
+    discarded."""
     names = list(core.table.records)
     for at in range(0, len(names), PART):
         yield _write(
--- a/beechrock/replica/kinds.py
+++ b/beechrock/replica/kinds.py
@@ -1,4 +1,5 @@
-"""Which kinds of records there are: type of state, order of spreading, which value acts meanwhile. Pure."""
+"""The kinds of records: type of state, priority of sending, and which of several values is in effect.
+Pure."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -6,8 +7,8 @@
 from beechrock.replica.errors import ReplicaRecordError
 from beechrock.replica.records import Causal, Own, State, Tally
 
-MOST_KEY = 256  # bytes
-MOST_KINDS = 32
+MOST_KEY = 256  # Maximum length of a key, in bytes.
+MOST_KINDS = 32  # Maximum number of kinds.
 
 
 def first(values: list[bytes]) -> bytes | None:
@@ -15,8 +16,8 @@
 
 
 def cautious(values: list[bytes]) -> bytes | None:
-    """Of ejections the one that lasts longest acts until somebody resolves: values begin with ``-`` where a
-    server is told as well."""
+    """Return the value in effect among conflicting values of an ejection: an ejecting one, the greatest in
+    byte order, before any that begins with ``-`` and so marks the server as healthy."""
     ejecting = [value for value in values if not value.startswith(b"-")]
     return max(ejecting) if ejecting else first(values)
 
@@ -25,20 +26,22 @@
 class Kind:
     name: str
     state: type[Tally] | type[Causal] | type[Own]
-    priority: int  # lower goes out first; what limits spending is 0
+    priority: int  # Lower ones are sent first; 0 is for records that limit spending.
+    # Returns the value in effect among conflicting ones.
     acting: Callable[[list[bytes]], bytes | None] = first
 
 
 BUILT_IN = (
-    Kind("spending", Tally, 0),  # key: team and period
+    Kind("spending", Tally, 0),  # Key: team and period.
     Kind("ejection", Causal, 1, cautious),
-    Kind("note", Causal, 2),  # of operators, by key
-    Kind("learned", Own, 3),  # key: node and what it is of
+    Kind("note", Causal, 2),  # Free notes of operators.
+    # Key: name of the writing node, alone (advice.py) or before a suffix (trial.py).
+    Kind("learned", Own, 3),
 )
 
 
 class Kinds:
-    """By name. Those of a newer version are refused and counted, never guessed."""
+    """The known kinds by name. Records of unknown kinds, as of a newer version, are refused."""
 
     def __init__(self, *more: Kind) -> None:
         self.by_name = {kind.name: kind for kind in (*BUILT_IN, *more)}
@@ -46,7 +49,8 @@
             raise ReplicaRecordError(f"{len(self.by_name)} kinds", where="kinds", wanted=f"{MOST_KINDS}")
 
     def of(self, name: str, key: str, state: State | None = None) -> Kind:
-        """ReplicaRecordError: unknown, not of that type, or a key that is too long."""
+        """Return the kind. Raises ReplicaRecordError if it is unknown, the key is empty or too long, or the
+        state is of another type."""
         kind = self.by_name.get(name)
         if kind is None:
             raise ReplicaRecordError(
--- a/beechrock/replica/leases.py
+++ b/beechrock/replica/leases.py
@@ -1,14 +1,17 @@
-"""The machine ``budgets`` of the agreed log: who may spend what part of which pot. Deterministic, pure.
-
-A pot is a team's budget of one period (``budget``), or a rate that a dependency survives (``rate``). A lease
-is one life's part of one pot. Commands: ASK (renews, and grants by need), BACK (the n-th give-back of a
-lease), CLOSE (the leader: this lease was not renewed). An index of the log names a lease.
-
-States of a lease: OPEN, CLOSED (of a budget: its amount stays counted until its own life gives back what it
-has not spent; of a rate: it is free again).
-Invariants: in a pot, open amounts and what is counted of closed ones never grow beyond the whole; a give-back
-happens once, in the order of its number, and never exceeds its lease; a lease that was renewed is not
-closed by a word from before; a pot that was dropped is never opened again.
+"""The machine ``budgets`` of the agreed log: which node may spend how much of which pot. Deterministic,
+pure.
+
+A pot is a team's budget for one period (``budget``), or the rate that a dependency survives (``rate``). A
+lease is the part of a pot that one life of a node holds. Commands: ASK (renews leases, and grants more by
+need), BACK (the n-th give-back of a lease), CLOSE (by the leader, of a lease that was not renewed). The log
+index of the first ASK, with the position in it, numbers a lease.
+
+States of a lease: OPEN, CLOSED (a budget's amount stays counted until the same life gives back the unspent
+rest; a rate's amount is free again at once).
+Invariants: in a pot, the amounts of open leases and the counted amounts of closed ones never grow beyond the
+whole; a give-back is applied once, in the order of its number, and never exceeds its lease; a close that was
+decided before a renewal doesn't close the renewed lease; the old pots that are dropped are never opened
+again while newer ones are kept.
 """
 
 from dataclasses import dataclass, field
@@ -21,40 +24,42 @@
 
 MACHINE = "budgets"
 FORMAT = 1
-MOST_POTS, KEEP_PERIODS = 16_384, 4
-MOST_LEASES = 256  # of a pot, closed ones too
-MOST_ITEMS = 256  # of an ASK
-MOST_NAME = 256
-START_BITS = 20
-SLICE, LEAST = 0.5, 1 / 32  # at most this part of what is free; all of it under so much of the whole
+MOST_POTS, KEEP_PERIODS = 16_384, 4  # Maximum number of pots, and of periods of one team.
+MOST_LEASES = 256  # Maximum number of leases in a pot, closed ones included.
+MOST_ITEMS = 256  # Maximum number of items in an ASK.
+MOST_NAME = 256  # Maximum length of a name.
+START_BITS = 20  # Number of random bits below the life number in a holder's life.
+# Largest share of the free amount that one request is granted. If no more than the share LEAST of the whole
+# pot is free, a request may get all of it.
+SLICE, LEAST = 0.5, 1 / 32
 
 
 class Result(Enum):
     DONE = "done"
     BAD = "bad"
     FULL = "full"
-    GONE = "gone"  # no such lease, or pot; nothing has changed
-    LATE = "late"  # renewed since
+    GONE = "gone"  # There is no such lease or pot; nothing has changed.
+    LATE = "late"  # The lease was renewed after the close was decided.
 
 
 @dataclass(slots=True)
 class Lease:
     id: int
-    holder: str
-    life: int
-    amount: float
-    turn: int = 1
-    backs: int = 0
+    holder: str  # Name of the node.
+    life: int  # Life of the node, with random bits (``start``).
+    amount: float  # Amount granted, less what was given back.
+    turn: int = 1  # Version: counts renewals and give-backs.
+    backs: int = 0  # Number of give-backs applied.
     open: bool = True
 
 
 @dataclass(slots=True)
 class Pot:
     kind: str  # budget or rate
-    name: str  # of the team or dependency
-    period: int  # 0 for a rate
-    whole: float
-    number: int  # of the inventory that told the whole
+    name: str  # Name of the team or dependency.
+    period: int  # Number of the period, from 1; 0 for a rate.
+    whole: float  # Amount of the whole pot.
+    number: int  # Generation of the inventory that defines the amount.
     leases: dict[int, Lease] = field(default_factory=dict)
 
     @property
@@ -66,12 +71,12 @@
         return max(0.0, self.whole - self.granted)
 
 
-PotKey = tuple[str, str, int]
+PotKey = tuple[str, str, int]  # Kind, name and period of a pot.
 
 
 @dataclass(frozen=True, slots=True)
 class Granted:
-    """A lease as it stands after an item of an ASK, or a BACK."""
+    """The state of a lease after an item of an ASK, or after a BACK."""
 
     pot: PotKey
     id: int
@@ -83,12 +88,13 @@
 @dataclass(slots=True)
 class Budgets:
     pots: dict[PotKey, Pot] = field(default_factory=dict)
-    without: frozenset[str] = frozenset()  # guards taken out, by the laboratory alone
+    without: frozenset[str] = frozenset()  # Names of guards to disable; for simulations and tests only.
 
-    # --- the log
+    # --- commands of the log
 
     def apply(self, index: int, command: bytes) -> Any:
-        """What is granted by an ASK or left by a BACK, as a list of Granted; or a Result."""
+        """Apply a command of the log. Return a list of Granted with the leases after an ASK or a BACK, or a
+        Result."""
         try:
             version, what, *told = msgpack.unpackb(command)
             if version != FORMAT:
@@ -126,7 +132,9 @@
             return None
         mine = [one for one in pot.leases.values() if one.holder == holder and one.open]
         if any(one.life > life for one in mine):
-            return None  # two nodes of one name, or a word from before: the newer life has it
+            # Two nodes have one name, or this is a late command of an earlier life: the newer life holds the
+            # lease.
+            return None
         lease = next((one for one in mine if one.life == life), None)
         room = pot.free if pot.free <= LEAST * pot.whole else SLICE * pot.free
         if "whole" in self.without:
@@ -159,12 +167,13 @@
             self._drop(name)
             return self.pots.get(key)
         if number > pot.number or (number == pot.number and 0 < whole < pot.whole):
-            pot.number, pot.whole = number, whole  # of two words under one number the lesser counts
+            # Of two amounts from the same generation, the smaller counts.
+            pot.number, pot.whole = number, whole
         return pot
 
     def _drop(self, name: str) -> None:
-        """The oldest periods of a team, so also one that is older than all and was forgotten: what it granted
-        is not known any more."""
+        """Drop the oldest periods of a team. That includes a period that was just opened if it is older than
+        all others: it may have been dropped before, and what it had granted is not known any more."""
         periods = sorted(key for key in self.pots if key[0] == "budget" and key[1] == name)
         for key in periods[:-KEEP_PERIODS]:
             del self.pots[key]
@@ -175,13 +184,13 @@
         if lease is None or (lease.holder, lease.life) != (holder, life):
             return Result.GONE
         if n <= lease.backs and "once" not in self.without:
-            return [Granted(key, ident, lease.amount, lease.turn, lease.backs)]  # it was done before
+            return [Granted(key, ident, lease.amount, lease.turn, lease.backs)]  # It was applied before.
         if n > lease.backs + 1:
             return Result.BAD
         if not 0 <= amount <= lease.amount + 1e-9:
             return Result.BAD
         lease.backs += 1
-        lease.turn += 1  # an answer from before, which tells the larger amount, is then known as older
+        lease.turn += 1  # So the holder ignores a late answer from before, which has the larger amount.
         lease.amount = max(0.0, lease.amount - amount)
         return [Granted(key, ident, lease.amount, lease.turn, lease.backs)]
 
@@ -197,7 +206,7 @@
             del pot.leases[ident]
         return Result.DONE
 
-    # --- read
+    # --- reading and snapshots
 
     def open_leases(self) -> list[tuple[PotKey, Lease]]:
         return [(key, lease) for key, pot in self.pots.items() for lease in pot.leases.values() if lease.open]
@@ -219,7 +228,7 @@
         return data
 
     def restore(self, data: bytes) -> None:
-        """ReplicaRecordError for what is no snapshot of this format."""
+        """Load a snapshot. Raises ReplicaRecordError if it is not one of this format."""
         try:
             version, pots = msgpack.unpackb(data)
         except (ValueError, TypeError, msgpack.UnpackException):
@@ -243,17 +252,20 @@
 
 
 def start(life: int, drawn: int) -> int:
-    """The life of a holder: above those of earlier lives, and another's only by one chance in a million.
-    Two processes of one name may have one life number (copies of one folder, a clock that was ahead), and
-    would be granted one lease, which both spend."""
+    """Return a holder's life: its life number above random bits, so it is greater than those of earlier
+    lives and equals that of another process only by a chance of one in a million. Two processes of one name
+    may have the same life number (copies of one folder, a clock that was ahead); without the bits both would
+    spend one lease."""
     return (life << START_BITS) | (drawn & ((1 << START_BITS) - 1))
 
 
 def too_far(budgets: Budgets, wanted: set[PotKey], name: str) -> set[PotKey]:
-    """Of these, pots that nobody opened yet, more than a period past where most holders of their team stand.
+    """Return those of the wanted pots that are not open yet and lie more than one period after the periods
+    of most other holders of the same team.
 
-    Four of them would push out the pots of now. Who asks goes by it, and not the machine: a fleet that stood
-    still for many periods goes on once the leader has closed the leases of before, as it does in any case.
+    Opening four such pots would drop the present ones (KEEP_PERIODS). The requesting node applies this rule,
+    not the machine. A fleet that was stopped for many periods can continue as soon as the leader has closed
+    the old leases, as they no longer count here.
     """
     new = {pot for pot in wanted if pot[0] == "budget" and pot not in budgets.pots}
     stand: dict[str, dict[str, int]] = {pot[1]: {} for pot in new}
@@ -278,7 +290,8 @@
 
 
 def ask(holder: str, life: int, items: list[tuple[PotKey, float, int, float]]) -> bytes:
-    """Each: pot, its whole, the inventory's number, what is wanted on top (0: renew alone)."""
+    """Encode an ASK. Each item: pot, its whole amount, the inventory's generation, the additional amount
+    wanted (0 to only renew)."""
     return _command("ask", holder, life, [list(one) for one in items])
 
 
@@ -292,13 +305,16 @@
 
 @dataclass(slots=True)
 class Closing:
-    """The leader's side, volatile: which leases to close. A reign begins with a whole wait for each."""
+    """The leader's choice of leases to close. It is not replicated: a new leader waits a full lease for
+    each."""
 
-    lease_s: float
-    seen: dict[int, tuple[int, float]] = field(default_factory=dict)  # lease: turn, since when it stands
+    lease_s: float  # Seconds without a renewal after which a lease is closed.
+    # By lease: its turn, and when it was first seen.
+    seen: dict[int, tuple[int, float]] = field(default_factory=dict)
 
     def due(self, now: float, budgets: Budgets) -> list[tuple[PotKey, int, int]]:
-        """Pot, lease, turn. Counted from when this leader saw the turn, which is after its holder asked."""
+        """Return the leases to close, each with pot, lease and turn. The time counts from when this leader
+        first saw the turn, which is after the holder sent its request."""
         found, standing = [], dict[int, tuple[int, float]]()
         for key, lease in budgets.open_leases():
             turn, since_s = self.seen.get(lease.id, (0, now))
--- a/beechrock/replica/messages.py
+++ b/beechrock/replica/messages.py
@@ -1,7 +1,7 @@
-"""What nodes say to each other on the channel ``replica``, and its bytes. Pure.
+"""The messages between nodes on the channel ``replica``, and their encoding. Pure.
 
-Format 2 tells with each message how far the speaker's disk is, so that whoever takes a promise knows what it
-rests on; format 1 told it in the Hello alone, once a second.
+In format 2 each message carries the position of the sender's disk, so that the receiver of a promise knows
+which synced records it depends on. In format 1 only the Hello has it, once a second.
 """
 
 from dataclasses import dataclass, field, fields
@@ -11,15 +11,15 @@
 
 from beechrock.replica.errors import ReplicaRecordError
 
-READS = 1, 2  # formats; the last one is spoken to who reads it
-TRY_EACH = 30  # of so many Hellos one is in the newest format, to who spoke an older one so far
-Entries = list[tuple[bytes, bytes]]  # name, packed state
+READS = 1, 2  # Formats that can be read; the last one is sent to peers that can read it.
+TRY_EACH = 30  # Every 30th Hello to a peer that has only sent older formats is in the newest format.
+Entries = list[tuple[bytes, bytes]]  # Each: name, packed state.
 
 
 @dataclass(frozen=True, slots=True)
 class Hello:
-    """Each second: who is here, how far its disk is, how much it holds. ``again``: how often in this
-    life it began with an empty memory, or set aside one that was found wanting."""
+    """Sent each second: the sender is present, the mark of its store, its stage, and the number and root
+    digest of its records. ``again``: how many full copies it has started in this life."""
 
     mark: bytes
     stage: str
@@ -30,8 +30,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Welcome:
-    """On a Hello: the word on its memory, also ``outdated``: tombstones that it never heard of were dropped.
-    ``digest`` names the opening of the store that it is about."""
+    """Reply to a Hello: the verdict on the store whose opening has this ``digest``. The verdict ``outdated``
+    means that tombstones which the store never received were dropped. ``tail``: the sender knows what the
+    store lacks. ``count`` and ``stage`` are the sender's."""
 
     digest: bytes
     verdict: str
@@ -42,13 +43,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Batch:
+    """Changed records, to be acknowledged."""
+
     n: int
     entries: Entries
 
 
 @dataclass(frozen=True, slots=True)
 class Ack:
-    """After the sync of what the batch brought. ``room`` False: nothing of it is held, come again."""
+    """Acknowledgement of a batch, sent after its records were synced. ``counts``: the sender is whole and
+    counts for a majority. ``room`` False: the sender's table is full, and the batch has to be sent again."""
 
     n: int
     counts: bool
@@ -57,7 +61,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Ask:
-    """``parts``: ranges (level, number) with the 16 sums and counts below; ``lists``: with all entries."""
+    """Question of a repair round. ``parts``: ranges (level, number), each with the sums and counts of its 16
+    parts; ``lists``: ranges, each with the digests of all its entries."""
 
     round: int
     n: int
@@ -67,8 +72,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """``differ``: ranges; ``want``: names that the asker has otherwise; ``have``: names that follow in
-    batches. ``more``: there was more than fits one answer."""
+    """Answer to an Ask. ``differ``: ranges that differ; ``want``: names whose states the asker has to send;
+    ``have``: names whose states follow in batches. ``more``: some differences did not fit."""
 
     round: int
     n: int
@@ -80,12 +85,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Pull:
+    """Request for a piece of a full copy, from the range ``cursor`` on."""
+
     cursor: int
 
 
 @dataclass(frozen=True, slots=True)
 class Piece:
-    """All entries of the ranges from ``cursor`` to before ``after``."""
+    """A piece of a full copy: all entries of the ranges from ``cursor`` up to, but not including,
+    ``after``."""
 
     cursor: int
     after: int
@@ -107,7 +115,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Held:
-    """How far the speaker's disk is: the opening of its store, and the records of it that are synced."""
+    """Position of the sender's disk: digest of its store's opening, and number of records synced."""
 
     digest: bytes
     synced: int
@@ -115,13 +123,16 @@
 
 @dataclass(slots=True)
 class Formats:
-    """Which format each peer is spoken to in: the newest, but to one whose life has spoken older ones alone.
+    """The format to send to each peer: the newest one, except to a peer whose present life has only sent
+    older ones.
 
-    What a life once spoke it reads, so two new nodes that each took the other for an older one come apart
-    again with the first Hello that is tried.
+    A life can read each format that it has sent. So two new nodes that each took the other for an older one
+    find out with the first Hello that is tried in the newest format.
     """
 
-    heard: dict[str, tuple[int, int]] = field(default_factory=dict)  # by peer: life, newest format in it
+    # By peer: life, newest format received from it.
+    heard: dict[str, tuple[int, int]] = field(default_factory=dict)
+    # By peer: Hellos sent while it only sent older formats.
     hellos: dict[str, int] = field(default_factory=dict)
 
     def hear(self, peer: str, life: int, version: int) -> None:
@@ -139,7 +150,7 @@
 
 
 def encode(message: Message, held: Held | None = None) -> bytes:
-    """In format 1 without ``held``."""
+    """Encode a message: in the newest format with ``held``, in format 1 without it."""
     made = type(message)
     told = (getattr(message, name) for name, _ in FIELDS[made])
     front = (1,) if held is None else (READS[-1], held.digest, held.synced)
@@ -148,7 +159,8 @@
 
 
 def decode(data: bytes) -> tuple[Message, Held | None]:
-    """ReplicaRecordError for what is none, or of another format."""
+    """Decode a message; the second value is None in format 1. Raises ReplicaRecordError if it cannot be read
+    or has an unknown format."""
     try:
         version, *told = msgpack.unpackb(data)
         if version not in READS:
--- a/beechrock/replica/operators.py
+++ b/beechrock/replica/operators.py
@@ -1,4 +1,4 @@
-"""What operators see of the copies, and what they can ask."""
+"""Views and commands of the replica for operators, at the admin address."""
 
 from typing import TYPE_CHECKING, Any
 
@@ -12,10 +12,11 @@
 if TYPE_CHECKING:
     from beechrock.replica.part import Replica
 
-MOST_SHOWN = 200
+MOST_SHOWN = 200  # Maximum number of records or pots in a view.
 
 
 def open_to(replica: "Replica", context: Context) -> None:
+    """Register the views and calls."""
     context.views["/replica"] = lambda: view(replica)
     context.views["/replica/diff"] = lambda: diff(replica)
     if replica.advising is not None:
@@ -31,8 +32,9 @@
 
 
 def view(replica: "Replica") -> dict[str, Any]:
-    """Lag is in records that a peer has not acknowledged; ``acked_ms`` how long the newest answer took;
-    ``memory`` is the verdict on that ``opening`` of the peer's store; its own it shows under ``store``."""
+    """Return the state of the replica and its peers. Of a peer: ``lag`` is the number of records that it has
+    not acknowledged, ``acked_ms`` how long its newest acknowledgement took, and ``memory`` this node's
+    verdict on the peer's store in that ``opening``. The opening of this node's store is under ``store``."""
     core, now, peers = replica.core, replica.clock(), dict[str, Any]()
     for name, peer in core.spread.peers.items():
         heard = core.heard[name]
@@ -112,7 +114,8 @@
 
 
 def spending(replica: "Replica") -> dict[str, Any]:
-    """Of each team and period, by the copies: what was spent less what came back."""
+    """Return by team and period what the whole fleet spent, less what was given back, as far as known
+    here."""
     found: dict[str, dict[str, float]] = {}
     for record in replica.core.table.of_kind("spending"):
         team, _, period = record.key.rpartition("\0")
@@ -131,7 +134,7 @@
 
 
 def diff(replica: "Replica") -> dict[str, Any]:
-    """Records whose values stand beside each other, or were set aside; the first 200."""
+    """Return the first MOST_SHOWN records that have conflicting values or a state that was set aside."""
     core, rows = replica.core, []
     names = core.differs()
     for name in names[:MOST_SHOWN]:
@@ -167,7 +170,7 @@
 
 
 def _wrote(replica: "Replica", what: str, name: bytes) -> dict[str, Any]:
-    """Said once here, and once a majority's disks hold it."""
+    """Log a change now, and once more when a majority's disks hold it."""
     kind, key = named(name)
     state = replica.core.table.state(name)
     dots = [str(dot) for dot in state.values] if isinstance(state, Causal) else []
@@ -186,21 +189,22 @@
 
 
 def resolve(replica: "Replica", told: dict[str, str]) -> dict[str, Any]:
-    """``value`` stands in place of all that stands there; without it, nothing does."""
+    """Replace all values of a record by ``value``; without one, delete the record."""
     kind, key = _asked(told)
     value = told["value"].encode() if "value" in told else None
     return _wrote(replica, "resolve", replica.resolve(kind, key, value))
 
 
 def pace(replica: "Replica", told: dict[str, str]) -> dict[str, Any]:
-    """The laboratory's: so many changes a second from now on."""
+    """Set the number of changes per second that the trial makes."""
     if replica.trial is not None and told.get("per_s", "").isdigit():
         replica.trial.per_s = float(told["per_s"])
     return {"per_s": replica.trial.per_s if replica.trial is not None else None}
 
 
 def verify(replica: "Replica") -> dict[str, Any]:
-    """All digests made anew from what is held, and the store read through. Takes a second for 100,000."""
+    """Recompute all digests from the records, and read the whole store. Takes a second for 100,000
+    records."""
     core, made = replica.core, Sums()
     for name, record in core.table.records.items():
         made.put(name, digest(name, pack(record.state)))
--- a/beechrock/replica/part.py
+++ b/beechrock/replica/part.py
@@ -1,7 +1,9 @@
-"""The thin actor: talk's channel ``replica``, the disk's thread, leases through agree/, and the callers.
+"""The replica as a part of its node: connects the core to the channel ``replica`` of talk/, the disk's
+thread, the leases in agree/ and its callers.
 
-For the other parts: ``put``, ``delete``, ``own``, ``get``, ``on(kind, changed)``; ``await kept(name)`` until
-a majority's disks hold it. All decisions are in ``core``, ``leases``, ``holder``, ``spending``.
+Other parts use ``put``, ``delete``, ``own``, ``get`` and ``on(kind, changed)``; ``await kept(name)`` waits
+until a majority's disks hold a change. All decisions are in ``core``, ``leases``, ``holder`` and
+``spending``.
 """
 
 import asyncio
@@ -30,11 +32,13 @@
     from beechrock.replica.advice import Advising
 
 CHANNEL = "replica"
-TICK_S = 0.05
-STILL = 5  # ticks of which one is played where nothing is due: half of what a still node cost
-GATHER_S = 0.005  # writes that come within it go in one sync
-FULL_S = 5.0  # until a disk without room is tried again
-MOST_WAITING = 65_536  # messages that wait for a sync; beyond it the oldest are not said: others ask again
+TICK_S = 0.05  # Seconds between two ticks.
+STILL = 5  # While the core is idle, only one of this many ticks runs; that halved an idle node's cost.
+GATHER_S = 0.005  # Seconds in which writes are collected for one sync.
+FULL_S = 5.0  # Seconds until a full or failing disk is tried again.
+# Maximum number of messages that wait for a sync. Beyond it the oldest are dropped; the protocol sends them
+# again.
+MOST_WAITING = 65_536
 
 
 class Replica:
@@ -67,9 +71,9 @@
         self.synced = 0
         self.more = asyncio.Event()
         self.broken: OperatorError | None = None
-        self.refused = False  # the disk did not take the newest changes
+        self.refused = False  # Whether the disk refused the newest changes.
         self.shown: tuple[Any, ...] = ()
-        self.sent: Counter[str] = Counter()  # bytes by message
+        self.sent: Counter[str] = Counter()  # Bytes by type of message.
         self.heard: Counter[str] = Counter()
         self.formats = Formats()
         self.trial: Any | None = None
@@ -84,33 +88,37 @@
     # --- for the other parts
 
     def put(self, kind: str, key: str, value: bytes) -> bytes:
-        """In place of all that this node knows of it; its name. ReplicaError: refused."""
+        """Write a value in place of all that this node knows; return the record's name. Raises ReplicaError
+        if refused."""
         return self._own(lambda: self.core.write(kind, key, value))
 
     def delete(self, kind: str, key: str) -> bytes:
-        """UnknownRecordError where there is nothing."""
+        """Delete a record; return its name. Raises UnknownRecordError if there is none."""
         return self._own(lambda: self.core.write(kind, key, None))
 
     def own(self, kind: str, key: str, value: bytes) -> bytes:
-        """Of a key that this node alone writes."""
+        """Write a record whose key only this node writes; return its name."""
         return self._own(lambda: self.core.own_change(self.core.table.own(kind, key, self.talk.life, value)))
 
     def tally(self, kind: str, key: str, spent: float, back: float) -> None:
-        """All that this start of the node spent and gave back so far."""
+        """Set the total amounts that this start of the node has spent and given back."""
         name = self.core.table.tally(kind, key, spent, back)
         if name is not None:
             self._own(lambda: self.core.own_change(name))
 
     def get(self, kind: str, key: str) -> bytes | None:
-        """The value that acts now; of several that stand beside each other by the kind's rule."""
+        """Return the value in effect, chosen by the kind's rule if there are conflicting values; None if
+        there is none."""
         return self.core.table.acting(kind, key)
 
     def on(self, kind: str, changed: Callable[[str], None]) -> None:
-        """``changed(key)`` after each change, from wherever it came; it must not block."""
+        """Call ``changed(key)`` after each change of a record of this kind, by any node; it must not
+        block."""
         self.listeners.setdefault(kind, []).append(changed)
 
     async def kept(self, name: bytes, within_s: float = 5.0) -> None:
-        """NotKeptError: no majority in time; it still spreads."""
+        """Wait until a majority's disks hold the record's present state. Raises NotKeptError after
+        ``within_s`` seconds; the change is still sent to the others."""
         done = asyncio.Event()
         waiter = self.core.when_kept(name, done.set)
         try:
@@ -126,7 +134,8 @@
             self.core.waiters.drop(waiter)
 
     def resolve(self, kind: str, key: str, value: bytes | None) -> bytes:
-        """In place of all that stands there or was set aside; None: nothing stands there then."""
+        """Replace all values of a record, and the state set aside, by one value; None deletes. Return its
+        name."""
         return self._own(lambda: self.core.resolve(kind, key, value))
 
     def _own(self, change: Callable[[], bytes]) -> bytes:
@@ -141,16 +150,16 @@
         for listener in self.listeners.get(kind, ()):
             try:
                 listener(key)
-            except Exception as error:  # of one part; the others hear of it all the same
+            except Exception as error:  # A fault in one listener must not keep the others from being called.
                 self.counters.record_error(f"replica.{kind}", error)
 
     # --- as a part of its node
 
     async def listen(self) -> None:
-        """Nothing of its own: it talks over [fleet]."""
+        """Do nothing: the replica has no socket of its own, it uses the links of [fleet]."""
 
     async def run(self) -> None:
-        """Until it is cancelled; what is broken takes no part any more, and the node serves on."""
+        """Run until cancelled. After an error the replica stops, and the node goes on serving."""
         if self.told.trial_per_s:
             from beechrock.replica.trial import Trial
 
@@ -178,7 +187,7 @@
                 self.leasing.stop()
 
     async def leave(self) -> None:
-        """Give back what is not spent; the last changes go out."""
+        """Give back the unspent amounts of all leases."""
         if self.leasing is not None and self.broken is None:
             await self.leasing.leave()
 
@@ -205,9 +214,9 @@
             self.heard[type(message).__name__] += len(data)
             self._carry(self.core.take(self.clock(), sender, message, held))
             if isinstance(message, Hello):
-                self._show()  # not at the next look: the verdict may be another one by then
-                # Seen where nothing was written meanwhile: a peer that began anew had forgotten whom it had
-                # believed, and took its good memory for another's.
+                self._show()  # Logged now, as the verdict may have changed by the next tick.
+                # A new mark has to be saved even if nothing else is written. Otherwise this node would not
+                # know the peer's accepted store after a restart, and take it for another one.
                 if self.disk.heard:
                     self.more.set()
         except ReplicaError as error:
@@ -215,11 +224,11 @@
                 return self._break(error)
             self._refuse()
         except StoreError:
-            self._refuse()  # a mark that is none
+            self._refuse()  # The message held an invalid mark.
 
     def _refuse(self) -> None:
         self.counters.add("replica.refused")
-        self.core.refused += 1  # seen: `refused` of the view told nothing of a peer of another format
+        self.core.refused += 1  # So that ``refused`` in the view also counts messages of an unknown format.
 
     def _carry(self, said: list[Say]) -> None:
         for one in said:
@@ -240,7 +249,7 @@
         elif name == "Batch":
             self.core.spread.unsent(to, message.n, self.clock())  # type: ignore[union-attr]
 
-    # --- the disk, one thing at a time
+    # --- the disk, one operation at a time
 
     async def _writes(self) -> None:
         while self.broken is None:
@@ -262,12 +271,12 @@
             self.waiting = [one for one in self.waiting if one.after > self.synced]
             for one in out:
                 self._say(one.to, one.message)
-            self._carry(self.core.tick(self.clock()))  # own changes go out at once
+            self._carry(self.core.tick(self.clock()))  # Sends own changes without waiting for the next tick.
             if self.disk.long:
                 await self._compact()
 
     async def _refused(self, error: StoreFullError | StoreFailedError) -> None:
-        """The disk did not take what was noted: a snapshot makes room in a full store, else it is tried
+        """Handle a failed write or sync: make room in a full store by a snapshot, or else wait and try
         again."""
         self.refused = True
         self.counters.add("replica.disk_full")
@@ -277,14 +286,15 @@
             self.more.set()
 
     async def _compact(self) -> bool:
-        """What changes meanwhile is noted after it; what waits to be written is written behind it."""
+        """Write a snapshot in place of the log; return whether it was written. Changes made meanwhile are
+        logged after it."""
         index, parts, aside = self.disk.store.last, list[bytes](), len(self.core.aside)
-        noted = len(self.disk.pending)  # of a full disk: the snapshot has them
+        noted = len(self.disk.pending)  # Entries that a full disk refused: the snapshot contains them.
         for part in journal.snapshot(self.core):
             parts.append(part)
             await asyncio.sleep(0)
             if self.core.reset or len(self.core.aside) > aside:
-                return False  # records were set aside under way: the next one is whole again
+                return False  # Records were set aside meanwhile, so this snapshot would be inconsistent.
         try:
             await asyncio.to_thread(self.disk.save, index, parts)
         except (StoreFullError, StoreFailedError) as error:
@@ -294,10 +304,10 @@
         self.more.set()
         return True
 
-    # --- what is seen of it
+    # --- events
 
     def _show(self) -> None:
-        """An event for each turn of the stage, and when all is told for what is held."""
+        """Log each change of the stage, and each change in which peers' stores are older than known."""
         stage = self.core.catchup.stage.value
         if self.shown[:1] != (stage,):
             logs.event(
@@ -306,7 +316,8 @@
                 forgot=self.core.catchup.forgot,
                 records=len(self.core.table.records),
             )
-        # With its opening: one that came back older twice within a second is told of twice.
+        # Compared with the openings, so that a peer that came back older twice within a second is logged
+        # twice.
         older = sorted(
             (o, heard.opening) for o, heard in self.core.heard.items() if heard.verdict in ("older", "other")
         )
@@ -315,13 +326,14 @@
         self.shown = (stage, older)
 
     def spent(self, team: str, period: int, spent: float, back: float) -> None:
-        """Into the copies, and the history."""
+        """Record and log the total amounts that this start of the node has spent and given back in a
+        period."""
         self.tally("spending", spending_key(team, period), spent, back)
         logs.event("budget.spent", team=team, period=period, spent=spent, back=back, life=self.talk.life)
 
 
 def begin(told: object, context: Context) -> Replica:
-    """ReplicaError without [fleet]; StoreError for a folder that cannot be used."""
+    """Return the part. Raises ReplicaError without [fleet], and StoreError if its folder cannot be used."""
     assert isinstance(told, Told)
     if "fleet" not in context.parts:
         raise ReplicaError("[fleet] is not enabled", where="replica", do="enable [fleet], or not [replica]")
--- a/beechrock/replica/priors.py
+++ b/beechrock/replica/priors.py
@@ -1,42 +1,43 @@
-"""How much of others' observations a newcomer begins with, and when it drops them. Pure.
+"""How a node that has just started uses the observations of other nodes, and when it drops them. Pure.
 
-A prior is a value with what it rests on: samples, age, and the health of its giver. Its weight counts as so
-many samples of one's own, at most MOST_WEIGHT, so that a handful of own ones outvotes it; it fades with age,
-and is dropped after ENOUGH own samples or where they contradict it. Who knows nothing takes the cautious
-value, with or without advice, until the estimate says otherwise.
+A prior is a value with its evidence: number of samples, age, and the health of its giver. Its weight counts
+as that many own samples, at most MOST_WEIGHT, so a few own samples outweigh it. The weight decreases with
+age, and becomes 0 after ENOUGH own samples or when they contradict the prior. Without samples or a prior,
+the estimate is the cautious value.
 
-Invariants: no weight over MOST_WEIGHT; a giver that is slow or not whole weighs nothing; age is counted by
-the receiver's clock from when the word came, on top of what the giver told, never by comparing wall clocks;
-the estimate lies between the least and the most of what it is made of; with no prior left it is one's own.
+Invariants: no weight exceeds MOST_WEIGHT; a giver that is slow or not whole has weight 0; the age is the one
+that the giver reported plus the time since the report came by the receiver's clock, so wall clocks are never
+compared; the estimate lies between the smallest and the largest of the values that it combines.
 """
 
 import math
 from dataclasses import dataclass
 
-MOST_WEIGHT = 8.0  # own samples that the best advice is worth
-HALF_LIFE_S = 60.0
-OLD_S = 300.0  # older advice weighs nothing
-ENOUGH = 32  # own samples
-APART = 2.0  # factor between own mean and a prior; beyond it, after DOUBT samples, it is dropped
-DOUBT = 3
-FULL_SAMPLES = 100.0  # so many of the giver's are full worth
-SLOW = 1.5  # a giver whose loop takes so many times its usual times is no witness
-MOST_GIVERS = 64
+MOST_WEIGHT = 8.0  # Weight of the best advice, in own samples.
+HALF_LIFE_S = 60.0  # Age at which the weight has halved, in seconds.
+OLD_S = 300.0  # Age above which advice has no weight, in seconds.
+ENOUGH = 32  # Number of own samples after which a prior is dropped, and over which the mean is formed.
+APART = 2.0  # Factor between the own mean and a prior above which, after DOUBT samples, the prior is dropped.
+DOUBT = 3  # Number of own samples that can contradict a prior.
+FULL_SAMPLES = 100.0  # Number of a giver's samples for full weight.
+SLOW = 1.5  # Ratio of a giver's loop interval to its usual one above which its advice has no weight.
+MOST_GIVERS = 64  # Maximum number of advices combined.
 
 
 @dataclass(frozen=True, slots=True)
 class Advice:
-    """What a giver learned of one thing: ``age_s`` as it told, plus the time since it came."""
+    """A value observed by another node."""
 
-    giver: str
+    giver: str  # Name of the node.
     value: float
     samples: int
-    age_s: float
-    slowness: float = 1.0  # of its own loop against its usual; 1.0: well
-    whole: bool = True
+    age_s: float  # Age in seconds: as reported, plus the time since the report came.
+    slowness: float = 1.0  # Ratio of the giver's loop interval to its usual one; 1.0 if healthy.
+    whole: bool = True  # Whether the giver's records are complete.
 
     @property
     def weight(self) -> float:
+        """Weight of the value, in own samples; 0 if it can't be relied on."""
         sound = (
             self.whole
             and self.slowness <= SLOW
@@ -52,16 +53,17 @@
 
 @dataclass(slots=True)
 class Estimate:
-    """One value that a newcomer has to begin with; ``cautious`` is what it would begin with alone."""
+    """An estimate of one value, from advice and own samples."""
 
-    cautious: float
-    prior: float = 0.0
-    weight: float = 0.0
-    mean: float = 0.0  # of its own
-    samples: int = 0
+    cautious: float  # Estimate without advice and samples.
+    prior: float = 0.0  # Value from advice.
+    weight: float = 0.0  # Weight of the prior, in own samples.
+    mean: float = 0.0  # Mean of the own samples.
+    samples: int = 0  # Number of own samples.
 
     def advise(self, told: list[Advice]) -> None:
-        """The median of sound givers by weight: one that is wrong among three does not count."""
+        """Set the prior to the weighted median of the advice, so that one wrong giver of three has no
+        effect."""
         sound = sorted((one for one in told[:MOST_GIVERS] if one.weight > 0), key=lambda one: one.value)
         self.weight = max((one.weight for one in sound), default=0.0)
         half, below = sum(one.weight for one in sound) / 2, 0.0
@@ -84,12 +86,12 @@
 
     @property
     def value(self) -> float:
-        """What to go by now."""
+        """The present estimate."""
         if not self.samples and not self.weight:
             return self.cautious
         own = min(self.samples, ENOUGH)
         if not self.weight:
-            # Alone too, a newcomer goes from caution to its own mean as samples come.
+            # Without advice, the estimate moves from the cautious value to the mean over DOUBT samples.
             trust = min(1.0, own / DOUBT)
             return self.cautious + trust * (self.mean - self.cautious)
         return (self.prior * self.weight + self.mean * own) / (self.weight + own)
--- a/beechrock/replica/records.py
+++ b/beechrock/replica/records.py
@@ -1,9 +1,11 @@
-"""The state of a record, by its kind, and how two states become one. Pure.
+"""The state types of records, and how two states merge. Pure.
 
-A writer is one start of a node: ``NAME/`` and random hexadecimals. A *dot* is a writer and its count.
+A writer is one start of a node, named ``NAME/`` and random hexadecimal digits. A *dot* is a writer and the
+number of one of its writes.
 
-Invariants: ``merge`` is commutative, associative and idempotent; it never takes away a count, or a value that
-the other had not seen; a value that a context covers and that stands on one side only is gone on both.
+Invariants: ``merge`` is commutative, associative and idempotent; it never lowers a count, nor removes a
+value that the other state had not seen; a value that only one state has, and the other's context covers, is
+removed.
 """
 
 from collections.abc import Iterable, Mapping
@@ -14,11 +16,14 @@
 
 from beechrock.replica.errors import BrokenInvariantError, ReplicaFullError, ReplicaRecordError
 
-MOST_WRITERS = 64  # in a context or tally that is written to; merging two may give as many again
-MOST_VALUE = 16_384  # bytes of one value
+# Maximum number of writers in a context or tally that is written to; a merge of two may have twice as many.
+MOST_WRITERS = 64
+MOST_VALUE = 16_384  # Maximum size of a value, in bytes.
 
 
 class Dot(NamedTuple):
+    """Identifies one write."""
+
     writer: str
     n: int
 
@@ -28,7 +33,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Tally:
-    """``counts``: writer to what it spent and what it gave back of that, both only ever growing."""
+    """Spending of one period. ``counts``: by writer, the total amounts spent and given back, which only
+    grow."""
 
     counts: Mapping[str, tuple[float, float]]
 
@@ -40,7 +46,8 @@
         return Tally(counts)
 
     def count(self, writer: str, spent: float, back: float) -> "Tally":
-        """This writer's counts so far. BrokenInvariantError: they fall, or more came back than went."""
+        """Return the tally with a writer's new totals. Raises BrokenInvariantError if one decreases, or if
+        more was given back than spent, and ReplicaFullError if there are too many writers."""
         before = self.counts.get(writer, (0.0, 0.0))
         if spent < before[0] or back < before[1] or back > spent + 1e-9:
             raise BrokenInvariantError(
@@ -66,7 +73,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Causal:
-    """``values``: dot to value, None for a delete; ``seen``: of each writer all up to there was known."""
+    """A value that several nodes may write, with causality. ``values``: values by dot, None for a delete;
+    several dots are conflicting writes. ``seen`` (the context): by writer, the number up to which its writes
+    are known."""
 
     values: Mapping[Dot, bytes | None]
     seen: Mapping[str, int]
@@ -88,15 +97,15 @@
         return Causal(values, seen)
 
     def write(self, dot: Dot, value: bytes | None) -> "Causal":
-        """In place of all that stands here; None deletes."""
+        """Return the state with one value in place of all present ones; None deletes."""
         if self.seen.get(dot.writer, 0) >= dot.n:
             raise BrokenInvariantError(
                 f"{dot} is written twice", where="a causal record", wanted="a count above all of its writer"
             )
         seen = {**self.seen, dot.writer: dot.n}
         if len(seen) > MOST_WRITERS:
-            # What goes is remembered by nobody: an old copy of it would stand beside this one again, and is
-            # shown. The writers of what stands stay.
+            # The writers with the lowest numbers are forgotten, except those of the present values. An old
+            # copy of a forgotten write would reappear as a conflicting value, which operators see.
             stay = {one.writer for one in self.values} | {dot.writer}
             gone = sorted((n, w) for w, n in seen.items() if w not in stay)[: len(seen) - MOST_WRITERS]
             seen = {w: n for w, n in seen.items() if (n, w) not in gone}
@@ -127,7 +136,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Own:
-    """Of one node alone: ``life`` and ``n`` order its words; the value breaks a tie that cannot be."""
+    """A value that only one node writes. ``life`` and ``n`` order its writes; the value breaks a tie, which
+    a correct node never makes."""
 
     life: int
     n: int
@@ -149,13 +159,13 @@
 
 
 def pack(state: State) -> bytes:
-    """The same bytes for the same state, whatever way it came about."""
+    """Encode a state; equal states give equal bytes."""
     data: bytes = msgpack.packb(state.plain())
     return data
 
 
 def unpack(made: type[Tally] | type[Causal] | type[Own], data: bytes) -> State:
-    """ReplicaRecordError for what is none of that type."""
+    """Decode a state. Raises ReplicaRecordError if it is not one of that type."""
     try:
         return made.of_plain(msgpack.unpackb(data))
     except (ValueError, TypeError, AttributeError, KeyError, msgpack.UnpackException) as error:
@@ -167,7 +177,7 @@
 
 
 def merge(a: State, b: State) -> State:
-    """ReplicaRecordError where they are of two types."""
+    """Merge two states. Raises ReplicaRecordError if their types differ."""
     match a, b:
         case (Tally(), Tally()) | (Causal(), Causal()) | (Own(), Own()):
             return a.merge(b)  # type: ignore[arg-type]
--- a/beechrock/replica/repair.py
+++ b/beechrock/replica/repair.py
@@ -1,9 +1,11 @@
-"""A round of repair with one peer: digests of ranges, from the root down to lists of names. Pure.
+"""A repair round with one peer: compares digests of ranges, from the root down to lists of names. Pure.
 
-States of a round: ASKING (ranges are open or an answer is awaited), CLOSING (what each side lacks is under
-way), then done. Events: ``ask``, ``answered``, ``acked``, ``came``; given up without a step for STILL_S.
-Invariants: one round at a time; one that is done has compared each range that differed when it began; what
-this node held at its begin (``upto``) is then held by the peer, and what the peer had is here.
+States of a round: ASKING (ranges are open or an answer is awaited), CLOSING (the records that each side
+lacks are being sent), done. Events: ``ask``, ``answered``, ``acked``, ``came``. A round is given up after
+STILL_S without progress.
+Invariants: one round at a time; a round that is done and ``clean`` has compared each range that differed
+when it began; the peer then holds what this node held at the start (``upto``), and this node holds what the
+peer had.
 """
 
 from dataclasses import dataclass, field
@@ -12,25 +14,27 @@
 from beechrock.replica.messages import Answer, Ask
 from beechrock.replica.sums import WAYS, Range, Sums
 
-STILL_S = 5.0
-ASK_PARTS, ASK_NAMES = 32, 1024  # ranges, and names of lists, in one question
-MOST_PUSHED = 4096  # names that an answer sets under way; the rest is of a later round
-LISTED = 4  # times as many as listed: tell the parts instead
+STILL_S = 5.0  # Seconds without progress after which a round is given up.
+ASK_PARTS, ASK_NAMES = 32, 1024  # Maximum number of ranges, and of listed names, in one question.
+MOST_PUSHED = 4096  # Maximum number of names in an answer; a later round finds the rest.
+LISTED = 4  # Unused.
 
 
 @dataclass(slots=True)
 class Round:
+    """One repair round."""
+
     peer: str
-    number: int
-    upto: int  # this node's count of changes when it began
-    step_s: float
-    open: list[Range] = field(default_factory=lambda: [(0, 0)])
-    n: int = 0
-    awaits: bool = False
-    wanted: set[bytes] = field(default_factory=set)  # sent to the peer, not yet acknowledged
-    coming: set[bytes] = field(default_factory=set)  # of the peer, not yet here
-    clean: bool = True  # False: there was more than one answer holds
-    found: int = 0  # names that differed
+    number: int  # Number of the round.
+    upto: int  # This node's number of changes when the round began.
+    step_s: float  # Time of the last progress, in monotonic seconds.
+    open: list[Range] = field(default_factory=lambda: [(0, 0)])  # Ranges still to be compared.
+    n: int = 0  # Number of questions asked.
+    awaits: bool = False  # Whether an answer is awaited.
+    wanted: set[bytes] = field(default_factory=set)  # Names to send to the peer that it has not acknowledged.
+    coming: set[bytes] = field(default_factory=set)  # Names that the peer sends and that have not arrived.
+    clean: bool = True  # Whether every answer held all differences.
+    found: int = 0  # Number of names that differed.
 
     @property
     def done(self) -> bool:
@@ -40,7 +44,7 @@
         return now - self.step_s > STILL_S
 
     def ask(self, sums: Sums) -> Ask | None:
-        """The next question, where none is open."""
+        """Return the next question, or None while an answer is awaited or nothing is left to ask."""
         if self.awaits or not self.open:
             return None
         parts: list[Any] = []
@@ -59,7 +63,7 @@
         return Ask(self.number, self.n, parts, lists)
 
     def answered(self, now: float, told: Answer) -> bool:
-        """False: it is of no open question."""
+        """Process an answer. Return False if it answers no open question."""
         if told.round != self.number or told.n != self.n or not self.awaits:
             return False
         self.awaits, self.step_s = False, now
@@ -82,7 +86,8 @@
 
 
 def answer(sums: Sums, told: Ask) -> Answer:
-    """Of the one that is asked, which pushes what it has. ValueError, TypeError for ranges that are none."""
+    """Answer a peer's question; the caller then sends the records named in ``have``. Raises ValueError or
+    TypeError for invalid ranges."""
     differ: list[Any] = []
     want: list[bytes] = []
     have: list[bytes] = []
--- a/beechrock/replica/spending.py
+++ b/beechrock/replica/spending.py
@@ -1,10 +1,11 @@
-"""What the decision module is told of budgets: this node's lease of each, in place of a fixed part. Pure.
+"""Gives the decision module this node's lease of each budget, in place of a fixed share. Pure.
 
-The module counts spending by periods of its own clock and divides a budget by ``fleet_size``; so it is told
-the lease's amount times that. A part of nothing is told as NOTHING, since 0 means no budget there.
+The module counts spending by periods of its own clock and divides a budget by ``fleet_size``, so it gets the
+lease's amount times that. A share of zero is given as NOTHING, because 0 means that there is no budget.
 
-Invariants: before each batch that the module decides, its settings hold no more than the lease's cap of the
-batch's own period, looked at in that moment: after a pause, or a period's end, before any request is decided.
+Invariant: before each batch that the module decides, its settings hold no more than the lease's cap for the
+period of that batch, evaluated at that moment. So after a pause, or at a period's end, the cap is lowered
+before any request is decided.
 """
 
 import math
@@ -17,11 +18,11 @@
 from beechrock.replica.holder import Holder
 from beechrock.replica.leases import PotKey
 
-NOTHING = 1e-12
+NOTHING = 1e-12  # Stands for a budget of zero.
 
 
 class Deciding(Protocol):
-    """Of the decision module: its settings and what each tenant has spent, in which period."""
+    """The decision module as used here: its settings, and what each tenant has spent in which period."""
 
     @property
     def settings(self) -> api.Settings:
@@ -32,7 +33,8 @@
 
 
 def pot_of(tenant: api.TenantSettings, now: float) -> PotKey | None:
-    """None: no budget. Periods count from 1: without a length there is one."""
+    """Return the pot of a tenant at this time, or None without a budget. Periods count from 1; a budget
+    without a period has only that one."""
     if not tenant.budget or not tenant.name:
         return None
     period_s = tenant.budget_period_s or math.inf
@@ -42,26 +44,28 @@
 @dataclass(slots=True)
 class Spending:
     holder: Holder
-    clock: Callable[[], float]  # that of leases
-    may: Callable[[], bool]  # whether this node may spend at all
-    number: Callable[[], int]  # of the agreed inventory, if that is this node's; else 0
-    told: api.Settings | None = None  # with whole budgets, as the inventory has them
-    fresh: bool = True  # a cap may have changed
-    until_s: float = -math.inf  # end of the first period, by the module's clock
-    from_s: float = -math.inf  # the latest begin of one
-    # Of each team and period: all that was spent and given back; and how much of it before the module's
-    # count, which begins anew with each period, also with one that a clock that went back begins again.
+    clock: Callable[[], float]  # The clock of the leases.
+    may: Callable[[], bool]  # Returns whether this node may spend at all.
+    number: Callable[[], int]  # Returns the agreed inventory's generation if this node runs it, else 0.
+    told: api.Settings | None = None  # The inventory's settings, with whole budgets.
+    fresh: bool = True  # Whether a cap may have changed since the last settings.
+    until_s: float = -math.inf  # Earliest end of a current period, by the module's clock.
+    from_s: float = -math.inf  # Latest start of a current period, by the module's clock.
+    # By team and period: the total amounts spent and given back.
     went: dict[tuple[str, int], tuple[float, float]] = field(default_factory=dict)
+    # By team and period: the net amount spent before the module's present count. The module starts a new
+    # count with each period, even one that it enters again because its clock went back.
     base: dict[tuple[str, int], float] = field(default_factory=dict)
-    last: dict[str, tuple[int, float]] = field(default_factory=dict)  # team: the module's period and count
+    # By team: the module's period and count.
+    last: dict[str, tuple[int, float]] = field(default_factory=dict)
 
     def settings(self, now: float, told: api.Settings) -> api.Settings:
-        """New ones of the inventory, or of the start; whole budgets in, parts out."""
+        """Take new settings from the inventory, with whole budgets; return them with this node's shares."""
         self.told = told
         return self._parts(now, told)
 
     def due(self, now: float, node: Deciding) -> api.Settings | None:
-        """Before each batch: new settings, if any part is another."""
+        """Return new settings if any share has changed, else None. Called before each batch."""
         ended = self.holder.look(self.clock())
         if self.told is None or not (ended or self.fresh or not self.from_s <= now < self.until_s):
             return None
@@ -92,7 +96,7 @@
         return replace(told, tenants=tuple(tenants))
 
     def _part(self, pot: PotKey) -> float:
-        """By the module's own count."""
+        """Return the share of a pot that the module may reach in its own count, which started at ``base``."""
         if pot not in self.holder.current:
             return 0.0
         one, place = self.holder.holdings[pot], pot[1:]
@@ -105,7 +109,8 @@
         return spent - back
 
     def note(self, now: float, node: Deciding) -> list[tuple[str, int, float, float]]:
-        """What was spent since, for the holder; for the copies: team, period, all spent, all given back."""
+        """Read what the module has spent, and report it to the holder. Return the changed totals for the
+        records: team, period, amounts spent and given back."""
         if self.told is None:
             return []
         changed = []
@@ -128,7 +133,7 @@
         return changed
 
     def _forget(self) -> None:
-        """Of periods that the holder has forgotten, and so never spends in again."""
+        """Drop the totals of periods that the holder has forgotten, in which nothing can be spent again."""
         for place in [
             one for one in self.went.keys() | self.base.keys() if one[1] <= self.holder.floors.get(one[0], 0)
         ]:
--- a/beechrock/replica/spread.py
+++ b/beechrock/replica/spread.py
@@ -1,13 +1,14 @@
-"""What each peer still has to hear: pushes in bounded batches, acknowledged, what limits spending first.
+"""Sends changed records to each peer in bounded, acknowledged batches, by priority. Pure.
 
-For each peer a set of names, not of changes: what changed twice goes once, so a peer that is away costs a
-name for each record that it lacks, at most MOST_DIRTY; beyond that it is BEHIND, and repair finds the rest.
+For each peer there is a set of record names, not a queue of changes. A record that changed twice is sent
+once, so an absent peer costs one name for each record that it lacks, up to MOST_DIRTY names. Beyond that it
+is BEHIND, and repair finds the rest.
 
-States of a peer: LEVEL (nothing to tell), TELLING (names wait or are under way), BEHIND.
-Events: ``changed``, ``batches`` (time), ``acked``, ``lost`` (a new life, or its memory is another).
-Invariants: a name is waiting or under way until an acknowledgement of that count; at most WINDOW batches and
-WINDOW_BYTES are under way to a peer; no peer's state depends on another's.
-Pure.
+States of a peer: LEVEL (nothing to send), SENDING (names are waiting or in flight), BEHIND.
+Events: ``changed``, ``batches`` (time), ``acked``, ``lost`` (the peer may have lost records).
+Invariants: the name of a changed record is waiting or in flight until that change is acknowledged, unless
+the peer is BEHIND; at most WINDOW batches are in flight to a peer, each bounded by BATCH_NAMES and, beyond
+its first entry, by BATCH_BYTES; no peer's state depends on another's.
 """
 
 from collections.abc import Callable, Iterable
@@ -15,54 +16,61 @@
 
 from beechrock.replica.errors import BrokenInvariantError
 
-MOST_DIRTY = 65_536
-BATCH_BYTES, BATCH_NAMES = 65_536, 512
-WINDOW = 4
-AGAIN_S, MOST_AGAIN_S = 1.0, 10.0
-FULL_S = 0.5  # a peer without room is asked again after it
-PRIORITIES = 8
+MOST_DIRTY = 65_536  # Maximum number of names waiting for a peer.
+BATCH_BYTES, BATCH_NAMES = 65_536, 512  # Maximum size of a batch, in bytes and in records.
+WINDOW = 4  # Maximum number of batches in flight to a peer.
+AGAIN_S, MOST_AGAIN_S = 1.0, 10.0  # Seconds until a batch is sent again: first, and at most after doublings.
+FULL_S = 0.5  # Seconds until the next batch to a peer whose table, or whose link's queue, was full.
+PRIORITIES = 8  # Number of priorities of records; 0 is sent first.
 
 
 @dataclass(slots=True)
 class Batch:
+    """A batch to send."""
+
     peer: str
-    n: int
-    names: dict[bytes, int]  # with the count of their last change
-    entries: list[tuple[bytes, bytes]]
+    n: int  # Number of the batch.
+    names: dict[bytes, int]  # By name: number of the record's last change.
+    entries: list[tuple[bytes, bytes]]  # Each: name, packed state.
 
 
 @dataclass(slots=True)
 class Peer:
+    """What has to be sent to one peer."""
+
     name: str
+    # By priority: names to send, each with the number of the record's last change.
     waiting: list[dict[bytes, int]] = field(default_factory=lambda: [{} for _ in range(PRIORITIES)])
+    # By batch number: when it was sent, in monotonic seconds, and its names.
     flight: dict[int, tuple[float, dict[bytes, int]]] = field(default_factory=dict)
-    behind: bool = True  # until a repair has shown what it holds
-    again_s: float = AGAIN_S
-    not_before: float = float("-inf")
-    last_lag_s: float = 0.0
+    behind: bool = True  # Whether the peer may lack records that are not queued; ended by a repair round.
+    again_s: float = AGAIN_S  # Seconds until a batch in flight is sent again.
+    not_before: float = float("-inf")  # Earliest time of the next batch, in monotonic seconds.
+    last_lag_s: float = 0.0  # Seconds between the last acknowledged batch and its acknowledgement.
 
     @property
     def lag(self) -> int:
-        """Records that it has not acknowledged, as far as known."""
+        """Number of queued records that the peer has not acknowledged."""
         return sum(map(len, self.waiting)) + sum(len(names) for _, names in self.flight.values())
 
 
 @dataclass(slots=True)
 class Spread:
-    base: int  # numbers of this start begin above it, so that no late word fits
+    base: int  # Batch numbers start above it, so that no late acknowledgement of an earlier life fits.
     peers: dict[str, Peer]
-    entry: Callable[[bytes], tuple[bytes, int] | None]  # packed state and count of its last change
-    priority: Callable[[bytes], int]
-    n: int = 0
+    entry: Callable[[bytes], tuple[bytes, int] | None]  # Returns packed state and number of the last change.
+    priority: Callable[[bytes], int]  # Returns the priority of a record by its name.
+    n: int = 0  # Number of batches made.
     most_dirty: int = MOST_DIRTY
 
     def changed(self, name: bytes, seq: int, but: str = "") -> None:
-        """To all but the one who told it."""
+        """Queue a changed record for all peers except ``but``."""
         for peer in self.peers.values():
             if peer.name != but:
                 self.owe(peer.name, name, seq)
 
     def owe(self, to: str, name: bytes, seq: int) -> None:
+        """Queue a record for one peer. If its queue is full, clear it and leave the rest to repair."""
         peer = self.peers[to]
         if sum(map(len, peer.waiting)) >= self.most_dirty:
             for waiting in peer.waiting:
@@ -71,7 +79,7 @@
         peer.waiting[min(self.priority(name), PRIORITIES - 1)][name] = seq
 
     def batches(self, now: float) -> list[Batch]:
-        """What may go out now."""
+        """Return the batches to send now."""
         made = []
         for peer in self.peers.values():
             self._again(peer, now)
@@ -94,7 +102,7 @@
                     size = BATCH_BYTES
                     break
                 del waiting[name]
-                if found is not None:  # else dropped meanwhile: nothing is owed
+                if found is not None:  # A record that was dropped meanwhile is not sent.
                     names[name] = found[1]
                     entries.append((name, found[0]))
                     size += len(name) + len(found[0])
@@ -118,15 +126,15 @@
                 self.owe(peer.name, name, found[1])
 
     def unsent(self, to: str, n: int, now: float) -> None:
-        """The link had no room."""
+        """Queue a batch again because the link's queue was full."""
         peer = self.peers[to]
         if n in peer.flight:
             self._back(peer, peer.flight.pop(n)[1])
         peer.not_before = now + FULL_S
 
     def acked(self, by: str, n: int, room: bool, now: float) -> dict[bytes, int]:
-        """What it holds now, with counts; empty for a number that is not under way. Without room it holds
-        nothing of it."""
+        """Process an acknowledgement. Return the names that the peer now holds, with their change numbers:
+        none if the batch is not in flight. Without ``room`` the batch is queued again."""
         peer = self.peers[by]
         if n not in peer.flight:
             return {}
@@ -139,7 +147,7 @@
         return names
 
     def lost(self, who: str) -> None:
-        """It may have forgotten what it acknowledged."""
+        """Mark a peer as behind, because it may have lost records that it acknowledged."""
         peer = self.peers[who]
         for _, names in list(peer.flight.values()):
             self._back(peer, names)
--- a/beechrock/replica/sums.py
+++ b/beechrock/replica/sums.py
@@ -1,44 +1,47 @@
-"""A tree of digests over ranges of key hashes: what differs is found at a cost that follows the difference.
+"""A tree of digests over ranges of key hashes. Finding the records that differ between two nodes costs in
+proportion to their number. Pure.
 
-A key's place is the first 16 bits of its hash, 65,536 ranges; four levels above it, 16 ways each. A sum is
-the sum of the entries' digests, so a change costs five additions. A range is named by its level and number.
-Pure.
+A name's place is the first 16 bits of its hash, which gives 65,536 ranges; above them are four levels with
+16 parts to a range. The sum of a range is the sum of its entries' digests, so a change costs five additions.
+A range is identified by its level and its number there.
 
-Invariants: a sum is that of the entries below it, and so the same however they came about; ``entries`` and
-the root's count agree.
+Invariants: a range's sum is that of the entries in it, and so doesn't depend on the order of changes; the
+root's count is the number of entries.
 """
 
 from dataclasses import dataclass, field
 
 from blake3 import blake3
 
-WAYS, DEPTH = 16, 4
-RANGES = WAYS**DEPTH
-MASK = (1 << 128) - 1
-LIST = 64  # a range with so few entries is listed in place of its parts
+WAYS, DEPTH = 16, 4  # Number of parts of a range, and of levels below the root.
+RANGES = WAYS**DEPTH  # Number of ranges on the lowest level.
+MASK = (1 << 128) - 1  # Sums have 128 bits.
+LIST = 64  # Maximum number of entries of a range that is listed by names instead of compared by parts.
 
-Range = tuple[int, int]  # level 0 to DEPTH, number on that level
-Summed = tuple[int, int]  # sum of digests, entries
+Range = tuple[int, int]  # Level from 0 to DEPTH, number on that level.
+Summed = tuple[int, int]  # Sum of digests, number of entries.
 
 
 def place(ident: bytes) -> int:
-    """Of a record's name (kind and key)."""
+    """Return the lowest-level range of a record's name (kind and key)."""
     return int.from_bytes(blake3(ident).digest(2))
 
 
 def digest(ident: bytes, state: bytes) -> int:
+    """Return the digest of a record: its name and packed state."""
     return int.from_bytes(blake3(ident + b"\0" + state).digest(16))
 
 
 @dataclass(slots=True)
 class Sums:
-    """``levels``: sums by number, sparse; ``leaves``: by range the entries' digests."""
+    """The tree. ``levels``: for each level, the sums of non-empty ranges by number; ``leaves``: by
+    lowest-level range, the entries' digests by name."""
 
     levels: list[dict[int, Summed]] = field(default_factory=lambda: [{} for _ in range(DEPTH + 1)])
     leaves: dict[int, dict[bytes, int]] = field(default_factory=dict)
 
     def put(self, ident: bytes, value: int | None) -> None:
-        """The digest of this entry's state; None: it is out of the tree."""
+        """Set an entry's digest; None removes it from the tree."""
         at = place(ident)
         before = self.leaves.get(at, {}).get(ident)
         if value == before:
@@ -60,6 +63,7 @@
             at //= WAYS
 
     def of(self, one: Range) -> Summed:
+        """Return the sum and the number of entries of a range."""
         return self.levels[one[0]].get(one[1], (0, 0))
 
     @property
@@ -71,7 +75,7 @@
         return [self.of((level + 1, number * WAYS + n)) for n in range(WAYS)]
 
     def listed(self, one: Range) -> dict[bytes, int]:
-        """All entries of a range, by name."""
+        """Return the digests of all entries in a range, by name."""
         return {ident: value for at in self._ranges(one) for ident, value in self.leaves.get(at, {}).items()}
 
     def _ranges(self, one: Range) -> list[int]:
@@ -84,11 +88,11 @@
         )
 
     def small(self, one: Range) -> bool:
-        """To be listed, and not to be asked for its parts."""
+        """Whether a range is listed by names instead of compared by parts."""
         return one[0] == DEPTH or self.of(one)[1] <= LIST
 
     def compare(self, one: Range, parts: list[Summed]) -> list[Range]:
-        """Which parts of a range differ from another's."""
+        """Return the parts of a range that differ from another node's."""
         level, number = one
         return [
             (level + 1, number * WAYS + n)
@@ -97,7 +101,8 @@
         ]
 
     def lacks(self, one: Range, told: dict[bytes, int]) -> tuple[list[bytes], list[bytes]]:
-        """Of a listed range: what the other has otherwise or alone; what this one has so."""
+        """Compare a range with another node's list of it. Return the names whose entries there are missing or
+        different here, and those whose entries here are missing or different there."""
         mine = self.listed(one)
         return (
             [ident for ident, value in told.items() if mine.get(ident) != value],
--- a/beechrock/replica/table.py
+++ b/beechrock/replica/table.py
@@ -1,11 +1,11 @@
-"""All records of a node: what a change or another's copy does to them. Pure.
+"""All records of a node: own writes, and merges with the states that other nodes send. Pure.
 
-A deleted record is a tombstone: FRESH (in the digests, spread as others are) until all peers hold it, then
-SETTLED (out of the digests, in a bounded memory that turns away what it covers). So a tombstone that one has
-dropped and another has not makes no difference to repair for ever.
+A deleted record is a tombstone: FRESH (in the digests, sent like other records) until all peers hold it,
+then SETTLED (out of the digests, in a bounded memory that rejects the states it covers). So a tombstone that
+one node has dropped and another has not doesn't appear as a difference in every repair round.
 
-Invariants: a record's state only grows by merging; digests are those of what is held; a settled tombstone
-stands beside no record of its name; both kinds of tombstones are bounded.
+Invariants: a record's state only grows by merging; the digests are those of the records held; no record has
+the name of a settled tombstone; both kinds of tombstones are bounded.
 """
 
 from collections.abc import Callable, Iterator
@@ -27,15 +27,17 @@
 from beechrock.replica.sums import Sums, digest, place
 
 MOST_RECORDS = 1 << 20
-MOST_FRESH, MOST_SETTLED = 65_536, 65_536
-KEEP_PERIODS = 4  # of a team's spending; older ones are dropped by all
+MOST_FRESH, MOST_SETTLED = 65_536, 65_536  # Maximum numbers of fresh and of settled tombstones.
+KEEP_PERIODS = 4  # Number of periods of a team's spending that are kept; all nodes drop older ones.
 
 
 def ident(kind: str, key: str) -> bytes:
+    """Return the name of a record."""
     return f"{kind}\0{key}".encode()
 
 
 def named(name: bytes) -> tuple[str, str]:
+    """Return the kind and the key of a record's name."""
     kind, _, key = name.decode(errors="replace").partition("\0")
     return kind, key
 
@@ -47,7 +49,7 @@
 def _covers(after: State, before: State) -> bool:
     both = merge(before, after)
     if isinstance(both, Causal) and isinstance(after, Causal):
-        return both.values == after.values  # of a context long out of use, a write may forget writers
+        return both.values == after.values  # Not of the contexts, as a write may forget the oldest writers.
     return both == after
 
 
@@ -56,13 +58,14 @@
     kind: Kind
     key: str
     state: State
-    seq: int  # of its last change here
-    packed: bytes  # made once: digests, the disk, each peer and each copy want it
+    seq: int  # Number of its last change on this node.
+    packed: bytes  # Encoded once, for digests, the disk, each peer and full copies.
 
 
 @dataclass(frozen=True, slots=True)
 class Merged:
-    """``mine``: this node learned something. ``theirs``: the other's copy lacked something."""
+    """Result of a merge. ``mine``: this node's state has changed. ``theirs``: the sender's state lacks
+    something."""
 
     mine: bool
     theirs: bool
@@ -70,24 +73,25 @@
 
 @dataclass(slots=True)
 class Table:
-    writer: str  # of this start
+    writer: str  # Name of this start of the node as a writer.
     kinds: Kinds = field(default_factory=Kinds)
     most: int = MOST_RECORDS
     records: dict[bytes, Record] = field(default_factory=dict)
     sums: Sums = field(default_factory=Sums)
-    fresh: dict[bytes, int] = field(default_factory=dict)  # tombstones, by age: seq
-    settled: dict[bytes, Causal] = field(default_factory=dict)  # by age
-    settled_at: dict[int, set[bytes]] = field(default_factory=dict)  # their names by range
-    newest: dict[str, list[int]] = field(default_factory=dict)  # team: its periods, rising
-    seq: int = 0
-    count: int = 0  # of this writer's dots
-    differing: set[bytes] = field(default_factory=set)
-    touched: Callable[[bytes], None] = lambda name: None  # after each change
+    fresh: dict[bytes, int] = field(default_factory=dict)  # Fresh tombstones, oldest first: change numbers.
+    settled: dict[bytes, Causal] = field(default_factory=dict)  # Settled tombstones, oldest first.
+    settled_at: dict[int, set[bytes]] = field(default_factory=dict)  # Names of settled tombstones by range.
+    newest: dict[str, list[int]] = field(default_factory=dict)  # By team: the kept periods, ascending.
+    seq: int = 0  # Number of changes of records.
+    count: int = 0  # Number of dots of this writer.
+    differing: set[bytes] = field(default_factory=set)  # Names of records with conflicting values.
+    touched: Callable[[bytes], None] = lambda name: None  # Called with the name after each change.
 
-    # --- written here
+    # --- own writes
 
     def write(self, kind: str, key: str, value: bytes | None) -> bytes:
-        """In place of all that is known of it; None deletes. ReplicaFullError, ReplicaRecordError."""
+        """Write a value in place of all known ones, or delete with None; return the record's name. Raises
+        ReplicaFullError, ReplicaRecordError, or UnknownRecordError if there is nothing to delete."""
         told, name = self.kinds.of(kind, key), ident(kind, key)
         if value is not None and len(value) > MOST_VALUE:
             raise ReplicaFullError(
@@ -104,7 +108,8 @@
         return name
 
     def tally(self, kind: str, key: str, spent: float, back: float) -> bytes | None:
-        """This writer's counts so far; None where nothing is new, or its period is dropped."""
+        """Set this writer's totals in a tally; return the record's name, or None if nothing has changed or
+        the period has been dropped."""
         told, name = self.kinds.of(kind, key), ident(kind, key)
         before = self.state(name)
         tally = before if isinstance(before, Tally) else Tally({})
@@ -116,6 +121,7 @@
         return name
 
     def own(self, kind: str, key: str, life: int, value: bytes) -> bytes:
+        """Write a record that only this node writes; return its name."""
         told, name = self.kinds.of(kind, key), ident(kind, key)
         before = self.state(name)
         n = before.n + 1 if isinstance(before, Own) and before.life == life else 1
@@ -124,10 +130,11 @@
         self._hold(name, told, key, made)
         return name
 
-    # --- heard
+    # --- states from other nodes
 
     def hear(self, name: bytes, packed: bytes) -> Merged:
-        """Another's copy. ReplicaRecordError; ReplicaFullError: it has to come again."""
+        """Merge another node's state. Raises ReplicaRecordError if it cannot be read, and ReplicaFullError
+        if the sender has to send it again."""
         kind_name, key = named(name)
         kind = self.kinds.of(kind_name, key)
         theirs = unpack(kind.state, packed)
@@ -141,17 +148,18 @@
         if both == before:
             return Merged(False, both != theirs)
         if name in self.settled and isinstance(both, Causal) and both.deleted:
-            self.settled[name] = both  # it covers more; nobody needs to hear of that
+            self.settled[name] = both  # The tombstone's context has grown; that needs no sending.
             return Merged(False, False)
         self._hold(name, kind, key, both)
         return Merged(True, both != theirs)
 
     def state(self, name: bytes) -> State | None:
+        """Return the state of a record or settled tombstone, or None."""
         found = self.records.get(name)
         return found.state if found is not None else self.settled.get(name)
 
     def _lasts(self, kind: Kind, key: str) -> bool:
-        """Spending of a period long past is not taken up again."""
+        """Whether a record is kept: spending of a period older than the kept ones is not."""
         team, _, period = key.rpartition("\0")
         if kind.name != "spending" or not period.isdigit():
             return True
@@ -201,15 +209,16 @@
     # --- tombstones
 
     def settle(self, upto: int) -> int:
-        """All peers hold what stood here at this count: such tombstones leave the digests. How many."""
+        """Settle the tombstones up to change ``upto``, which all peers hold. Return their number."""
         done = [name for name, seq in self.fresh.items() if seq <= upto]
         for name in done:
             self._settled(name)
         return len(done)
 
     def overflow(self) -> int:
-        """Tombstones beyond the bound are settled unheard; the newest count of them, 0: none. Whoever has not
-        confirmed that count has to take a whole copy."""
+        """Settle the oldest tombstones beyond the bound, which some peers may not hold. Return the newest
+        change number among them, or 0 for none. A peer that has not confirmed that change has to take a full
+        copy."""
         newest = 0
         while len(self.fresh) > MOST_FRESH:
             name = next(iter(self.fresh))
@@ -226,7 +235,7 @@
         self.remember(name, state)
 
     def remember(self, name: bytes, state: Causal) -> None:
-        """A settled tombstone; the oldest goes where there are too many."""
+        """Remember a settled tombstone, and drop the oldest one if there are too many."""
         self.settled[name] = state
         self.settled_at.setdefault(place(name), set()).add(name)
         if len(self.settled) > MOST_SETTLED:
@@ -240,13 +249,14 @@
                 del self.settled_at[place(name)]
 
     def at(self, range_: int) -> list[bytes]:
-        """All names of a range, settled tombstones too: whoever takes a whole copy has to know them."""
+        """Return all names in a range, with the settled tombstones, which a full copy includes."""
         return [*self.sums.leaves.get(range_, ()), *self.settled_at.get(range_, ())]
 
-    # --- a whole copy is to come
+    # --- before a full copy
 
     def set_aside(self) -> dict[bytes, Causal]:
-        """Forget all causal records, as some may have been deleted meanwhile; what they said."""
+        """Remove all causal records, as some may have been deleted elsewhere. Return the states of those
+        that were not deleted here."""
         said = {}
         for name, record in list(self.records.items()):
             if isinstance(record.state, Causal):
@@ -260,10 +270,10 @@
         self.differing.clear()
         return said
 
-    # --- read
+    # --- reading
 
     def acting(self, kind: str, key: str) -> bytes | None:
-        """The value that counts now; None: none, or deleted."""
+        """Return the value in effect, or None if there is none or it was deleted."""
         match self.state(ident(kind, key)):
             case Causal() as causal:
                 return self.kinds.of(kind, key).acting(causal.living)
--- a/beechrock/replica/telling.py
+++ b/beechrock/replica/telling.py
@@ -1,8 +1,10 @@
-"""What a node tells of the servers below it, its bytes, and how old and sound another's word is. Pure.
+"""Reports of upstream servers to other nodes: when to send one, its encoding, and the age and validity of a
+received one. Pure.
 
-A word counts while its giver's process is there and whole, by what it told of its own slowness, and by an age
-that is what it told plus the time since it came: no two clocks are compared. A giver tells anew every
-TELL_S while what it knows may count, so a copy that was kept for it is older by no more than that.
+A report counts while the process that sent it is present and whole, and by the slowness that it states of
+itself. Its age is the stated age plus the time since the report came, so no two clocks are compared. A node
+reports anew every TELL_S while its observations may count; so a report received indirectly understates its
+age by no more than that.
 """
 
 import math
@@ -16,21 +18,21 @@
 from beechrock.replica.priors import OLD_S, SLOW, Advice
 
 FORMAT = 1
-TICK_S = 0.25
-TELL_S = 10.0
-GAPS = 20  # of ticks by which a node knows that it crawls
-KINDS = (str, float, int, float, float)
+TICK_S = 0.25  # Seconds between two ticks.
+TELL_S = 10.0  # Seconds between two reports.
+GAPS = 20  # Number of intervals between ticks over which the slowness is averaged.
+KINDS = (str, float, int, float, float)  # Types of the fields of a Word.
 
 
 def pack(slowness: float, words: list[Word]) -> bytes:
-    """Under 16 KB: those that were seen last."""
+    """Encode a report, limited to the servers observed last so that it stays under 16 KB."""
     some = sorted(words, key=lambda word: word.age_s)[: MOST_SERVERS // 2]
     data: bytes = msgpack.packb((FORMAT, slowness, [astuple(word) for word in some]))
     return data
 
 
 def unpack(data: bytes) -> tuple[float, list[Word]]:
-    """ReplicaRecordError for what is none."""
+    """Decode a report: the slowness and the words. Raises ReplicaRecordError if it cannot be read."""
     try:
         version, slowness, told = msgpack.unpackb(data)
         if version != FORMAT:
@@ -58,12 +60,13 @@
 
 @dataclass(slots=True)
 class Pace:
-    """How many times its usual time a node's loop takes between two ticks; a pause counts too."""
+    """Measures the slowness of this node's event loop. A pause of the process counts too."""
 
-    last: float = 0.0
-    gaps: deque[float] = field(default_factory=lambda: deque(maxlen=GAPS))
+    last: float = 0.0  # Time of the last tick, in monotonic seconds; 0 before the first.
+    gaps: deque[float] = field(default_factory=lambda: deque(maxlen=GAPS))  # Seconds between the last ticks.
 
     def tick(self, now: float) -> float:
+        """Return the ratio of the mean interval between ticks to TICK_S, at least 1."""
         if self.last:
             self.gaps.append(now - self.last)
         self.last = now
@@ -72,14 +75,16 @@
 
 @dataclass(slots=True)
 class Teller:
-    """When a word is due: at a turn of a server, when the giver begins or ceases to crawl, else each TELL_S
-    while what it tells may count."""
+    """Decides when a report is due: when a server's state changes, when this node becomes slow or recovers,
+    and otherwise every TELL_S while the observations may count."""
 
-    told_s: float = float("-inf")
-    slow: bool = False  # as it was told
+    told_s: float = float("-inf")  # Time of the last report, in monotonic seconds.
+    slow: bool = False  # Whether the last report said that this node is slow.
 
     def due(self, now: float, words: list[Word], turned: bool, slowness: float = 1.0) -> bool:
-        # Seen: what a node told in the moment it woke from a stop kept it unheard for long after.
+        """Return whether to report now. ``turned``: a server's state has changed."""
+        # A change of slowness is reported at once. Otherwise a report made just after a stop, when the node
+        # counts as slow, would keep its advice without weight for long after.
         turned = turned or (slowness > SLOW) is not self.slow
         new = any(word.age_s <= OLD_S + TELL_S for word in words)
         if not words or not (turned or (new and now - self.told_s >= TELL_S)):
@@ -90,9 +95,10 @@
 
 @dataclass(slots=True)
 class Givers:
-    """When each giver's word came; bounded by the fleet's nodes."""
+    """When each node's newest report came; bounded by the number of nodes."""
 
-    came: dict[str, tuple[int, int, float]] = field(default_factory=dict)  # start, count, when
+    # By node: life and number of its newest report, and when it came, in monotonic seconds.
+    came: dict[str, tuple[int, int, float]] = field(default_factory=dict)
 
     def advice(
         self,
@@ -103,7 +109,8 @@
         data: bytes,
         there: bool,
     ) -> list[tuple[Advice, Word]]:
-        """``there``: this start of it runs, was heard lately and is whole. ReplicaRecordError."""
+        """Decode a report, and add the time since it came to its ages. ``there``: the process that sent it
+        is present and whole. Raises ReplicaRecordError if it cannot be read."""
         if self.came.get(giver, (0, 0, 0.0))[:2] != (start, n):
             self.came[giver] = start, n, now
         slowness, words = unpack(data)
--- a/beechrock/replica/told.py
+++ b/beechrock/replica/told.py
@@ -1,4 +1,4 @@
-"""The table ``[replica]`` of the operator's file."""
+"""Settings of the table ``[replica]`` in the operator's file."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -22,18 +22,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Told:
-    lease_s: float = 6.0  # of parts of budgets; three renewals in it go through the log
-    repair_s: float = 5.0  # between two rounds of digests
-    most_mb: float = 256  # of log and snapshot
-    most_records: float = MOST_RECORDS // 4
-    give_kb_per_s: float = 200  # to all that catch up, together: under 2% of a core (benchmarks)
-    trial_per_s: float = 0  # changes that the laboratory wants; never in service
-    advice: bool = False  # servers are asked in the order of what this node and others saw
-    leases: bool = True  # where [agree] is told: budgets by lease in place of a fixed part
+    lease_s: float = 6.0  # Length of a budget lease, in seconds; it is renewed three times in that time.
+    repair_s: float = 5.0  # Seconds between two repair rounds.
+    most_mb: float = 256  # Maximum size of log and snapshot together, in MB.
+    most_records: float = MOST_RECORDS // 4  # Maximum number of records.
+    # Rate limit of full copies to all peers together, in KB per second; 200 take under 2% of a core.
+    give_kb_per_s: float = 200
+    trial_per_s: float = 0  # Changes per second made by the trial; 0 in production.
+    advice: bool = False  # Whether upstream servers are tried by the observations of this node and others.
+    leases: bool = True  # Whether budgets are leased where [agree] is enabled, instead of shared equally.
 
 
 def read(table: Mapping[str, Any], where: str, root: Path) -> Told:
-    """ConfigError names file, table and key."""
+    """Return the checked settings. Raises ConfigError, which names file, table and key."""
     told = Told(
         **{key: number(table, key, 1, where) for key in BOUNDS if key in table},
         leases=table.get("leases", True),
--- a/beechrock/replica/trial.py
+++ b/beechrock/replica/trial.py
@@ -1,6 +1,7 @@
-"""The laboratory's load: so many changes a second, and how late those of others come. Never in service.
+"""Load generator for trials: makes changes at a steady rate and measures the delay of other nodes' changes.
+Not for production.
 
-A value holds when it was made, by a clock that all processes of one machine share.
+A value holds the time when it was made, by a clock that all processes of one machine share.
 """
 
 import asyncio
@@ -13,8 +14,8 @@
 if TYPE_CHECKING:
     from beechrock.replica.part import Replica
 
-KEYS = 2000
-MOST_LAGS = 200_000
+KEYS = 2000  # Number of keys written in turn.
+MOST_LAGS = 200_000  # Maximum number of delays kept.
 
 
 class Trial:
@@ -25,7 +26,7 @@
         replica.on("learned", self._changed)
 
     async def run(self) -> None:
-        """At an even pace; what was missed in a pause is not made up for."""
+        """Make changes at a steady rate; those missed in a pause are not made up for."""
         step_s, due = 0.02, clocks.boot()
         owed = 0.0
         while True:
@@ -45,7 +46,7 @@
             self.lags.append(clocks.boot() - float(state.value))
 
     def figures(self) -> dict[str, Any]:
-        """In milliseconds, since the last look."""
+        """Return the number of changes, and statistics of the delays since the last call, in milliseconds."""
         lags, self.lags = sorted(self.lags), []
         if not lags:
             return {"made": self.n, "heard": 0}
