--- a/beechrock/replica/advice.py
+++ b/beechrock/replica/advice.py
@@ -12,54 +12,60 @@
 from beechrock.replica.health import Address, Health, Word
 from beechrock.replica.priors import Advice
 from beechrock.replica.records import Own
-from beechrock.replica.telling import TICK_S, Givers, Pace, Teller, pack
+from beechrock.replica.telling import TICK_S, LoopPace, PeerReports, ReportSchedule, pack
 
 if TYPE_CHECKING:
     from beechrock.replica.part import Replica
 
-BUSY = 503  # The server is overloaded, not broken: counts neither as success nor as failure.
-MOST_EJECTIONS = 4096  # Maximum number of servers whose ejection by operators is remembered.
+STATUS_BUSY = 503  # The server is overloaded, not broken: counts neither as success nor as failure.
+MAX_EJECTIONS = 4096  # Maximum number of servers whose ejection by operators is remembered.
 # Share of a request's time limit; a request that ends without a reply after it counts as a failed one.
-LATE = 0.5
+LATE_SHARE = 0.5
 
 
 class Advising:
     def __init__(self, replica: "Replica", work: Any) -> None:
         self.replica, self.work, self.clock = replica, work, replica.clock
-        self.health, self.pace, self.teller, self.givers = Health(), Pace(), Teller(), Givers()
+        self.health, self.pace, self.schedule, self.peer_reports = (
+            Health(),
+            LoopPace(),
+            ReportSchedule(),
+            PeerReports(),
+        )
         self.slowness = 1.0
-        self.turned = False  # Whether a server's state changed by own observations since the last report.
+        # Whether a server's state has changed by own observations since the last report.
+        self.state_changed = False
         # Keys of all ``ejection`` records seen by this process; None until the table has been read.
         self.ejections: set[str] | None = None
-        replica.on("ejection", self._ejection)
-        work.watch = self._watch
+        replica.on("ejection", self._on_ejection)
+        work.watch = self._observe_request
         work.servers.cost = lambda address, load: self.health.cost(self.clock(), address, load)
 
-    def _watch(self, address: Address, due_s: float) -> Callable[[bytes | None], None]:
+    def _observe_request(self, address: Address, due_s: float) -> Callable[[bytes | None], None]:
         """Start timing a request to ``address``. Return the function to call with its reply, or with None if
         there was no reply. ``due_s`` is the request's time limit in seconds, 0 for a connection attempt."""
         began = self.clock()
 
-        def over(reply: bytes | None) -> None:
+        def finished(reply: bytes | None) -> None:
             if "{}:{}".format(*address) not in self.health.listed:
                 return  # The address is another node's or a mirror's, not one of a listed server.
             now = self.clock()
             if reply is None:
-                if now - began >= LATE * due_s:
+                if now - began >= LATE_SHARE * due_s:
                     self.health.failed(now, address, now - began if due_s else 0.0)
                 return
             try:
                 status = reply_of(reply)[0]
             except ScgiError:
                 status = 0
-            if status == BUSY:
+            if status == STATUS_BUSY:
                 return
             if 0 < status < 500:
                 self.health.good(now, address, now - began)
             else:
                 self.health.failed(now, address)
 
-        return over
+        return finished
 
     async def run(self) -> None:
         while self.replica.broken is None:
@@ -68,73 +74,75 @@
 
     def tick(self, now: float) -> None:
         self.slowness = self.pace.tick(now)
-        self.health.advise(now, self._told(now), self.work.servers.upstreams, self._by_hand())
-        for address, why in self.health.turned:
+        self.health.advise(
+            now, self._peer_advice(now), self.work.servers.upstreams, self._ejected_by_operators()
+        )
+        for address, cause in self.health.transitions:
             server = "{}:{}".format(*address)
-            logs.event("replica.server", server=server, why=why)
-            self.replica.counters.add(f"replica.servers_{why}")
-            self.turned = self.turned or why != "advice"
-        self.health.turned.clear()
+            logs.event("replica.server", server=server, why=cause)
+            self.replica.counters.add(f"replica.servers_{cause}")
+            self.state_changed = self.state_changed or cause != "advice"
+        self.health.transitions.clear()
         words = self.health.words(now)
-        if self.teller.due(now, words, self.turned, self.slowness):
-            self.turned = False
+        if self.schedule.due(now, words, self.state_changed, self.slowness):
+            self.state_changed = False
             try:
                 self.replica.own("learned", self.replica.core.name, pack(self.slowness, words))
             except ReplicaError as error:
                 self.replica.counters.add(f"replica.not_told.{type(error).__name__}")
 
-    def _ejection(self, server: str) -> None:
-        if self.ejections is not None and len(self.ejections) < MOST_EJECTIONS:
+    def _on_ejection(self, server: str) -> None:
+        if self.ejections is not None and len(self.ejections) < MAX_EJECTIONS:
             self.ejections.add(server)
 
-    def _by_hand(self) -> frozenset[Address]:
+    def _ejected_by_operators(self) -> frozenset[Address]:
         """Return the servers that operators ejected. A value that begins with ``-`` marks a server as healthy
         (kinds.py)."""
         if self.ejections is None:  # The first call reads the records that were loaded from the disk.
-            held = self.replica.core.table.of_kind("ejection")
-            self.ejections = {record.key for record in held}
+            records = self.replica.core.table.of_kind("ejection")
+            self.ejections = {record.key for record in records}
         listed, acting = self.health.listed, self.replica.core.table.acting
         return frozenset(
-            listed[one]
-            for one in self.ejections
-            if one in listed and not (acting("ejection", one) or b"-").startswith(b"-")
+            listed[server]
+            for server in self.ejections
+            if server in listed and not (acting("ejection", server) or b"-").startswith(b"-")
         )
 
-    def _told(self, now: float) -> list[tuple[Advice, Word]]:
-        core, found = self.replica.core, list[tuple[Advice, Word]]()
+    def _peer_advice(self, now: float) -> list[tuple[Advice, Word]]:
+        core, advice_found = self.replica.core, list[tuple[Advice, Word]]()
         present = set(core.present(now))
-        for giver in core.others:
-            state = core.table.state(b"learned\0" + giver.encode())
+        for peer in core.others:
+            state = core.table.state(b"learned\0" + peer.encode())
             if not isinstance(state, Own):
                 continue
-            there = (
-                giver in present
-                and core.heard[giver].stage == "whole"
-                and state.life == self.replica.talk.heard.last.get(giver, (0, 0))[0]
+            trusted = (
+                peer in present
+                and core.peer_states[peer].stage == "whole"
+                and state.life == self.replica.talk.heard.last.get(peer, (0, 0))[0]
             )
             try:
-                found += self.givers.advice(now, giver, state.life, state.n, state.value, there)
+                advice_found += self.peer_reports.advice(now, peer, state.life, state.n, state.value, trusted)
             except ReplicaError:
                 self.replica.counters.add("replica.advice_unread")
-        return found
+        return advice_found
 
     def view(self) -> dict[str, Any]:
         now, health = self.clock(), self.health
-        by_hand = sorted("{}:{}".format(*one) for one in health.by_hand)
+        ejected_by_operators = sorted("{}:{}".format(*ejected) for ejected in health.ejected_by_operators)
         return {
             "slowness": round(self.slowness, 2),
-            "by_hand": by_hand,
+            "by_hand": ejected_by_operators,
             "servers": {
                 "{}:{}".format(*address): {
-                    "state": one.state(now).value,
-                    "last": address in health.last,
-                    "advised": one.advised,
-                    "seen": one.seen,
-                    "fails": one.fails,
-                    "mean_ms": round(1000 * one.latency.mean, 2),
-                    "prior_ms": round(1000 * one.latency.prior, 2),
-                    "weight": round(one.latency.weight, 2),
+                    "state": server.state(now).value,
+                    "last": address in health.tried_last,
+                    "advised": server.advised,
+                    "seen": server.seen,
+                    "fails": server.consecutive_failures,
+                    "mean_ms": round(1000 * server.latency.mean, 2),
+                    "prior_ms": round(1000 * server.latency.prior, 2),
+                    "weight": round(server.latency.weight, 2),
                 }
-                for address, one in health.servers.items()
+                for address, server in health.servers.items()
             },
         }
--- a/beechrock/replica/catchup.py
+++ b/beechrock/replica/catchup.py
@@ -5,8 +5,8 @@
 not acknowledged), SNAPSHOT (the store is empty, older than known or another one's: a full copy is taken by
 ranges of key hashes, from ``cursor`` on, which is kept on disk), REPAIR (digests are compared with the
 others'), WHOLE.
-Events: ``judged`` (a peer's verdict on this node's store), ``outdated``, ``piece``, ``wants`` (time),
-``repaired`` (a repair round with a peer has ended, and all that the peer had is here).
+Events: ``on_verdict`` (a peer's verdict on this node's store), ``outdated``, ``piece``, ``next_giver``
+(time), ``repaired`` (a repair round with a peer has ended, and all that the peer had is here).
 Transitions: AWAY to TAIL, SNAPSHOT or REPAIR; TAIL to REPAIR or SNAPSHOT; SNAPSHOT to REPAIR; REPAIR to
 WHOLE; any state to SNAPSHOT when a peer finds the store older or outdated. Otherwise WHOLE lasts until the
 process ends.
@@ -24,7 +24,8 @@
 from beechrock.replica.sums import RANGES
 from beechrock.store.witness import Verdict
 
-MANY = 4096  # If a peer holds this many records more, a full copy is taken before digests are compared.
+# If a peer holds more than this many records beyond ours, a full copy is taken before digests are compared.
+COPY_THRESHOLD = 4096
 SILENT_S = 3.0  # Seconds without a piece after which another peer is asked.
 
 
@@ -42,14 +43,15 @@
     cursor: int = RANGES  # First range still to be copied; RANGES if no copy is in progress. Kept on disk.
     forgot: bool = False  # Whether the store was empty or found older: repair then needs more peers.
     stage: Stage = Stage.AWAY
-    copies: int = 0  # Number of full copies started in this life.
+    # Number of times in this life that the node began with a loss of memory or set its causal records aside.
+    resets: int = 0
     giver: str = ""  # Peer that is asked for the next piece of the copy.
-    asked_s: float = 0.0  # Time of the last piece, or of the choice of the giver, in monotonic seconds.
+    giver_active_s: float = 0.0  # Time of the giver's last piece, or of its choice, in monotonic seconds.
     repaired_by: set[str] = field(default_factory=set)  # Peers whose repair round has ended.
     history: list[Stage] = field(default_factory=lambda: [Stage.AWAY])  # The last 32 stages, in order.
 
     def __post_init__(self) -> None:
-        self.copies = int(self.forgot)
+        self.resets = int(self.forgot)
 
     @property
     def majority(self) -> int:
@@ -73,18 +75,19 @@
 
     # --- events
 
-    def judged(self, now: float, by: str, verdict: Verdict, tail: bool, more: int) -> bool:
-        """Process the verdict of the peer ``by`` on this node's store. ``more``: how many records the peer
-        holds beyond ours. Return whether all causal records have to be set aside."""
+    def on_verdict(self, now: float, by: str, verdict: Verdict, tail: bool, surplus: int) -> bool:
+        """Process the verdict of the peer ``by`` on this node's store. ``tail``: the peer knows which changes
+        this node lacks. ``surplus``: how many records the peer holds beyond ours. Return whether all causal
+        records have to be set aside."""
         if verdict in (Verdict.OLDER, Verdict.OTHER) and not self.forgot:
             return self.outdated(now, by)
         if self.cursor < RANGES and self.stage is not Stage.SNAPSHOT:
-            self._turn(Stage.SNAPSHOT)  # An interrupted copy continues at its cursor.
-            self.giver, self.asked_s = by, now
-        elif self.stage in (Stage.AWAY, Stage.TAIL) and more > MANY:
-            self._copy(now, by)
+            self._enter(Stage.SNAPSHOT)  # An interrupted copy continues at its cursor.
+            self.giver, self.giver_active_s = by, now
+        elif self.stage in (Stage.AWAY, Stage.TAIL) and surplus > COPY_THRESHOLD:
+            self._start_copy(now, by)
         elif self.stage is Stage.AWAY:
-            self._turn(Stage.TAIL if tail and not self.forgot else Stage.REPAIR)
+            self._enter(Stage.TAIL if tail and not self.forgot else Stage.REPAIR)
         return False
 
     def outdated(self, now: float, by: str) -> bool:
@@ -92,33 +95,33 @@
         here may have been deleted. Return whether all causal records have to be set aside."""
         if self.stage is Stage.SNAPSHOT:
             return False
-        self.forgot, self.copies = True, self.copies + 1
-        self._copy(now, by)
+        self.forgot, self.resets = True, self.resets + 1
+        self._start_copy(now, by)
         return True
 
-    def _copy(self, now: float, giver: str) -> None:
+    def _start_copy(self, now: float, giver: str) -> None:
         self.repaired_by.clear()
-        self.cursor, self.giver, self.asked_s = 0, giver, now
-        self._turn(Stage.SNAPSHOT)
+        self.cursor, self.giver, self.giver_active_s = 0, giver, now
+        self._enter(Stage.SNAPSHOT)
 
     def piece(self, now: float, by: str, start: int, after: int) -> bool:
         """Advance the cursor over a piece of the copy. Return whether it continues the copy; an old or
         repeated piece does not."""
         if self.stage is not Stage.SNAPSHOT or start != self.cursor or not start < after <= RANGES:
             return False
-        self.cursor, self.asked_s, self.giver = after, now, by
+        self.cursor, self.giver_active_s, self.giver = after, now, by
         if self.cursor == RANGES:
-            self._turn(Stage.REPAIR)
+            self._enter(Stage.REPAIR)
         return True
 
-    def wants(self, now: float, others: list[str]) -> str:
+    def next_giver(self, now: float, others: list[str]) -> str:
         """Return the peer to ask for the next piece, or an empty string for none. A peer that has been silent
         for SILENT_S is replaced by the next one."""
         if self.stage is not Stage.SNAPSHOT or not others:
             return ""
-        if self.giver not in others or now - self.asked_s > SILENT_S:
+        if self.giver not in others or now - self.giver_active_s > SILENT_S:
             at = others.index(self.giver) + 1 if self.giver in others else 0
-            self.giver, self.asked_s = others[at % len(others)], now
+            self.giver, self.giver_active_s = others[at % len(others)], now
         return self.giver
 
     def repaired(self, by: str) -> bool:
@@ -127,18 +130,18 @@
             return False
         self.repaired_by.add(by)
         if self.stage is Stage.TAIL:
-            self._turn(Stage.REPAIR)
+            self._enter(Stage.REPAIR)
         if len(self.repaired_by) >= self.need:
-            self._turn(Stage.WHOLE)
+            self._enter(Stage.WHOLE)
             return True
         return False
 
-    def alone(self) -> None:
+    def start_alone(self) -> None:
         """Become whole at once in a fleet of one node, where there is no peer to ask."""
         if self.nodes == 1 and self.stage is Stage.AWAY:
-            self._turn(Stage.WHOLE)
+            self._enter(Stage.WHOLE)
 
-    def _turn(self, stage: Stage) -> None:
+    def _enter(self, stage: Stage) -> None:
         if stage is Stage.WHOLE and (self.cursor < RANGES or len(self.repaired_by) < self.need):
             raise BrokenInvariantError(
                 f"whole at range {self.cursor}, repaired by {len(self.repaired_by)}",
--- a/beechrock/replica/disk.py
+++ b/beechrock/replica/disk.py
@@ -15,19 +15,19 @@
 
 PREFIX = "replica"
 # Bytes of log after which a snapshot is made; the log must also exceed half of the last snapshot.
-SNAPSHOT_EACH = 16 << 20
+SNAPSHOT_LOG_BYTES = 16 << 20
 
 
 @dataclass(slots=True)
 class Disk:
     files: Files
     most_mb: int = 256
-    snapshot_each: int = SNAPSHOT_EACH
+    snapshot_each: int = SNAPSHOT_LOG_BYTES
     store: Store = field(init=False)
     witness: Witness = field(init=False)
     loaded: journal.Loaded = field(init=False)
     pending: list[bytes] = field(default_factory=list)  # Encoded entries that are not in the store yet.
-    heard: bool = False  # Whether marks of other nodes' stores have to be saved.
+    marks_unsaved: bool = False  # Whether marks of other nodes' stores have to be saved.
 
     def __post_init__(self) -> None:
         """Open the store and load its contents. Raises StoreError, ReplicaRecordError or OSError."""
@@ -50,7 +50,7 @@
 
     def core(self, name: str, writer: str, others: tuple[str, ...], base: int, **more: Any) -> Core:
         """Return a core with the records that were loaded."""
-        made = Core(
+        core = Core(
             name,
             writer,
             others,
@@ -62,38 +62,38 @@
             promised=self.promised,
             **more,
         )
-        self.loaded.into(made)
-        return made
+        self.loaded.install_into(core)
+        return core
 
     def mark(self) -> tuple[bytes, bytes]:
         found = self.store.mark()
         return found.to_bytes(), found.digest
 
-    def judge(self, peer: str, told: bytes, believe: bool) -> Verdict:
+    def judge(self, peer: str, packed: bytes, believe: bool) -> Verdict:
         """Judge a peer's mark by the one that is remembered, and remember it if it is newer. ``believe``:
         accept an older mark too, or one of another store. Raises StoreDamagedError for bytes that are no
         mark."""
-        mark = Mark.from_bytes(told)
+        mark = Mark.from_bytes(packed)
         verdict = self.witness.judge(peer, mark)
         if believe and verdict in (Verdict.OLDER, Verdict.OTHER):
             verdict = Verdict.NEWER
         known = self.witness.known
         if verdict is Verdict.NEWER and (peer in known or len(known) < MAX_PEERS):
             before = known.get(peer)
-            self._know(peer, mark, before is None or before.digest != mark.digest)
+            self._remember_mark(peer, mark, before is None or before.digest != mark.digest)
         return verdict
 
     def promised(self, peer: str, held: Held) -> None:
         """Remember how many records the peer had synced when it sent a promise. If its disk loses one of
         them, its next mark is judged as older."""
         if (mark := advance_mark(self.witness.known.get(peer), held.digest, held.synced)) is not None:
-            self._know(peer, mark, False)
+            self._remember_mark(peer, mark, False)
 
-    def _know(self, peer: str, mark: Mark, save: bool) -> None:
+    def _remember_mark(self, peer: str, mark: Mark, save: bool) -> None:
         # A new dictionary, as the disk's thread may be writing the old one.
         self.witness.known = {**self.witness.known, peer: mark}
         late = mark.synced >= self.witness.saved.get(peer, 0) + SAVE_EACH_RECORDS
-        self.heard = self.heard or late or save
+        self.marks_unsaved = self.marks_unsaved or late or save
 
     def held(self) -> Held:
         return Held(self.store.opening_mark.digest, self.store.progress.synced_seq)
@@ -103,7 +103,11 @@
         sync."""
         self.pending += journal.entries(core)
         # After a failed sync nothing may be pending, but the written entries still have to be synced.
-        return bool(self.pending) or self.heard or self.store.progress.synced_seq < self.store.progress.seq
+        return (
+            bool(self.pending)
+            or self.marks_unsaved
+            or self.store.progress.synced_seq < self.store.progress.seq
+        )
 
     def sync(self) -> None:
         """Write and sync the pending entries; may run in a thread. Raises StoreFullError, for which a
@@ -114,12 +118,14 @@
             self.store.append(self.pending[0])
             del self.pending[0]
         self.store.sync()
-        if self.heard:  # Saved here and not on receipt: a disk that stalls must not block the service.
-            self.heard = False
+        if (
+            self.marks_unsaved
+        ):  # Saved here and not on receipt: a disk that stalls must not block the service.
+            self.marks_unsaved = False
             try:
                 self.witness.save()
             except OSError:
-                self.heard = True  # The disk may be full: the next sync tries again.
+                self.marks_unsaved = True  # The disk may be full: the next sync tries again.
 
     @property
     def long(self) -> bool:
--- a/beechrock/replica/giving.py
+++ b/beechrock/replica/giving.py
@@ -19,38 +19,38 @@
     names: Callable[[int], Iterable[bytes]]  # Returns the names of the records in a range.
     entry: Callable[[bytes], tuple[bytes, int] | None]  # Returns a record's packed state and change number.
     # By peer: first range of the piece that it asked for.
-    asked: dict[str, int] = field(default_factory=dict)
+    requests: dict[str, int] = field(default_factory=dict)
     credit: float = 0.0  # Bytes that may be sent now; below 0 after a piece that exceeded it.
     credit_s: float | None = None  # Time of the last refill, in monotonic seconds.
     given: int = 0  # Bytes given in this life.
 
     def ask(self, peer: str, cursor: int) -> None:
         if 0 <= cursor < RANGES:
-            self.asked[peer] = cursor
+            self.requests[peer] = cursor
 
     def pieces(self, now: float) -> list[tuple[str, Piece]]:
         """Return the pieces that may be sent now, each with its receiver."""
         before = now if self.credit_s is None else self.credit_s
         self.credit = min(self.bytes_per_s, self.credit + max(0.0, now - before) * self.bytes_per_s)
         self.credit_s = now
-        made = []
-        for peer, cursor in list(self.asked.items()):
+        pieces = []
+        for peer, cursor in list(self.requests.items()):
             if self.credit < 0:
                 break
-            del self.asked[peer]
-            piece, size = self._piece(cursor)
+            del self.requests[peer]
+            piece, size = self._make_piece(cursor)
             self.credit -= size
             self.given += size
-            made.append((peer, piece))
-        return made
+            pieces.append((peer, piece))
+        return pieces
 
-    def _piece(self, cursor: int) -> tuple[Piece, int]:
+    def _make_piece(self, cursor: int) -> tuple[Piece, int]:
         entries: list[tuple[bytes, bytes]] = []
-        size, at = 0, cursor
-        while at < RANGES and size < PIECE_BYTES and at - cursor < PIECE_RANGES:
-            for name in self.names(at):
+        size, range_ = 0, cursor
+        while range_ < RANGES and size < PIECE_BYTES and range_ - cursor < PIECE_RANGES:
+            for name in self.names(range_):
                 if (found := self.entry(name)) is not None:
                     entries.append((name, found[0]))
                     size += len(name) + len(found[0])
-            at += 1
-        return Piece(cursor, at, entries), size
+            range_ += 1
+        return Piece(cursor, range_, entries), size
--- a/beechrock/replica/heard.py
+++ b/beechrock/replica/heard.py
@@ -15,15 +15,15 @@
 
 
 @dataclass(slots=True)
-class Heard:
+class PeerState:
     """The state of a peer as its messages reported it."""
 
     at_s: float = float("-inf")  # Time of its last message, in monotonic seconds.
     stage: str = ""  # Its stage of catch-up.
     count: int = 0  # Number of records that it holds.
     root: bytes = b""  # Root digest of its records.
-    upto: int = -1  # The peer holds all changes of this node up to this number; -1 if unknown.
+    acked_upto: int = -1  # The peer holds all changes of this node up to this number; -1 if unknown.
     verdict: str = ""  # This node's verdict on the peer's store.
     opening: bytes = b""  # Digest of the opening of its store, from its last Hello.
-    again: int = 0  # Number of full copies it has started in its life, from its last Hello.
+    resets: int = 0  # Number of resets in its life (Catchup.resets), from its last Hello.
     outdated: bool = False  # Whether it must take a full copy before its records are accepted.
--- a/beechrock/replica/journal.py
+++ b/beechrock/replica/journal.py
@@ -15,28 +15,28 @@
 from beechrock.replica.errors import ReplicaRecordError
 from beechrock.replica.records import Causal, pack, unpack
 from beechrock.replica.sums import RANGES
-from beechrock.replica.table import MOST_RECORDS, Table
+from beechrock.replica.table import MAX_RECORDS, Table
 
 FORMAT = 1
-MOST_ENTRY = 1 << 20  # Size at which an entry of records is closed, in bytes.
-PART = 1000  # Number of records in a part of a snapshot.
+MAX_ENTRY_BYTES = 1 << 20  # Size at which an entry of records is closed, in bytes.
+PART_RECORDS = 1000  # Number of records in a part of a snapshot.
 
 
 @dataclass(slots=True)
 class Loaded:
     """The contents of a store, loaded before its core is made."""
 
-    table: Table = field(default_factory=lambda: Table("", most=2 * MOST_RECORDS))
+    table: Table = field(default_factory=lambda: Table("", max_records=2 * MAX_RECORDS))
     aside: dict[bytes, Causal] = field(default_factory=dict)
     cursor: int = RANGES
     forgot: bool = False
 
     def entry(self, data: bytes) -> None:
         """Replay an entry of the log. Raises ReplicaRecordError if it cannot be read."""
-        self._take(_read(data))
+        self._replay(_decode(data))
 
-    def _take(self, told: list[Any]) -> None:
-        match told:
+    def _replay(self, fields: list[Any]) -> None:
+        match fields:
             case ["records", entries]:
                 for name, packed in entries:
                     self.table.hear(name, packed)
@@ -61,44 +61,48 @@
         """Load a snapshot, which is a sequence of entries. Raises ReplicaRecordError if it cannot be read."""
         unpacker = msgpack.Unpacker(max_buffer_size=len(data) + 1)
         unpacker.feed(data)
-        for told in unpacker:
-            self._take(_of_format(told))
+        for fields in unpacker:
+            self._replay(_check_format(fields))
 
-    def into(self, core: Core) -> None:
+    def install_into(self, core: Core) -> None:
         """Hand the loaded records to a new core."""
         table = self.table
-        table.writer, table.kinds, table.most = core.table.writer, core.table.kinds, core.table.most
-        table.touched = core.table.touched
+        table.writer, table.kinds, table.max_records = (
+            core.table.writer,
+            core.table.kinds,
+            core.table.max_records,
+        )
+        table.on_change = core.table.on_change
         core.hold(table)
         core.aside = self.aside
 
 
 def entries(core: Core) -> list[bytes]:
     """Return the log entries for all changes since the last call, in order."""
-    made = []
+    encoded = []
     if core.reset:
         core.reset = False
-        made.append(_write("aside"))
-    size, some = 0, list[Any]()
+        encoded.append(_encode("aside"))
+    size, batch = 0, list[Any]()
     for name, packed in core.take_writes():
-        some.append((name, packed))
+        batch.append((name, packed))
         size += len(name) + len(packed)
-        if size >= MOST_ENTRY:
-            made.append(_write("records", some))
-            size, some = 0, []
-    if some:
-        made.append(_write("records", some))
+        if size >= MAX_ENTRY_BYTES:
+            encoded.append(_encode("records", batch))
+            size, batch = 0, []
+    if batch:
+        encoded.append(_encode("records", batch))
     copy = (core.catchup.cursor, core.catchup.forgot and not core.catchup.counts)
     if copy != core.noted:
         core.noted = copy
-        made.append(_write("copy", *copy))
-    return made
+        encoded.append(_encode("copy", *copy))
+    return encoded
 
 
 def blank() -> bytes:
     """Return the first entry of an empty store. It marks the node as one that lost its memory until it is
     whole."""
-    return _write("copy", RANGES, True)
+    return _encode("copy", RANGES, True)
 
 
 def snapshot(core: Core) -> Iterator[bytes]:
@@ -106,36 +110,36 @@
     later entries of the log, and merge. If records are set aside meanwhile, the snapshot must be
     discarded."""
     names = list(core.table.records)
-    for at in range(0, len(names), PART):
-        yield _write(
+    for at in range(0, len(names), PART_RECORDS):
+        yield _encode(
             "records",
             [
                 (name, pack(state))
-                for name in names[at : at + PART]
+                for name in names[at : at + PART_RECORDS]
                 if (state := core.table.state(name)) is not None
             ],
         )
     settled = list(core.table.settled.items())
-    for at in range(0, len(settled), PART):
-        yield _write("settled", [(name, pack(state)) for name, state in settled[at : at + PART]])
-    yield _write("set aside", [(name, pack(state)) for name, state in core.aside.items()])
-    yield _write("copy", *core.noted)
+    for at in range(0, len(settled), PART_RECORDS):
+        yield _encode("settled", [(name, pack(state)) for name, state in settled[at : at + PART_RECORDS]])
+    yield _encode("set aside", [(name, pack(state)) for name, state in core.aside.items()])
+    yield _encode("copy", *core.noted)
 
 
-def _write(*told: Any) -> bytes:
-    data: bytes = msgpack.packb((FORMAT, *told))
+def _encode(*fields: Any) -> bytes:
+    data: bytes = msgpack.packb((FORMAT, *fields))
     return data
 
 
-def _read(data: bytes) -> list[Any]:
+def _decode(data: bytes) -> list[Any]:
     try:
-        return _of_format(msgpack.unpackb(data))
+        return _check_format(msgpack.unpackb(data))
     except (ValueError, TypeError, msgpack.UnpackException):
-        return _of_format(None)
+        return _check_format(None)
 
 
-def _of_format(found: Any) -> list[Any]:
-    version, *told = found if isinstance(found, list) and found else [0]
+def _check_format(found: Any) -> list[Any]:
+    version, *fields = found if isinstance(found, list) and found else [0]
     if version != FORMAT:
         raise ReplicaRecordError(
             f"format {version}",
@@ -143,4 +147,4 @@
             wanted=f"{FORMAT}",
             do="run the version that wrote it, or a later one",
         )
-    return told
+    return fields
--- a/beechrock/replica/kept.py
+++ b/beechrock/replica/kept.py
@@ -9,7 +9,7 @@
 
 from beechrock.replica.errors import ReplicaFullError
 
-MOST_WAITERS = 4096
+MAX_WAITERS = 4096  # Maximum number of callers that wait.
 
 
 @dataclass(slots=True)
@@ -19,7 +19,7 @@
     name: bytes
     seq: int  # Number of the record's change that has to be acknowledged.
     kept: Callable[[], None]  # Called at the end of the wait.
-    by: set[str] = field(default_factory=set)  # Peers that have acknowledged the change.
+    acked_by: set[str] = field(default_factory=set)  # Peers that have acknowledged the change.
 
 
 @dataclass(slots=True)
@@ -29,45 +29,46 @@
 
     def wait(self, name: bytes, seq: int, kept: Callable[[], None]) -> Waiter:
         """Add a wait for change ``seq`` of a record. Raises ReplicaFullError if too many callers wait."""
-        if len(self.waiting) >= MOST_WAITERS:
+        if len(self.waiting) >= MAX_WAITERS:
             raise ReplicaFullError(
-                f"{MOST_WAITERS} wait for a majority", where="replica", do="come back later"
+                f"{MAX_WAITERS} wait for a majority", where="replica", do="come back later"
             )
-        made = Waiter(name, seq, kept)
-        self.waiting.append(made)
-        self._done()
-        return made
+        waiter = Waiter(name, seq, kept)
+        self.waiting.append(waiter)
+        self._finish()
+        return waiter
 
-    def acked(self, by: str, names: dict[bytes, int]) -> None:
+    def acked(self, peer: str, names: dict[bytes, int]) -> None:
         """Record a peer's acknowledgement of records, each with the number of its newest change there."""
-        for one in self.waiting:
-            if names.get(one.name, -1) >= one.seq:
-                one.by.add(by)
-        self._done()
+        for waiter in self.waiting:
+            if names.get(waiter.name, -1) >= waiter.seq:
+                waiter.acked_by.add(peer)
+        self._finish()
 
-    def upto(self, by: str, seq: int) -> None:
+    def acked_upto(self, peer: str, seq: int) -> None:
         """Record that a peer holds all changes of this node up to ``seq``."""
-        for one in self.waiting:
-            if one.seq <= seq:
-                one.by.add(by)
-        self._done()
+        for waiter in self.waiting:
+            if waiter.seq <= seq:
+                waiter.acked_by.add(peer)
+        self._finish()
 
-    def forget(self, who: str) -> None:
+    def forget(self, peer: str) -> None:
         """Discard the acknowledgements of a peer whose store has lost records."""
-        for one in self.waiting:
-            one.by.discard(who)
+        for waiter in self.waiting:
+            waiter.acked_by.discard(peer)
 
-    def set_aside(self, stands: Callable[[bytes], bool]) -> None:
+    def set_aside(self, exists: Callable[[bytes], bool]) -> None:
         """Drop the waits for records that were set aside, which no table holds any more. Otherwise another
         node's later write of the same record would end them as if their change were kept."""
-        self.waiting = [one for one in self.waiting if stands(one.name)]
-
-    def drop(self, one: Waiter) -> None:
-        if one in self.waiting:
-            self.waiting.remove(one)
-
-    def _done(self) -> None:
-        done = [one for one in self.waiting if len(one.by) >= self.need]
-        self.waiting = [one for one in self.waiting if len(one.by) < self.need]
-        for one in done:
-            one.kept()
+        self.waiting = [waiter for waiter in self.waiting if exists(waiter.name)]
+
+    def drop(self, waiter: Waiter) -> None:
+        """End a wait whose caller has given up, if it has not ended."""
+        if waiter in self.waiting:
+            self.waiting.remove(waiter)
+
+    def _finish(self) -> None:
+        done = [waiter for waiter in self.waiting if len(waiter.acked_by) >= self.need]
+        self.waiting = [waiter for waiter in self.waiting if len(waiter.acked_by) < self.need]
+        for waiter in done:
+            waiter.kept()
--- a/beechrock/replica/leases.py
+++ b/beechrock/replica/leases.py
@@ -1,17 +1,15 @@
-"""The machine ``budgets`` of the agreed log: which node may spend how much of which pot. Deterministic,
-pure.
+"""The machine ``budgets`` of the agreed log: which node may spend how much of which pot. Pure.
 
 A pot is a team's budget for one period (``budget``), or the rate that a dependency survives (``rate``). A
 lease is the part of a pot that one life of a node holds. Commands: ASK (renews leases, and grants more by
-need), BACK (the n-th give-back of a lease), CLOSE (by the leader, of a lease that was not renewed). The log
-index of the first ASK, with the position in it, numbers a lease.
+need), BACK (the n-th give-back of a lease), CLOSE (by the leader, of a lease that was not renewed). A lease's
+number comes from the log index of its first ASK and its position there. All commands are deterministic.
 
 States of a lease: OPEN, CLOSED (a budget's amount stays counted until the same life gives back the unspent
 rest; a rate's amount is free again at once).
 Invariants: in a pot, the amounts of open leases and the counted amounts of closed ones never grow beyond the
 whole; a give-back is applied once, in the order of its number, and never exceeds its lease; a close that was
-decided before a renewal doesn't close the renewed lease; the old pots that are dropped are never opened
-again while newer ones are kept.
+decided before a renewal doesn't close the renewed lease; a pot that was dropped is never opened again.
 """
 
 from dataclasses import dataclass, field
@@ -24,14 +22,14 @@
 
 MACHINE = "budgets"
 FORMAT = 1
-MOST_POTS, KEEP_PERIODS = 16_384, 4  # Maximum number of pots, and of periods of one team.
-MOST_LEASES = 256  # Maximum number of leases in a pot, closed ones included.
-MOST_ITEMS = 256  # Maximum number of items in an ASK.
-MOST_NAME = 256  # Maximum length of a name.
+MAX_POTS, KEEP_PERIODS = 16_384, 4  # Maximum number of pots, and of periods of one team.
+MAX_LEASES = 256  # Maximum number of leases in a pot, closed ones included.
+MAX_ITEMS = 256  # Maximum number of items in an ASK.
+MAX_NAME = 256  # Maximum length of a name.
 START_BITS = 20  # Number of random bits below the life number in a holder's life.
-# Largest share of the free amount that one request is granted. If no more than the share LEAST of the whole
-# pot is free, a request may get all of it.
-SLICE, LEAST = 0.5, 1 / 32
+# Largest share of the free amount that one request is granted. If no more than SMALL_SHARE of the whole pot
+# is free, a request may get all of it.
+GRANT_SHARE, SMALL_SHARE = 0.5, 1 / 32
 
 
 class Result(Enum):
@@ -46,7 +44,7 @@
 class Lease:
     id: int
     holder: str  # Name of the node.
-    life: int  # Life of the node, with random bits (``start``).
+    life: int  # Life of the node, with random bits (``holder_life``).
     amount: float  # Amount granted, less what was given back.
     turn: int = 1  # Version: counts renewals and give-backs.
     backs: int = 0  # Number of give-backs applied.
@@ -59,7 +57,7 @@
     name: str  # Name of the team or dependency.
     period: int  # Number of the period, from 1; 0 for a rate.
     whole: float  # Amount of the whole pot.
-    number: int  # Generation of the inventory that defines the amount.
+    generation: int  # Generation of the inventory that defines the amount.
     leases: dict[int, Lease] = field(default_factory=dict)
 
     @property
@@ -96,17 +94,17 @@
         """Apply a command of the log. Return a list of Granted with the leases after an ASK or a BACK, or a
         Result."""
         try:
-            version, what, *told = msgpack.unpackb(command)
+            version, what, *fields = msgpack.unpackb(command)
             if version != FORMAT:
                 return Result.BAD
             before = {key: pot.granted for key, pot in self.pots.items()} if what != "ask" else {}
-            match what, told:
+            match what, fields:
                 case "ask", [str(holder), int(life), list(items)]:
-                    return self._ask(index, holder, life, items[:MOST_ITEMS])
+                    return self._ask(index, holder, life, items[:MAX_ITEMS])
                 case "back", [str(holder), int(life), int(ident), int(n), float(amount), list(pot)]:
-                    result = self._back(holder, life, _key(pot), ident, n, amount)
+                    result = self._back(holder, life, _pot_key(pot), ident, n, amount)
                 case "close", [int(ident), int(turn), list(pot)]:
-                    result = self._close(_key(pot), ident, turn)
+                    result = self._close(_pot_key(pot), ident, turn)
                 case _:
                     return Result.BAD
         except (ValueError, TypeError, msgpack.UnpackException):
@@ -117,31 +115,33 @@
         return result
 
     def _ask(self, index: int, holder: str, life: int, items: list[Any]) -> Any:
-        wanted = [(_key(pot), float(whole), int(number), float(want)) for pot, whole, number, want in items]
+        wanted = [
+            (_pot_key(pot), float(whole), int(generation), float(want))
+            for pot, whole, generation, want in items
+        ]
         return [
             granted
-            for n, one in enumerate(wanted)
-            if (granted := self._one(index * MOST_ITEMS + n, holder, life, *one)) is not None
+            for n, item in enumerate(wanted)
+            if (granted := self._grant(index * MAX_ITEMS + n, holder, life, *item)) is not None
         ]
 
-    def _one(
-        self, ident: int, holder: str, life: int, key: PotKey, whole: float, number: int, want: float
+    def _grant(
+        self, ident: int, holder: str, life: int, key: PotKey, whole: float, generation: int, want: float
     ) -> Granted | None:
-        pot = self._pot(key, whole, number)
-        if pot is None or not want >= 0 or len(holder) > MOST_NAME:
+        pot = self._open_pot(key, whole, generation)
+        if pot is None or not want >= 0 or len(holder) > MAX_NAME:
             return None
-        mine = [one for one in pot.leases.values() if one.holder == holder and one.open]
-        if any(one.life > life for one in mine):
-            # Two nodes have one name, or this is a late command of an earlier life: the newer life holds the
-            # lease.
+        held = [other for other in pot.leases.values() if other.holder == holder and other.open]
+        if any(other.life > life for other in held):
+            # Two nodes have one name, or this is a late command of an earlier life. The newer life holds it.
             return None
-        lease = next((one for one in mine if one.life == life), None)
-        room = pot.free if pot.free <= LEAST * pot.whole else SLICE * pot.free
+        lease = next((other for other in held if other.life == life), None)
+        room = pot.free if pot.free <= SMALL_SHARE * pot.whole else GRANT_SHARE * pot.free
         if "whole" in self.without:
             room = want
         grant = min(want, room)
         if lease is None:
-            if len(pot.leases) >= MOST_LEASES:
+            if len(pot.leases) >= MAX_LEASES:
                 return None
             lease = pot.leases[ident] = Lease(ident, holder, life, 0.0, 0)
         granted = pot.granted
@@ -151,27 +151,27 @@
             raise BrokenInvariantError(f"{pot.granted:g} granted of {pot.whole:g}", where=f"pot {key}")
         return Granted(key, lease.id, lease.amount, lease.turn, lease.backs)
 
-    def _pot(self, key: PotKey, whole: float, number: int) -> Pot | None:
+    def _open_pot(self, key: PotKey, whole: float, generation: int) -> Pot | None:
         kind, name, period = key
         pot = self.pots.get(key)
         if pot is None:
             if (
                 kind not in ("budget", "rate")
-                or not 0 < len(name.encode()) <= MOST_NAME
+                or not 0 < len(name.encode()) <= MAX_NAME
                 or not whole > 0
                 or (kind == "rate") != (period == 0)
-                or len(self.pots) >= MOST_POTS
+                or len(self.pots) >= MAX_POTS
             ):
                 return None
-            pot = self.pots[key] = Pot(kind, name, period, whole, number)
-            self._drop(name)
+            pot = self.pots[key] = Pot(kind, name, period, whole, generation)
+            self._drop_old_periods(name)
             return self.pots.get(key)
-        if number > pot.number or (number == pot.number and 0 < whole < pot.whole):
+        if generation > pot.generation or (generation == pot.generation and 0 < whole < pot.whole):
             # Of two amounts from the same generation, the smaller counts.
-            pot.number, pot.whole = number, whole
+            pot.generation, pot.whole = generation, whole
         return pot
 
-    def _drop(self, name: str) -> None:
+    def _drop_old_periods(self, name: str) -> None:
         """Drop the oldest periods of a team. That includes a period that was just opened if it is older than
         all others: it may have been dropped before, and what it had granted is not known any more."""
         periods = sorted(key for key in self.pots if key[0] == "budget" and key[1] == name)
@@ -216,10 +216,18 @@
             (
                 *key,
                 pot.whole,
-                pot.number,
+                pot.generation,
                 [
-                    (one.id, one.holder, one.life, one.amount, one.turn, one.backs, one.open)
-                    for one in pot.leases.values()
+                    (
+                        lease.id,
+                        lease.holder,
+                        lease.life,
+                        lease.amount,
+                        lease.turn,
+                        lease.backs,
+                        lease.open,
+                    )
+                    for lease in pot.leases.values()
                 ],
             )
             for key, pot in self.pots.items()
@@ -241,17 +249,17 @@
                 do="run the version that wrote it, or a later one",
             )
         self.pots = {}
-        for kind, name, period, whole, number, held in pots:
-            leases = {one[0]: Lease(*one) for one in held}
-            self.pots[kind, name, period] = Pot(kind, name, period, whole, number, leases)
+        for kind, name, period, whole, generation, held in pots:
+            leases = {row[0]: Lease(*row) for row in held}
+            self.pots[kind, name, period] = Pot(kind, name, period, whole, generation, leases)
 
 
-def _key(told: Any) -> PotKey:
-    kind, name, period = told
+def _pot_key(fields: Any) -> PotKey:
+    kind, name, period = fields
     return str(kind), str(name), int(period)
 
 
-def start(life: int, drawn: int) -> int:
+def holder_life(life: int, drawn: int) -> int:
     """Return a holder's life: its life number above random bits, so it is greater than those of earlier
     lives and equals that of another process only by a chance of one in a million. Two processes of one name
     may have the same life number (copies of one folder, a clock that was ahead); without the bits both would
@@ -268,31 +276,31 @@
     the old leases, as they no longer count here.
     """
     new = {pot for pot in wanted if pot[0] == "budget" and pot not in budgets.pots}
-    stand: dict[str, dict[str, int]] = {pot[1]: {} for pot in new}
+    positions: dict[str, dict[str, int]] = {pot[1]: {} for pot in new}
     for (kind, team, period), pot in budgets.pots.items():
-        if kind == "budget" and team in stand:
+        if kind == "budget" and team in positions:
             for lease in pot.leases.values():
                 if lease.open and lease.holder != name:
-                    stand[team][lease.holder] = max(period, stand[team].get(lease.holder, 0))
+                    positions[team][lease.holder] = max(period, positions[team].get(lease.holder, 0))
     return {
         pot
         for pot in new
-        if 2 * sum(at < pot[2] - 1 for at in stand[pot[1]].values()) > len(stand[pot[1]]) + 1
+        if 2 * sum(at < pot[2] - 1 for at in positions[pot[1]].values()) > len(positions[pot[1]]) + 1
     }
 
 
 # --- commands
 
 
-def _command(*told: Any) -> bytes:
-    data: bytes = msgpack.packb((FORMAT, *told))
+def _command(*fields: Any) -> bytes:
+    data: bytes = msgpack.packb((FORMAT, *fields))
     return data
 
 
 def ask(holder: str, life: int, items: list[tuple[PotKey, float, int, float]]) -> bytes:
     """Encode an ASK. Each item: pot, its whole amount, the inventory's generation, the additional amount
     wanted (0 to only renew)."""
-    return _command("ask", holder, life, [list(one) for one in items])
+    return _command("ask", holder, life, [list(item) for item in items])
 
 
 def back(holder: str, life: int, pot: PotKey, ident: int, n: int, amount: float) -> bytes:
@@ -305,8 +313,7 @@
 
 @dataclass(slots=True)
 class Closing:
-    """The leader's choice of leases to close. It is not replicated: a new leader waits a full lease for
-    each."""
+    """The leader's choice of leases to close. It is not replicated: a new leader waits anew for each."""
 
     lease_s: float  # Seconds without a renewal after which a lease is closed.
     # By lease: its turn, and when it was first seen.
@@ -315,11 +322,11 @@
     def due(self, now: float, budgets: Budgets) -> list[tuple[PotKey, int, int]]:
         """Return the leases to close, each with pot, lease and turn. The time counts from when this leader
         first saw the turn, which is after the holder sent its request."""
-        found, standing = [], dict[int, tuple[int, float]]()
+        found, turns = [], dict[int, tuple[int, float]]()
         for key, lease in budgets.open_leases():
             turn, since_s = self.seen.get(lease.id, (0, now))
-            standing[lease.id] = (turn, since_s) if turn == lease.turn else (lease.turn, now)
-            if now - standing[lease.id][1] > self.lease_s:
+            turns[lease.id] = (turn, since_s) if turn == lease.turn else (lease.turn, now)
+            if now - turns[lease.id][1] > self.lease_s:
                 found.append((key, lease.id, lease.turn))
-        self.seen = standing
+        self.seen = turns
         return found
--- a/beechrock/replica/messages.py
+++ b/beechrock/replica/messages.py
@@ -12,14 +12,16 @@
 from beechrock.replica.errors import ReplicaRecordError
 
 READS = 1, 2  # Formats that can be read; the last one is sent to peers that can read it.
-TRY_EACH = 30  # Every 30th Hello to a peer that has only sent older formats is in the newest format.
+# Each Hello of this number to a peer that has only sent older formats is in the newest format.
+TRY_NEWEST_EVERY = 30
 Entries = list[tuple[bytes, bytes]]  # Each: name, packed state.
 
 
 @dataclass(frozen=True, slots=True)
 class Hello:
     """Sent each second: the sender is present, the mark of its store, its stage, and the number and root
-    digest of its records. ``again``: how many full copies it has started in this life."""
+    digest of its records. ``again``: how often in this life it began with a loss of memory or set its causal
+    records aside."""
 
     mark: bytes
     stage: str
@@ -102,14 +104,14 @@
 
 Message = Hello | Welcome | Batch | Ack | Ask | Answer | Pull | Piece
 TYPES: tuple[type[Any], ...] = (Hello, Welcome, Batch, Ack, Ask, Answer, Pull, Piece)
-NUMBERS = {made: n for n, made in enumerate(TYPES)}
-CHECKS: dict[str, type[Any]] = {"int": int, "bytes": bytes, "str": str, "bool": bool}
+TYPE_NUMBERS = {message_type: n for n, message_type in enumerate(TYPES)}
+FIELD_TYPES: dict[str, type[Any]] = {"int": int, "bytes": bytes, "str": str, "bool": bool}
 FIELDS = {
-    made: tuple(
-        (field.name, CHECKS.get(str(getattr(field.type, "__name__", field.type)), list))
-        for field in fields(made)
+    message_type: tuple(
+        (field.name, FIELD_TYPES.get(str(getattr(field.type, "__name__", field.type)), list))
+        for field in fields(message_type)
     )
-    for made in TYPES
+    for message_type in TYPES
 }
 
 
@@ -131,30 +133,32 @@
     """
 
     # By peer: life, newest format received from it.
-    heard: dict[str, tuple[int, int]] = field(default_factory=dict)
+    formats_received: dict[str, tuple[int, int]] = field(default_factory=dict)
     # By peer: Hellos sent while it only sent older formats.
-    hellos: dict[str, int] = field(default_factory=dict)
+    hellos_sent: dict[str, int] = field(default_factory=dict)
 
-    def hear(self, peer: str, life: int, version: int) -> None:
-        known, newest = self.heard.get(peer, (0, 0))
-        if life >= known:
-            self.heard[peer] = life, max(version, newest if life == known else 0)
+    def received(self, peer: str, life: int, version: int) -> None:
+        """Record the format of a message from a peer."""
+        known_life, newest = self.formats_received.get(peer, (0, 0))
+        if life >= known_life:
+            self.formats_received[peer] = life, max(version, newest if life == known_life else 0)
 
-    def to(self, peer: str, hello: bool) -> int:
-        found = min(self.heard.get(peer, (0, READS[-1]))[1], READS[-1])
+    def format_for(self, peer: str, hello: bool) -> int:
+        """Return the format of the next message to a peer. ``hello``: the message is a Hello."""
+        found = min(self.formats_received.get(peer, (0, READS[-1]))[1], READS[-1])
         if hello and found < READS[-1]:
-            self.hellos[peer] = self.hellos.get(peer, 0) + 1
-            if self.hellos[peer] % TRY_EACH == 0:
+            self.hellos_sent[peer] = self.hellos_sent.get(peer, 0) + 1
+            if self.hellos_sent[peer] % TRY_NEWEST_EVERY == 0:
                 return READS[-1]
         return found
 
 
 def encode(message: Message, held: Held | None = None) -> bytes:
     """Encode a message: in the newest format with ``held``, in format 1 without it."""
-    made = type(message)
-    told = (getattr(message, name) for name, _ in FIELDS[made])
-    front = (1,) if held is None else (READS[-1], held.digest, held.synced)
-    data: bytes = msgpack.packb((*front, NUMBERS[made], *told))
+    message_type = type(message)
+    values = (getattr(message, name) for name, _ in FIELDS[message_type])
+    header = (1,) if held is None else (READS[-1], held.digest, held.synced)
+    data: bytes = msgpack.packb((*header, TYPE_NUMBERS[message_type], *values))
     return data
 
 
@@ -162,7 +166,7 @@
     """Decode a message; the second value is None in format 1. Raises ReplicaRecordError if it cannot be read
     or has an unknown format."""
     try:
-        version, *told = msgpack.unpackb(data)
+        version, *values = msgpack.unpackb(data)
         if version not in READS:
             raise ReplicaRecordError(
                 f"a message of format {version}",
@@ -172,21 +176,21 @@
             )
         held = None
         if version > 1:
-            digest, synced, *told = told
+            digest, synced, *values = values
             if not isinstance(digest, bytes) or not isinstance(synced, int):
                 raise ReplicaRecordError("a message that does not tell its disk", where="replica")
             held = Held(digest, synced)
-        number, *told = told
-        made = TYPES[number]
-        wanted = FIELDS[made]
-        if len(told) != len(wanted) or not all(
-            isinstance(value, kind) for value, (_, kind) in zip(told, wanted, strict=True)
+        number, *values = values
+        message_type = TYPES[number]
+        wanted = FIELDS[message_type]
+        if len(values) != len(wanted) or not all(
+            isinstance(value, kind) for value, (_, kind) in zip(values, wanted, strict=True)
         ):
-            raise ReplicaRecordError(f"a message that is no {made.__name__}", where="replica")
-        message: Message = made(*told)
+            raise ReplicaRecordError(f"a message that is no {message_type.__name__}", where="replica")
+        message: Message = message_type(*values)
         if isinstance(message, Batch | Piece) and not all(
-            len(one) == 2 and isinstance(one[0], bytes) and isinstance(one[1], bytes)
-            for one in message.entries
+            len(entry) == 2 and isinstance(entry[0], bytes) and isinstance(entry[1], bytes)
+            for entry in message.entries
         ):
             raise ReplicaRecordError("entries that are none", where="replica")
         return message, held
--- a/beechrock/replica/operators.py
+++ b/beechrock/replica/operators.py
@@ -12,23 +12,23 @@
 if TYPE_CHECKING:
     from beechrock.replica.part import Replica
 
-MOST_SHOWN = 200  # Maximum number of records or pots in a view.
+MAX_SHOWN = 200  # Maximum number of records or pots in a view.
 
 
-def open_to(replica: "Replica", context: Context) -> None:
+def register(replica: "Replica", context: Context) -> None:
     """Register the views and calls."""
     context.views["/replica"] = lambda: view(replica)
     context.views["/replica/diff"] = lambda: diff(replica)
     if replica.advising is not None:
         context.views["/replica/advice"] = replica.advising.view
     context.views["/replica/spending"] = lambda: spending(replica)
-    context.calls["/replica/get"] = lambda told: get(replica, told)
-    context.calls["/replica/put"] = lambda told: put(replica, told)
-    context.calls["/replica/delete"] = lambda told: delete(replica, told)
-    context.calls["/replica/resolve"] = lambda told: resolve(replica, told)
-    context.calls["/replica/verify"] = lambda told: verify(replica)
-    if replica.told.trial_per_s:
-        context.calls["/replica/trial"] = lambda told: pace(replica, told)
+    context.calls["/replica/get"] = lambda params: get(replica, params)
+    context.calls["/replica/put"] = lambda params: put(replica, params)
+    context.calls["/replica/delete"] = lambda params: delete(replica, params)
+    context.calls["/replica/resolve"] = lambda params: resolve(replica, params)
+    context.calls["/replica/verify"] = lambda params: verify(replica)
+    if replica.settings.trial_per_s:
+        context.calls["/replica/trial"] = lambda params: pace(replica, params)
 
 
 def view(replica: "Replica") -> dict[str, Any]:
@@ -37,22 +37,22 @@
     verdict on the peer's store in that ``opening``. The opening of this node's store is under ``store``."""
     core, now, peers = replica.core, replica.clock(), dict[str, Any]()
     for name, peer in core.spread.peers.items():
-        heard = core.heard[name]
+        peer_state = core.peer_states[name]
         peers[name] = {
             "there": name in core.present(now),
-            "stage": heard.stage,
-            "records": heard.count,
-            "same": heard.root == core.table.sums.root[0].to_bytes(16),
+            "stage": peer_state.stage,
+            "records": peer_state.count,
+            "same": peer_state.root == core.table.sums.root[0].to_bytes(16),
             "lag": peer.lag,
             "behind": peer.behind,
-            "by_kind": {one.name: len(peer.waiting[one.priority]) for one in core.kinds.by_name.values()},
-            "acked_ms": round(1000 * peer.last_lag_s, 1),
-            "memory": heard.verdict,
-            "outdated": heard.outdated,
-            "opening": heard.opening.hex(),
+            "by_kind": {kind.name: len(peer.waiting[kind.priority]) for kind in core.kinds.by_name.values()},
+            "acked_ms": round(1000 * peer.last_ack_delay_s, 1),
+            "memory": peer_state.verdict,
+            "outdated": peer_state.outdated,
+            "opening": peer_state.opening.hex(),
         }
     catchup, store = core.catchup, replica.disk.store
-    told: dict[str, Any] = {
+    result: dict[str, Any] = {
         "name": core.name,
         "writer": core.writer,
         "broken": str(replica.broken or ""),
@@ -74,7 +74,7 @@
         "given_bytes": core.giving.given,
         "waiting": len(replica.waiting),
         "sent_bytes": dict(replica.sent),
-        "heard_bytes": dict(replica.heard),
+        "heard_bytes": dict(replica.received),
         "store": {
             "bytes": store.bytes_held,
             "first": store.first,
@@ -82,25 +82,25 @@
             "epoch": store.opening_mark.epoch,
             "opening": store.opening_mark.digest.hex(),
         },
-        **({"trial": replica.trial.figures()} if replica.trial is not None else {}),
+        **({"trial": replica.trial.statistics()} if replica.trial is not None else {}),
     }
     if replica.leasing is not None:
         holder = replica.leasing.holder
-        told["leases"] = [
+        result["leases"] = [
             {
                 "pot": list(pot),
-                "state": one.state.value,
-                "whole": one.whole,
-                "cap": round(one.cap, 6),
-                "spent": round(one.spent, 6),
-                "need_per_s": round(one.need_per_s, 3),
-                "id": one.id,
-                "returning": len(one.returning),
+                "state": holding.state.value,
+                "whole": holding.whole,
+                "cap": round(holding.cap, 6),
+                "spent": round(holding.spent, 6),
+                "need_per_s": round(holding.need_per_s, 3),
+                "id": holding.id,
+                "returning": len(holding.returning),
             }
-            for pot, one in holder.holdings.items()
+            for pot, holding in holder.holdings.items()
         ]
-        told["too_far"] = [list(pot) for pot in replica.leasing.far][:MOST_SHOWN]
-        told["pots"] = [
+        result["too_far"] = [list(pot) for pot in replica.leasing.far_pots][:MAX_SHOWN]
+        result["pots"] = [
             {
                 "pot": list(key),
                 "whole": pot.whole,
@@ -108,9 +108,9 @@
                 "open": sum(lease.open for lease in pot.leases.values()),
                 "leases": len(pot.leases),
             }
-            for key, pot in list(replica.leasing.machine.pots.items())[:MOST_SHOWN]
+            for key, pot in list(replica.leasing.machine.pots.items())[:MAX_SHOWN]
         ]
-    return told
+    return result
 
 
 def spending(replica: "Replica") -> dict[str, Any]:
@@ -134,10 +134,10 @@
 
 
 def diff(replica: "Replica") -> dict[str, Any]:
-    """Return the first MOST_SHOWN records that have conflicting values or a state that was set aside."""
+    """Return the first MAX_SHOWN records that have conflicting values or a state that was set aside."""
     core, rows = replica.core, []
     names = core.differs()
-    for name in names[:MOST_SHOWN]:
+    for name in names[:MAX_SHOWN]:
         kind, key = named(name)
         acting = core.table.acting(kind, key)
         rows.append(
@@ -152,14 +152,14 @@
     return {"differing": len(names), "records": rows}
 
 
-def _asked(told: dict[str, str]) -> tuple[str, str]:
-    if not told.get("kind") or not told.get("key"):
+def _kind_and_key(params: dict[str, str]) -> tuple[str, str]:
+    if not params.get("kind") or not params.get("key"):
         raise UnknownRecordError("kind and key are wanted", where="replica", wanted="?kind=KIND&key=KEY")
-    return told["kind"], told["key"]
+    return params["kind"], params["key"]
 
 
-def get(replica: "Replica", told: dict[str, str]) -> dict[str, Any]:
-    kind, key = _asked(told)
+def get(replica: "Replica", params: dict[str, str]) -> dict[str, Any]:
+    kind, key = _kind_and_key(params)
     value = replica.get(kind, key)
     return {
         "kind": kind,
@@ -169,50 +169,50 @@
     }
 
 
-def _wrote(replica: "Replica", what: str, name: bytes) -> dict[str, Any]:
+def _log_change(replica: "Replica", action: str, name: bytes) -> dict[str, Any]:
     """Log a change now, and once more when a majority's disks hold it."""
     kind, key = named(name)
     state = replica.core.table.state(name)
     dots = [str(dot) for dot in state.values] if isinstance(state, Causal) else []
     seen = dict(state.seen) if isinstance(state, Causal) else {}
-    logs.event("replica.put", what=what, kind=kind, key=key, dots=dots, seen=seen)
+    logs.event("replica.put", what=action, kind=kind, key=key, dots=dots, seen=seen)
     replica.core.when_kept(name, lambda: logs.event("replica.kept", kind=kind, key=key, dots=dots))
     return {"kind": kind, "key": key, "dots": dots}
 
 
-def put(replica: "Replica", told: dict[str, str]) -> dict[str, Any]:
-    return _wrote(replica, "put", replica.put(*_asked(told), told.get("value", "").encode()))
+def put(replica: "Replica", params: dict[str, str]) -> dict[str, Any]:
+    return _log_change(replica, "put", replica.put(*_kind_and_key(params), params.get("value", "").encode()))
 
 
-def delete(replica: "Replica", told: dict[str, str]) -> dict[str, Any]:
-    return _wrote(replica, "delete", replica.delete(*_asked(told)))
+def delete(replica: "Replica", params: dict[str, str]) -> dict[str, Any]:
+    return _log_change(replica, "delete", replica.delete(*_kind_and_key(params)))
 
 
-def resolve(replica: "Replica", told: dict[str, str]) -> dict[str, Any]:
+def resolve(replica: "Replica", params: dict[str, str]) -> dict[str, Any]:
     """Replace all values of a record by ``value``; without one, delete the record."""
-    kind, key = _asked(told)
-    value = told["value"].encode() if "value" in told else None
-    return _wrote(replica, "resolve", replica.resolve(kind, key, value))
+    kind, key = _kind_and_key(params)
+    value = params["value"].encode() if "value" in params else None
+    return _log_change(replica, "resolve", replica.resolve(kind, key, value))
 
 
-def pace(replica: "Replica", told: dict[str, str]) -> dict[str, Any]:
+def pace(replica: "Replica", params: dict[str, str]) -> dict[str, Any]:
     """Set the number of changes per second that the trial makes."""
-    if replica.trial is not None and told.get("per_s", "").isdigit():
-        replica.trial.per_s = float(told["per_s"])
+    if replica.trial is not None and params.get("per_s", "").isdigit():
+        replica.trial.per_s = float(params["per_s"])
     return {"per_s": replica.trial.per_s if replica.trial is not None else None}
 
 
 def verify(replica: "Replica") -> dict[str, Any]:
     """Recompute all digests from the records, and read the whole store. Takes a second for 100,000
     records."""
-    core, made = replica.core, Sums()
+    core, sums = replica.core, Sums()
     for name, record in core.table.records.items():
-        made.put(name, digest(name, pack(record.state)))
+        sums.put(name, digest(name, pack(record.state)))
     store = replica.disk.store
     read = sum(len(store.entry(index)) for index in range(store.first, store.last + 1))
     return {
         "records": len(core.table.records),
-        "digests": made.root == core.table.sums.root,
+        "digests": sums.root == core.table.sums.root,
         "log_bytes": read,
-        "root": made.root[0].to_bytes(16).hex(),
+        "root": sums.root[0].to_bytes(16).hex(),
     }
--- a/beechrock/replica/records.py
+++ b/beechrock/replica/records.py
@@ -17,8 +17,8 @@
 from beechrock.replica.errors import BrokenInvariantError, ReplicaFullError, ReplicaRecordError
 
 # Maximum number of writers in a context or tally that is written to; a merge of two may have twice as many.
-MOST_WRITERS = 64
-MOST_VALUE = 16_384  # Maximum size of a value, in bytes.
+MAX_WRITERS = 64
+MAX_VALUE_BYTES = 16_384  # Maximum size of a value, in bytes.
 
 
 class Dot(NamedTuple):
@@ -55,7 +55,7 @@
                 where=f"tally of {writer}",
                 wanted="counts that only grow",
             )
-        if writer not in self.counts and len(self.counts) >= MOST_WRITERS:
+        if writer not in self.counts and len(self.counts) >= MAX_WRITERS:
             raise ReplicaFullError(f"{len(self.counts)} writers", where="tally", wanted="a new period's key")
         return Tally({**self.counts, writer: (spent, back)})
 
@@ -67,8 +67,8 @@
         return [[writer, *self.counts[writer]] for writer in sorted(self.counts)]
 
     @classmethod
-    def of_plain(cls, told: Iterable[Any]) -> "Tally":
-        return cls({str(w): (float(spent), float(back)) for w, spent, back in told})
+    def of_plain(cls, plain_state: Iterable[Any]) -> "Tally":
+        return cls({str(w): (float(spent), float(back)) for w, spent, back in plain_state})
 
 
 @dataclass(frozen=True, slots=True)
@@ -103,28 +103,28 @@
                 f"{dot} is written twice", where="a causal record", wanted="a count above all of its writer"
             )
         seen = {**self.seen, dot.writer: dot.n}
-        if len(seen) > MOST_WRITERS:
+        if len(seen) > MAX_WRITERS:
             # The writers with the lowest numbers are forgotten, except those of the present values. An old
             # copy of a forgotten write would reappear as a conflicting value, which operators see.
-            stay = {one.writer for one in self.values} | {dot.writer}
-            gone = sorted((n, w) for w, n in seen.items() if w not in stay)[: len(seen) - MOST_WRITERS]
-            seen = {w: n for w, n in seen.items() if (n, w) not in gone}
+            present = {value_dot.writer for value_dot in self.values} | {dot.writer}
+            forgotten = sorted((n, w) for w, n in seen.items() if w not in present)[: len(seen) - MAX_WRITERS]
+            seen = {w: n for w, n in seen.items() if (n, w) not in forgotten}
         return Causal({dot: value}, seen)
 
     @property
-    def living(self) -> list[bytes]:
+    def live_values(self) -> list[bytes]:
         return [self.values[dot] or b"" for dot in sorted(self.values) if self.values[dot] is not None]
 
     @property
     def deleted(self) -> bool:
-        return not self.living
+        return not self.live_values
 
     def plain(self) -> list[Any]:
         return [[[*dot, self.values[dot]] for dot in sorted(self.values)], sorted(self.seen.items())]
 
     @classmethod
-    def of_plain(cls, told: Any) -> "Causal":
-        values, seen = told
+    def of_plain(cls, plain_state: Any) -> "Causal":
+        values, seen = plain_state
         made = cls(
             {Dot(str(w), int(n)): None if v is None else bytes(v) for w, n, v in values},
             {str(w): int(n) for w, n in seen},
@@ -144,14 +144,14 @@
     value: bytes
 
     def merge(self, other: "Own") -> "Own":
-        return max(self, other, key=lambda one: (one.life, one.n, one.value))
+        return max(self, other, key=lambda state: (state.life, state.n, state.value))
 
     def plain(self) -> list[Any]:
         return [self.life, self.n, self.value]
 
     @classmethod
-    def of_plain(cls, told: Any) -> "Own":
-        life, n, value = told
+    def of_plain(cls, plain_state: Any) -> "Own":
+        life, n, value = plain_state
         return cls(int(life), int(n), bytes(value))
 
 
--- a/beechrock/replica/sums.py
+++ b/beechrock/replica/sums.py
@@ -16,7 +16,7 @@
 WAYS, DEPTH = 16, 4  # Number of parts of a range, and of levels below the root.
 RANGES = WAYS**DEPTH  # Number of ranges on the lowest level.
 MASK = (1 << 128) - 1  # Sums have 128 bits.
-LIST = 64  # Maximum number of entries of a range that is listed by names instead of compared by parts.
+LIST_ENTRIES = 64  # Maximum number of entries of a range that is listed instead of compared by parts.
 
 Range = tuple[int, int]  # Level from 0 to DEPTH, number on that level.
 Summed = tuple[int, int]  # Sum of digests, number of entries.
@@ -62,49 +62,51 @@
                 del self.levels[level][at]
             at //= WAYS
 
-    def of(self, one: Range) -> Summed:
+    def of(self, range_: Range) -> Summed:
         """Return the sum and the number of entries of a range."""
-        return self.levels[one[0]].get(one[1], (0, 0))
+        return self.levels[range_[0]].get(range_[1], (0, 0))
 
     @property
     def root(self) -> Summed:
         return self.of((0, 0))
 
-    def parts(self, one: Range) -> list[Summed]:
-        level, number = one
+    def parts(self, range_: Range) -> list[Summed]:
+        level, number = range_
         return [self.of((level + 1, number * WAYS + n)) for n in range(WAYS)]
 
-    def listed(self, one: Range) -> dict[bytes, int]:
+    def listed(self, range_: Range) -> dict[bytes, int]:
         """Return the digests of all entries in a range, by name."""
-        return {ident: value for at in self._ranges(one) for ident, value in self.leaves.get(at, {}).items()}
+        return {
+            ident: value for at in self._ranges(range_) for ident, value in self.leaves.get(at, {}).items()
+        }
 
-    def _ranges(self, one: Range) -> list[int]:
-        width = WAYS ** (DEPTH - one[0])
-        wanted = range(one[1] * width, (one[1] + 1) * width)
+    def _ranges(self, range_: Range) -> list[int]:
+        width = WAYS ** (DEPTH - range_[0])
+        wanted = range(range_[1] * width, (range_[1] + 1) * width)
         return (
             [at for at in wanted if at in self.leaves]
             if width < len(self.leaves)
             else [at for at in sorted(self.leaves) if at in wanted]
         )
 
-    def small(self, one: Range) -> bool:
+    def small(self, range_: Range) -> bool:
         """Whether a range is listed by names instead of compared by parts."""
-        return one[0] == DEPTH or self.of(one)[1] <= LIST
+        return range_[0] == DEPTH or self.of(range_)[1] <= LIST_ENTRIES
 
-    def compare(self, one: Range, parts: list[Summed]) -> list[Range]:
+    def compare(self, range_: Range, parts: list[Summed]) -> list[Range]:
         """Return the parts of a range that differ from another node's."""
-        level, number = one
+        level, number = range_
         return [
             (level + 1, number * WAYS + n)
             for n, theirs in enumerate(parts[:WAYS])
             if self.of((level + 1, number * WAYS + n)) != theirs
         ]
 
-    def lacks(self, one: Range, told: dict[bytes, int]) -> tuple[list[bytes], list[bytes]]:
+    def compare_list(self, range_: Range, theirs: dict[bytes, int]) -> tuple[list[bytes], list[bytes]]:
         """Compare a range with another node's list of it. Return the names whose entries there are missing or
         different here, and those whose entries here are missing or different there."""
-        mine = self.listed(one)
+        mine = self.listed(range_)
         return (
-            [ident for ident, value in told.items() if mine.get(ident) != value],
-            [ident for ident, value in mine.items() if told.get(ident) != value],
+            [ident for ident, value in theirs.items() if mine.get(ident) != value],
+            [ident for ident, value in mine.items() if theirs.get(ident) != value],
         )
--- a/beechrock/replica/trial.py
+++ b/beechrock/replica/trial.py
@@ -14,13 +14,13 @@
 if TYPE_CHECKING:
     from beechrock.replica.part import Replica
 
-KEYS = 2000  # Number of keys written in turn.
-MOST_LAGS = 200_000  # Maximum number of delays kept.
+KEYS = 2000  # Number of keys that are written in turn.
+MAX_LAGS = 200_000  # Maximum number of delays kept.
 
 
 class Trial:
     def __init__(self, replica: "Replica") -> None:
-        self.replica, self.n, self.per_s = replica, 0, replica.told.trial_per_s
+        self.replica, self.n, self.per_s = replica, 0, replica.settings.trial_per_s
         self.lags: list[float] = []
         replica.trial = self
         replica.on("learned", self._changed)
@@ -28,13 +28,13 @@
     async def run(self) -> None:
         """Make changes at a steady rate; those missed in a pause are not made up for."""
         step_s, due = 0.02, clocks.boot()
-        owed = 0.0
+        due_changes = 0.0
         while True:
             await asyncio.sleep(max(0.0, due - clocks.boot()))
             due = max(due + step_s, clocks.boot() - step_s)
-            owed += self.per_s * step_s
-            while owed >= 1:
-                owed -= 1
+            due_changes += self.per_s * step_s
+            while due_changes >= 1:
+                due_changes -= 1
                 self.n += 1
                 key = f"{self.replica.core.name}/{self.n % KEYS}"
                 self.replica.own("learned", key, f"{clocks.boot():.6f}".encode())
@@ -42,10 +42,10 @@
     def _changed(self, key: str) -> None:
         state = self.replica.core.table.state(ident("learned", key))
         theirs = not key.startswith(self.replica.core.name + "/")
-        if theirs and isinstance(state, Own) and len(self.lags) < MOST_LAGS:
+        if theirs and isinstance(state, Own) and len(self.lags) < MAX_LAGS:
             self.lags.append(clocks.boot() - float(state.value))
 
-    def figures(self) -> dict[str, Any]:
+    def statistics(self) -> dict[str, Any]:
         """Return the number of changes, and statistics of the delays since the last call, in milliseconds."""
         lags, self.lags = sorted(self.lags), []
         if not lags:
--- a/tests/replica/test_guards.py
+++ b/tests/replica/test_guards.py
@@ -10,7 +10,7 @@
 from beechrock.replica.giving import Giving
 from beechrock.replica.heard import Say
 from beechrock.replica.messages import Ack, Batch, Hello, Pull, Welcome
-from beechrock.replica.spread import WINDOW, Peer, Spread
+from beechrock.replica.spread import WINDOW, PeerQueue, Spread
 from beechrock.replica.sums import RANGES
 from beechrock.store.codec import Mark
 from beechrock.store.witness import Verdict
@@ -82,7 +82,7 @@
 
 
 def test_who_missed_a_dropped_tombstone_takes_a_whole_copy(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(tables, "MOST_FRESH", 4)
+    monkeypatch.setattr(tables, "MAX_FRESH", 4)
     a, b = core("a", "b"), core("b", "a")
     for n in range(10):
         a.write("note", f"k{n}", b"v")
@@ -91,8 +91,8 @@
     for n in range(10):
         a.write("note", f"k{n}", None)
     talk([a, b], 9.0, 3.0, lost=("b",))
-    assert len(a.table.fresh) == 4 and a.heard["b"].outdated
-    monkeypatch.setattr(tables, "MOST_SETTLED", 0)
+    assert len(a.table.fresh) == 4 and a.peer_states["b"].outdated
+    monkeypatch.setattr(tables, "MAX_SETTLED", 0)
     for name in list(a.table.settled):  # long forgotten
         del a.table.settled[name]
     talk([a, b], 20.0, 9.0)
@@ -110,22 +110,22 @@
 
 def test_a_copy_goes_on_where_it_was_and_takes_no_piece_twice() -> None:
     made = Catchup(3, cursor=100, forgot=True)
-    made.judged(0.0, "a", Verdict.NEWER, False, 0)
-    assert made.stage is Stage.SNAPSHOT and made.wants(0.1, ["a", "b"]) == "a"
+    made.on_verdict(0.0, "a", Verdict.NEWER, False, 0)
+    assert made.stage is Stage.SNAPSHOT and made.next_giver(0.1, ["a", "b"]) == "a"
     assert made.piece(0.2, "a", 100, 200) and not made.piece(0.3, "a", 100, 300)
     assert not made.piece(0.3, "b", 250, 300) and made.cursor == 200
-    assert made.wants(9.0, ["a", "b"]) == "b"  # the giver is silent
+    assert made.next_giver(9.0, ["a", "b"]) == "b"  # the giver is silent
     assert made.piece(9.1, "b", 200, RANGES) and made.stage is Stage.REPAIR
     assert not made.repaired("a") and made.repaired("b")  # so many that each majority is met
 
 
 def test_a_peer_that_is_away_costs_so_many_names_and_no_more() -> None:
-    spread = Spread(0, {"b": Peer("b")}, lambda name: (name * 200, 1), lambda name: 0, most_dirty=50)
+    spread = Spread(0, {"b": PeerQueue("b")}, lambda name: (name * 200, 1), lambda name: 0, max_queued=50)
     for n in range(200):
         spread.changed(b"%06d" % n, 1)
     assert spread.peers["b"].lag <= 50 and spread.peers["b"].behind
     for n in range(4000):
-        spread.most_dirty = 10_000
+        spread.max_queued = 10_000
         spread.changed(b"%06d" % n, 1)
     assert len(spread.batches(0.0)) == WINDOW and not spread.batches(0.1)
     assert not spread.batches(1.0) and spread.batches(1.3)  # without an answer they come again
--- a/tests/replica/test_health.py
+++ b/tests/replica/test_health.py
@@ -5,9 +5,18 @@
 import pytest
 
 from beechrock.replica.errors import ReplicaRecordError
-from beechrock.replica.health import ADVISED_S, FAILS, FIRST_S, LAST, Address, Health, State, Word
+from beechrock.replica.health import (
+    FAILURES_TO_EJECT,
+    FIRST_S,
+    LAST_COST,
+    MAX_ADVISED_S,
+    Address,
+    Health,
+    State,
+    Word,
+)
 from beechrock.replica.priors import Advice
-from beechrock.replica.telling import TELL_S, TICK_S, Givers, Pace, Teller, pack, unpack
+from beechrock.replica.telling import REPORT_S, TICK_S, LoopPace, PeerReports, ReportSchedule, pack, unpack
 
 ONE, TWO, THREE = [("s", n) for n in (1, 2, 3)]
 POOLS = {"x": (ONE, TWO, THREE)}
@@ -33,53 +42,53 @@
 
 def test_a_server_that_fails_is_asked_last_then_tried_by_one_request_and_is_back() -> None:
     health = made()
-    for _ in range(FAILS):
+    for _ in range(FAILURES_TO_EJECT):
         assert health.servers.get(ONE) is None or health.servers[ONE].state(100.0) is State.WELL
         health.failed(100.0, ONE)
-    assert health.cost(100.0, ONE, 0) >= LAST and first(health, 100.0) != ONE
+    assert health.cost(100.0, ONE, 0) >= LAST_COST and first(health, 100.0) != ONE
     later = 100.0 + FIRST_S
-    assert first(health, later) == ONE and health.cost(later, ONE, 1) >= LAST
+    assert first(health, later) == ONE and health.cost(later, ONE, 1) >= LAST_COST
     health.failed(later, ONE)
-    assert health.servers[ONE].until == later + 2 * FIRST_S
+    assert health.servers[ONE].ejected_until == later + 2 * FIRST_S
     health.good(later + 11, ONE, 0.02)
-    assert health.servers[ONE].state(later + 11) is State.WELL and not health.last
-    assert [why for _, why in health.turned] == ["own", "own", "back"]
+    assert health.servers[ONE].state(later + 11) is State.WELL and not health.tried_last
+    assert [why for _, why in health.transitions] == ["own", "own", "back"]
 
 
 def test_at_most_half_of_a_service_are_asked_last_its_own_first() -> None:
     health = made(told("a", TWO, 9.0), told("a", THREE, 9.0))
-    assert health.last == {TWO}
-    for _ in range(FAILS):
+    assert health.tried_last == {TWO}
+    for _ in range(FAILURES_TO_EJECT):
         health.failed(100.0, ONE)
-    assert health.last == {ONE}
+    assert health.tried_last == {ONE}
 
 
 def test_what_operators_ejected_is_asked_last_and_not_looked_at_until_they_say_so() -> None:
     health = Health()
     health.advise(100.0, [], POOLS, frozenset((ONE, TWO)))
-    assert health.last == {ONE, TWO} and first(health, 900.0) == THREE
+    assert health.tried_last == {ONE, TWO} and first(health, 900.0) == THREE
     health.advise(901.0, [], POOLS)
-    assert not health.last and first(health, 901.0) == ONE
+    assert not health.tried_last and first(health, 901.0) == ONE
 
 
 def test_advice_begins_an_ejection_that_its_own_look_ends_and_nothing_prolongs() -> None:
     words = [told("a", ONE, 50.0), told("b", ONE, 50.0), told("c", ONE, 0.0)]
     health = made(*words)
-    assert health.last == {ONE} and health.servers[ONE].advised and not health.words(100.0)
+    assert health.tried_last == {ONE} and health.servers[ONE].advised and not health.words(100.0)
     for at in range(100, 160):
         health.advise(float(at), words, POOLS)
-    assert health.servers[ONE].until == 100.0 + ADVISED_S and first(health, 160.0) == ONE
+    assert health.servers[ONE].ejected_until == 100.0 + MAX_ADVISED_S and first(health, 160.0) == ONE
     health.good(160.0, ONE, 0.02)
     health.advise(161.0, words, POOLS)
-    assert not health.last and health.words(161.0)[0].seen == 1
+    assert not health.tried_last and health.words(161.0)[0].seen == 1
 
 
 @pytest.mark.parametrize("more", [{"age_s": 400.0}, {"slowness": 3.0}, {"whole": False}, {"age_s": -1.0}])
 def test_a_stale_or_crawling_giver_changes_nothing(more: dict[str, float]) -> None:
-    assert not made(told("a", ONE, 9.0), told("b", ONE, 0.0), told("c", ONE, 0.0)).last
+    assert not made(told("a", ONE, 9.0), told("b", ONE, 0.0), told("c", ONE, 0.0)).tried_last
     health = made(told("a", ONE, 9.0, **more))
     alone = made()
-    assert not health.last and health.servers[ONE].latency.weight == 0.0
+    assert not health.tried_last and health.servers[ONE].latency.weight == 0.0
     assert [health.cost(100.0, one, 0) for one in POOLS["x"]] == [
         alone.cost(100.0, one, 0) for one in POOLS["x"]
     ]
@@ -96,7 +105,7 @@
 
 
 def test_a_word_is_as_old_as_it_told_and_the_time_since_it_came_and_its_giver_has_to_be_there() -> None:
-    data, givers = pack(1.0, [Word("s:1", 0.02, 200, 1.0, 9.0)]), Givers()
+    data, givers = pack(1.0, [Word("s:1", 0.02, 200, 1.0, 9.0)]), PeerReports()
     assert unpack(data) == (1.0, [Word("s:1", 0.02, 200, 1.0, 9.0)])
     givers.advice(10.0, "a", 1, 1, data, True)
     ((advice, word),) = givers.advice(70.0, "a", 1, 1, data, True)
@@ -109,14 +118,14 @@
 
 
 def test_a_node_knows_that_it_crawls_and_tells_no_more_than_it_has_to() -> None:
-    pace, now = Pace(), 5.0
+    pace, now = LoopPace(), 5.0
     for _ in range(40):
         now += TICK_S
         assert pace.tick(now) == pytest.approx(1.0)
     assert pace.tick(now + 20.0) > 3.0  # it was stopped
-    teller, word = Teller(), Word("s:1", 0.02, 200, 1.0, 0.0)
+    teller, word = ReportSchedule(), Word("s:1", 0.02, 200, 1.0, 0.0)
     assert teller.due(0.0, [word], False) and not teller.due(1.0, [word], False)
     assert teller.due(2.0, [word], True, 9.0) and not teller.due(2.1, [word], False, 9.0)
     assert teller.due(2.2, [word], False) and not teller.due(2.3, [word], False)
-    assert teller.due(2.2 + TELL_S, [word], False)
+    assert teller.due(2.2 + REPORT_S, [word], False)
     assert not teller.due(99.0, [Word("s:1", 0.02, 200, 999.0, 0.0)], False)
--- a/tests/replica/test_leases.py
+++ b/tests/replica/test_leases.py
@@ -23,7 +23,7 @@
 
 
 def ask(budgets: Budgets, index: int, holder: Holder, now: float, sent: float | None = None) -> None:
-    made = [(one.pot, one.whole, one.number, 50.0) for one in holder.holdings.values()]
+    made = [(one.pot, one.whole, one.generation, 50.0) for one in holder.holdings.values()]
     holder.answered(
         now if sent is None else sent, budgets.apply(index, log.ask(holder.name, holder.life, made))
     )
@@ -122,12 +122,12 @@
 def test_two_processes_of_one_name_and_life_number_are_granted_one_lease_each_at_most() -> None:
     """Of copies of one folder whose clock was ahead both begin with the number after the folder's."""
     budgets = Budgets()
-    first, second = (holder("a", POT, log.start(7, drawn)) for drawn in (3, 5))
-    assert first.life != second.life and log.start(8, 0) > max(first.life, second.life)
+    first, second = (holder("a", POT, log.holder_life(7, drawn)) for drawn in (3, 5))
+    assert first.life != second.life and log.holder_life(8, 0) > max(first.life, second.life)
     ask(budgets, 1, first, 0.0)
     ask(budgets, 2, second, 0.0)
     ask(budgets, 3, first, 0.0)
-    assert first.holdings[POT].most + second.holdings[POT].most <= budgets.pots[POT].granted <= 100.0
+    assert first.holdings[POT].limit + second.holdings[POT].limit <= budgets.pots[POT].granted <= 100.0
     assert first.holdings[POT].id != second.holdings[POT].id
 
 
@@ -138,7 +138,7 @@
     budgets.apply(2, log.close(POT, a.holdings[POT].id, 1))
     ask(budgets, 3, a, 0.2)
     one = a.holdings[POT]
-    assert one.most == 10.0 + one.amount and budgets.pots[POT].granted == 50.0 + one.amount
+    assert one.limit == 10.0 + one.amount and budgets.pots[POT].granted == 50.0 + one.amount
     back = next(back for back in a.surplus(0.3) if back.id != one.id)
     told = budgets.apply(4, log.back("a", 1, back.pot, back.id, back.n, back.amount))
     a.gave_back(told)
--- a/tests/replica/test_merges.py
+++ b/tests/replica/test_merges.py
@@ -46,10 +46,10 @@
     a = Causal({}, {}).write(Dot("a/1", 1), b"x")
     late = a.write(Dot("b/1", 1), b"late")
     gone = a.write(Dot("c/1", 1), None)
-    assert merge(gone, a).deleted and not merge(gone, a).living  # type: ignore[union-attr]
+    assert merge(gone, a).deleted and not merge(gone, a).live_values  # type: ignore[union-attr]
     both = merge(gone, late)
-    assert isinstance(both, Causal) and both.living == [b"late"] and len(both.values) == 2
-    assert both.write(Dot("a/2", 1), b"settled").living == [b"settled"]
+    assert isinstance(both, Causal) and both.live_values == [b"late"] and len(both.values) == 2
+    assert both.write(Dot("a/2", 1), b"settled").live_values == [b"settled"]
 
 
 @settings(max_examples=50, deadline=None)
@@ -88,8 +88,8 @@
     b.hear(name, early)
     a.write("note", "k", None)
     assert a.settle(a.seq) == 1 and a.sums.root[1] == 0 and name not in a.records
-    heard = a.hear(name, early)
-    assert not heard.mine and heard.theirs and a.acting("note", "k") is None
+    merged = a.hear(name, early)
+    assert not merged.mine and merged.theirs and a.acting("note", "k") is None
     assert b.hear(name, pack(a.state(name))).mine and b.acting("note", "k") is None  # type: ignore[arg-type]
     b.write("note", "k", b"anew")
     assert a.hear(ident("note", "k"), pack(b.records[name].state)).mine and a.acting("note", "k") == b"anew"
--- a/tests/replica/test_part.py
+++ b/tests/replica/test_part.py
@@ -23,7 +23,7 @@
     holder = Holder("a", 1, 2, 1.0)
     module.ports.budget_parts = spending = Spending(holder, lambda: boot[0], lambda: True, lambda: 0)
     spending.settings(6000.0, module.settings)
-    spending.fresh = True
+    spending.caps_changed = True
 
     def part() -> float | None:
         module.tick(6000.0)
@@ -31,7 +31,7 @@
 
     assert part() == NOTHING  # before the first lease
     holder.answered(0.0, [Granted(("budget", "t", 101), 1, 5.0, 1, 0)])
-    spending.fresh = True
+    spending.caps_changed = True
     assert part() == 10.0  # a node's part is told times the fleet's size
     assert module.update_settings(SETTINGS) and part() == 10.0
     boot[0] = 3.0  # stopped for longer than the lease
--- a/tests/replica/test_periods.py
+++ b/tests/replica/test_periods.py
@@ -83,7 +83,7 @@
         counters = Counters()
         module = ModuleActor(SETTINGS, 1, lambda: 6000.0, counters)  # its 101st period
         replica: Any = SimpleNamespace(
-            told=SimpleNamespace(lease_s=0.2),
+            settings=SimpleNamespace(lease_s=0.2),
             talk=SimpleNamespace(name="e", life=1, peers=("a", "b", "c")),
             clock=time.monotonic,
             counters=counters,
@@ -95,10 +95,10 @@
         await asyncio.sleep(0.1)
         assert not asked
         read.set()
-        while not leasing.far:
+        while not leasing.far_pots:
             await asyncio.sleep(0.01)
         runs.cancel()
-        assert not asked and leasing.far == {pot(101)}
+        assert not asked and leasing.far_pots == {pot(101)}
 
     asyncio.run(asyncio.wait_for(work(), 60.0))
 
--- a/tests/replica/test_priors.py
+++ b/tests/replica/test_priors.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from beechrock.replica.priors import DOUBT, MOST_WEIGHT, Advice, Estimate
+from beechrock.replica.priors import DOUBT, MAX_WEIGHT, Advice, Estimate
 
 TRUE, CAUTIOUS = 40.0, 5.0
 
@@ -45,7 +45,7 @@
         wrong = Advice("x", 4 * TRUE, 10_000, 0.0)
         assert steady([wrong], seed) <= max(steady([], seed), DOUBT)
         assert steady([*GOOD, wrong], seed) <= steady([], seed)
-    assert all(one.weight <= MOST_WEIGHT for one in GOOD)
+    assert all(one.weight <= MAX_WEIGHT for one in GOOD)
     estimate = Estimate(CAUTIOUS)
     estimate.advise(GOOD)
     for _ in range(40):
--- a/tests/replica/test_promises.py
+++ b/tests/replica/test_promises.py
@@ -8,8 +8,8 @@
 from beechrock.lab.replica_sim import World
 from beechrock.replica import part
 from beechrock.replica.catchup import Catchup, Stage
-from beechrock.replica.heard import Heard
-from beechrock.replica.messages import READS, TRY_EACH, Batch, Formats
+from beechrock.replica.heard import PeerState
+from beechrock.replica.messages import READS, TRY_NEWEST_EVERY, Batch, Formats
 from beechrock.replica.table import Table
 from beechrock.store.codec import Mark
 from beechrock.store.witness import advance_mark
@@ -64,29 +64,29 @@
 def test_one_that_comes_back_older_twice_is_told_of_twice(monkeypatch: pytest.MonkeyPatch) -> None:
     told = list[str]()
     monkeypatch.setattr(part.logs, "event", lambda event, *level, **more: told.append(event))
-    heard = {"e": Heard(verdict="older", opening=b"1")}
-    core = SimpleNamespace(heard=heard, catchup=Catchup(3), table=Table(""))
-    replica = SimpleNamespace(core=core, shown=())
+    states = {"e": PeerState(verdict="older", opening=b"1")}
+    core = SimpleNamespace(peer_states=states, catchup=Catchup(3), table=Table(""))
+    replica = SimpleNamespace(core=core, last_logged=())
     for opening in (b"1", b"1", b"2"):
-        heard["e"].opening = opening
-        part.Replica._show(replica)  # type: ignore[arg-type]
+        states["e"].opening = opening
+        part.Replica._log_changes(replica)  # type: ignore[arg-type]
     assert told.count("replica.older") == 2
 
 
 def test_two_formats_meet_and_two_new_ones_find_each_other() -> None:
     old, new = READS[0], READS[-1]
     a, b = Formats(), Formats()
-    assert a.to("b", True) == new
-    a.hear("b", 1, old)
-    assert a.to("b", False) == old
+    assert a.format_for("b", True) == new
+    a.received("b", 1, old)
+    assert a.format_for("b", False) == old
     # It begins anew as a newer one; its first word is lost, and it hears the old format.
-    b.hear("a", 1, a.to("b", True))
-    a.hear("b", 2, b.to("a", False))
-    assert (a.to("b", False), b.to("a", False)) == (old, old)
-    tried = [a.to("b", True) for _ in range(TRY_EACH)]
+    b.received("a", 1, a.format_for("b", True))
+    a.received("b", 2, b.format_for("a", False))
+    assert (a.format_for("b", False), b.format_for("a", False)) == (old, old)
+    tried = [a.format_for("b", True) for _ in range(TRY_NEWEST_EVERY)]
     assert new in tried
-    b.hear("a", 1, new)
-    b.hear("a", 1, old)  # what was on its way
-    assert b.to("a", False) == new
-    a.hear("b", 2, b.to("a", False))
-    assert a.to("b", False) == new
+    b.received("a", 1, new)
+    b.received("a", 1, old)  # what was on its way
+    assert b.format_for("a", False) == new
+    a.received("b", 2, b.format_for("a", False))
+    assert a.format_for("b", False) == new
--- a/tests/replica/test_renewed.py
+++ b/tests/replica/test_renewed.py
@@ -10,7 +10,7 @@
 from beechrock.replica.catchup import Stage
 from beechrock.replica.messages import Held, Hello, encode
 from beechrock.replica.part import Replica
-from beechrock.replica.told import Told
+from beechrock.replica.told import ReplicaSettings
 from beechrock.store.codec import Mark
 from beechrock.store.folder import open_folder
 from beechrock.store.witness import Witness
@@ -42,7 +42,7 @@
     node = emptied_and_whole_again(world, "n3")
     world.run(world.now + TICK_S + TRAVEL_S)
     others = [other for other in world.nodes.values() if other is not node]
-    assert all(other.core.heard["n3"].verdict in ("same", "newer") for other in others)
+    assert all(other.core.peer_states["n3"].verdict in ("same", "newer") for other in others)
     node.crash()
     for other in others:  # whoever heard it has it on disk
         other.crash()
@@ -76,7 +76,7 @@
     world.run(world.now + 6.0)
     assert Stage.SNAPSHOT in node.core.catchup.history
     assert all(
-        other.core.heard["n3"].verdict in ("same", "newer")
+        other.core.peer_states["n3"].verdict in ("same", "newer")
         for other in world.nodes.values()
         if other is not node
     )
@@ -97,9 +97,9 @@
     )
     context = SimpleNamespace(counters=Counters())
 
-    replica = Replica(Told(leases=False), context, talk, None)  # type: ignore[arg-type]
-    replica._take("b", 1, hello)
-    assert replica.more.is_set() and not replica.core.writes  # the disk's thread is asked for
+    replica = Replica(ReplicaSettings(leases=False), context, talk, None)  # type: ignore[arg-type]
+    replica._receive("b", 1, hello)
+    assert replica.writes_due.is_set() and not replica.core.writes  # the disk's thread is asked for
     assert replica.disk.append(replica.core)
     replica.disk.sync()
     assert Witness(open_folder(tmp_path / "replica"), "replica.witness").known["b"] == mark
--- a/tests/replica/test_told.py
+++ b/tests/replica/test_told.py
@@ -19,14 +19,14 @@
 from beechrock.replica.leases import Budgets
 from beechrock.replica.messages import Batch, Held, Hello, decode, encode
 from beechrock.replica.spending import NOTHING, Spending
-from beechrock.replica.told import Told, read
+from beechrock.replica.told import ReplicaSettings, read
 
 TENANT = api.TenantSettings(0.5, 100.0, name="t", budget=40.0, budget_period_s=60.0)
 CLASS = api.ClassSettings(latency_objective_s=1.0, deadline_s=3.0)
 
 
 def test_the_table_is_checked_with_its_key() -> None:
-    assert read({}, "f: replica", Path()) == Told()
+    assert read({}, "f: replica", Path()) == ReplicaSettings()
     assert read({"lease_s": 1, "leases": False}, "f: replica", Path()).lease_s == 1.0
     for key, bad in (("lease_s", 0), ("repair_s", "x"), ("leases", 1), ("most_mb", 1)):
         with pytest.raises(ConfigError, match=key):
@@ -53,7 +53,7 @@
         self.spending = Spending(self.holder, lambda: self.boot, lambda: True, lambda: 0)
         settings = api.Settings(classes=(CLASS,), tenants=(TENANT,), cores=8, memory_kb=8192.0, fleet_size=2)
         self.spending.settings(self.now, settings)
-        self.spending.fresh = True
+        self.spending.caps_changed = True
         self.node = Node(settings, 1, self.now)
 
     def ask(self, want: float) -> None:
@@ -62,7 +62,7 @@
             self.index, log.ask("a", 1, [(pot, 40.0, 0, want) for pot in self.holder.current])
         )
         self.holder.answered(self.boot, told)
-        self.spending.fresh = True
+        self.spending.caps_changed = True
 
     def request(self) -> bool:
         """As a batch is decided: the parts first."""
@@ -115,8 +115,8 @@
     assert not play.request()
     play.ask(1.0)
     assert [play.request(), play.request()] == [True, False]
-    play.spending.note(play.now, play.node)
-    spent = {place: went for place, (went, _) in play.spending.went.items()}
+    play.spending.read_spending(play.now, play.node)
+    spent = {place: went for place, (went, _) in play.spending.totals.items()}
     assert spent == {("t", 101): 6.0, ("t", 102): 1.0}
     renewed = play.spending.settings(play.now, replace(play.node.settings, tenants=(TENANT,)))
     assert (renewed.tenants[0].budget or 0.0) < 20.0  # an inventory taken up anew brings no fixed part
