--- a/beechrock/replica/operators.py
+++ b/beechrock/replica/operators.py
@@ -73,8 +73,8 @@
         "refused": core.refused,
         "given_bytes": core.giving.given,
         "waiting": len(replica.waiting),
-        "sent_bytes": dict(replica.sent),
-        "heard_bytes": dict(replica.received),
+        "sent_bytes": dict(replica.sent_bytes),
+        "heard_bytes": dict(replica.received_bytes),
         "store": {
             "bytes": store.bytes_held,
             "first": store.first,
--- a/beechrock/replica/part.py
+++ b/beechrock/replica/part.py
@@ -73,8 +73,8 @@
         self.broken: OperatorError | None = None
         self.refused = False  # Whether the disk refused the newest changes.
         self.last_logged: tuple[Any, ...] = ()  # Stage and older peers as last logged.
-        self.sent: Counter[str] = Counter()  # Bytes sent, by type of message.
-        self.received: Counter[str] = Counter()  # Bytes received, by type of message.
+        self.sent_bytes: Counter[str] = Counter()  # Bytes sent, by type of message.
+        self.received_bytes: Counter[str] = Counter()  # Bytes received, by type of message.
         self.formats = Formats()
         self.trial: Any | None = None
         self.leasing = Leasing(self, agree) if agree is not None and settings.leases else None
@@ -213,7 +213,7 @@
         try:
             message, held = decode(data)
             self.formats.received(sender, life, 1 if held is None else 2)
-            self.received[type(message).__name__] += len(data)
+            self.received_bytes[type(message).__name__] += len(data)
             self._send_after_sync(self.core.take(self.clock(), sender, message, held))
             if isinstance(message, Hello):
                 self._log_changes()  # Logged now, as the verdict may have changed by the next tick.
@@ -247,7 +247,7 @@
         new = self.formats.format_for(to, name == "Hello") > 1
         data = encode(message, self.disk.held() if new else None)
         if self.talk.send(to, CHANNEL, data):
-            self.sent[name] += len(data)
+            self.sent_bytes[name] += len(data)
         elif name == "Batch":
             self.core.spread.requeue_unsent(to, message.n, self.clock())  # type: ignore[union-attr]
 
--- a/tests/copies.py
+++ b/tests/copies.py
@@ -1,4 +1,5 @@
-"""Five real processes with copies and leases, and what tests of them ask; waits are for events."""
+"""A fleet of five real processes with [replica] and leases, and helpers of its tests. Tests wait for events,
+not for fixed times."""
 
 import asyncio
 import json
@@ -12,12 +13,14 @@
 from beechrock.lab.scgi_servers import Server
 
 NAMES = ["a", "b", "c", "d", "e"]
-WHOLE = 40
+WHOLE = 40  # Budget of the team, in requests.
 Work = Callable[[Fleet, Server], Awaitable[None]]
 
 
 def play(tmp_path: Path, work: Work, replica: dict[str, Any] | None = None, **more: Any) -> None:
-    async def whole() -> None:
+    """Run ``work`` against a fleet, then check its history. ``replica`` overrides settings of [replica]."""
+
+    async def run() -> None:
         server = Server(0.005)
         at = "{}:{}".format(*await server.start())
         own = {"lease_s": 6.0, "repair_s": 0.5, **(replica or {})}
@@ -33,12 +36,12 @@
             await fleet.start()
             await fleet.proven()
             await work(fleet, server)
-            told, history = fleet.save_history(), fleet.history()
-            assert not fleet.troubles(), told
-            assert not (found := check(history, ("agree", "replica", "sound"))), (found, told)
+            saved, history = fleet.save_history(), fleet.history()
+            assert not fleet.troubles(), saved
+            assert not (found := check(history, ("agree", "replica", "sound"))), (found, saved)
         server.close()
 
-    asyncio.run(whole())
+    asyncio.run(run())
 
 
 async def put(fleet: Fleet, name: str, key: str, value: str) -> None:
@@ -51,7 +54,7 @@
 
 
 async def level(fleet: Fleet, *names: str) -> None:
-    """Until these are whole and hold the same."""
+    """Wait until these nodes, or all that are up, are whole and hold the same records."""
 
     async def same() -> bool:
         views = [await fleet.view(name, "/replica") for name in names or fleet.up]
@@ -61,10 +64,13 @@
 
 
 def kept(fleet: Fleet, key: str) -> bool:
+    """Whether a change of this key was logged as held by a majority's disks."""
     return any(event["key"] == key for event in fleet.events(None, "replica.kept"))
 
 
 async def leased(fleet: Fleet, *names: str) -> None:
+    """Wait until each of these nodes has a lease that allows at least one request."""
+
     async def held() -> bool:
         views = [await fleet.view(name, "/replica") for name in names]
         return all(view["leases"] and view["leases"][0]["cap"] >= 1 for view in views)
@@ -73,7 +79,8 @@
 
 
 async def spend(fleet: Fleet, names: list[str], count: int) -> list[str]:
-    """So many requests at each; where one was served."""
+    """Send ``count`` requests to each of these nodes. Return the node's name for each request that was
+    served."""
 
     async def ask(name: str) -> str:
         status, _, _ = await fleet.scgi(name, "s", "a")
--- a/tests/replica/test_failing_disk.py
+++ b/tests/replica/test_failing_disk.py
@@ -1,4 +1,5 @@
-"""A replica on a disk that fails for a while: what was written and not proved is owed, and told to nobody."""
+"""A replica on a disk that fails for a while: unsynced writes are retried, and nothing depends on them until
+then."""
 
 from pathlib import Path
 
@@ -11,7 +12,7 @@
 
 
 @pytest.mark.parametrize("fails", ["write", "sync", "write sync sync_names"])
-def test_a_write_is_owed_until_it_is_proved_and_is_there_after_the_fault(tmp_path: Path, fails: str) -> None:
+def test_a_write_is_retried_until_it_is_synced_and_survives_the_fault(tmp_path: Path, fails: str) -> None:
     control, folder = tmp_path / "disk.json", tmp_path / "state"
     tell(control, Faults())
     disk = Disk(LyingFiles(folder, control))
@@ -22,7 +23,7 @@
     core.write("note", "key", b"value")
     tell(control, Faults(fails=fails))
     for _ in range(3):
-        # With nothing new to write as well: the sync that failed is what is owed.
+        # Also true with nothing new to write: the failed sync still has to be done.
         assert disk.append(core)
         with pytest.raises(StoreFailedError):
             disk.sync()
--- a/tests/replica/test_hard_cases.py
+++ b/tests/replica/test_hard_cases.py
@@ -1,4 +1,4 @@
-"""Hard cases of the copies, one by one, with five real processes; lab/replica_play.py draws them."""
+"""Hard cases of the replica, each with five real processes; lab/replica_play.py combines them at random."""
 
 import signal
 import time
@@ -11,7 +11,7 @@
 from beechrock.lab.scgi_servers import Server
 
 
-def test_clocks_minutes_apart_that_leap_and_a_node_that_is_away_for_longer_than_anybody_remembers(
+def test_clocks_that_differ_and_jump_and_a_node_absent_longer_than_its_peers_remember(
     tmp_path: Path,
 ) -> None:
     async def work(fleet: Fleet, server: Server) -> None:
@@ -21,13 +21,13 @@
         await put(fleet, "a", "k", "later_clock")
         await fleet.until(lambda: kept(fleet, "k"))
         await level(fleet)
-        await put(fleet, "b", "k", "had_seen_it")  # never by the wall clock alone
+        await put(fleet, "b", "k", "had_seen_it")  # Wins by causality, though b's wall clock is behind.
         await level(fleet)
         assert {await value(fleet, name, "k") for name in NAMES} == {"had_seen_it"}
         await leased(fleet, *NAMES)
         before = {name: len(fleet.events(name, "budget.lease")) for name in NAMES}
         await fleet.kill("e")
-        for name in NAMES:  # a minute passes for all, in which nobody renewed
+        for name in NAMES:  # A minute passes at all nodes without a renewal.
             fleet.clock(name, leap_s=60.0)
         await fleet.start("e")
         await level(fleet)
@@ -38,7 +38,7 @@
             await spend(fleet, NAMES, 3)
         assert 0 < server.runs <= WHOLE
         await fleet.kill("e")
-        for name in ("a", "b", "c", "d"):  # more than a tail is taken for
+        for name in ("a", "b", "c", "d"):  # More changes than are sent as a tail.
             await fleet.call(name, "POST", "/replica/trial?per_s=2000")
 
         async def many() -> bool:
@@ -48,7 +48,7 @@
         for name in ("a", "b", "c", "d"):
             await fleet.call(name, "POST", "/replica/trial?per_s=0")
         await put(fleet, "d", "k", "meanwhile")
-        for name in ("a", "b", "c", "d"):  # whoever knew what it had acknowledged has begun anew
+        for name in ("a", "b", "c", "d"):  # Restarted, no peer remembers what e had acknowledged.
             await fleet.restart(name)
             await fleet.call(name, "POST", "/replica/trial?per_s=0")
         await fleet.start("e")
@@ -72,7 +72,8 @@
         await fleet.until(lambda: kept(fleet, "k"), what="the others wait for no slow disk")
         assert await spend(fleet, ["e"], 1), "its requests do not either"
         await fleet.until(lambda: kept(fleet, "late"))
-        # Told to nobody before it is on its disk. Looked at in between, a starved machine took longer.
+        # The change is sent to nobody before it is on e's disk. There is no check in between, as a slow
+        # machine may take longer.
         assert time.monotonic() - begun >= STALL_S
         fleet.disk("e")
         fleet.disk("e", full_bytes=1)
@@ -92,7 +93,7 @@
         for key in ("lied", "lied2"):
             await put(fleet, "e", key, "x")
             await fleet.until(lambda key=key: kept(fleet, key))  # type: ignore[misc]
-        await fleet.kill("e")  # at once: two others hold what was lost, and know that it was promised
+        await fleet.kill("e")  # Killed at once: two others hold what e lost, and know that e had promised it.
         fleet.disk("e")
         older = len(fleet.events(None, "replica.older"))
         await fleet.start("e")
@@ -106,7 +107,7 @@
             fleet.disk("e", flip=True, seed=seed)
             try:
                 await fleet.start("e")
-            except LabError:  # it says which file, and an operator puts an empty folder there
+            except LabError:  # The error names the file, and an operator replaces the folder by an empty one.
                 await fleet.kill("e")
                 assert "Damaged" in fleet.nodes["e"].text()
                 fleet.restore_copy("e", "never")
@@ -125,12 +126,12 @@
         await leased(fleet, *NAMES)
         await put(fleet, "e", "k", "one")
         await level(fleet)
-        second = await twin(fleet, "e", copied=True)  # it began later, so the name is its
+        second = await twin(fleet, "e", copied=True)  # It started later, so it owns the name.
         first = fleet.links.real["e"]
         fleet.links.attach(
             "e", next(event["address"] for event in second.events() if event["event"] == "fleet")
         )
-        await put(fleet, "e", "k", "by_the_first")  # it does not know yet
+        await put(fleet, "e", "k", "by_the_first")  # The first process doesn't know of the second yet.
         await put(fleet, "a", "k2", "x")
         await fleet.until(lambda: kept(fleet, "k2"), what="nobody is held up")
         for _ in range(3):
@@ -158,7 +159,7 @@
     play(tmp_path, work)
 
 
-def test_a_fleet_in_which_some_speak_the_format_of_before(tmp_path: Path) -> None:
+def test_a_fleet_in_which_some_nodes_speak_the_previous_format(tmp_path: Path) -> None:
     async def work(fleet: Fleet, server: Server) -> None:
         await level(fleet)
         for name in ("d", "e"):
@@ -168,11 +169,11 @@
         for name in ("a", "d"):
             await put(fleet, name, f"by_{name}", "x")
             await fleet.until(lambda name=name: kept(fleet, f"by_{name}"))  # type: ignore[misc]
-        fleet.stop("a", "b")  # a majority of both kinds
+        fleet.stop("a", "b")  # The remaining majority has nodes of both formats.
         await put(fleet, "e", "both", "x")
         await fleet.until(lambda: kept(fleet, "both"))
         fleet.go_on("a", "b")
-        await fleet.restart("d", "e")  # as of this version again
+        await fleet.restart("d", "e")  # Both run this version again.
         await level(fleet)
         before = {name: (await fleet.view(name, "/replica"))["refused"] for name in NAMES}
         await put(fleet, "c", "after", "x")
--- a/tests/replica/test_health.py
+++ b/tests/replica/test_health.py
@@ -1,4 +1,5 @@
-"""Servers below in the order of what was seen and told of them; advice helps, and never makes it worse."""
+"""Order of upstream servers by own observations and by advice. Good advice helps, and bad advice does no
+harm."""
 
 import random
 
@@ -23,10 +24,12 @@
 
 
 def first(health: Health, now: float, pool: tuple[Address, ...] = POOLS["x"]) -> Address:
-    return min(pool, key=lambda one: health.cost(now, one, 0))
+    """Return the server that is tried first."""
+    return min(pool, key=lambda address: health.cost(now, address, 0))
 
 
-def told(giver: str, server: Address, ejected_s: float, **more: float) -> tuple[Advice, Word]:
+def report(giver: str, server: Address, ejected_s: float, **more: float) -> tuple[Advice, Word]:
+    """Return a node's report on a server; ``more`` overrides fields of the advice."""
     name = "{}:{}".format(*server)
     return (
         Advice(giver, 0.02, 200, **{"age_s": 1.0, **more}),  # type: ignore[arg-type]
@@ -34,14 +37,14 @@
     )
 
 
-def made(*words: tuple[Advice, Word]) -> Health:
+def health_with(*words: tuple[Advice, Word]) -> Health:
     health = Health()
     health.advise(100.0, words, POOLS)
     return health
 
 
-def test_a_server_that_fails_is_asked_last_then_tried_by_one_request_and_is_back() -> None:
-    health = made()
+def test_a_failing_server_is_tried_last_then_probed_by_one_request_and_restored() -> None:
+    health = health_with()
     for _ in range(FAILURES_TO_EJECT):
         assert health.servers.get(ONE) is None or health.servers[ONE].state(100.0) is State.WELL
         health.failed(100.0, ONE)
@@ -55,15 +58,15 @@
     assert [why for _, why in health.transitions] == ["own", "own", "back"]
 
 
-def test_at_most_half_of_a_service_are_asked_last_its_own_first() -> None:
-    health = made(told("a", TWO, 9.0), told("a", THREE, 9.0))
+def test_at_most_half_of_a_service_is_tried_last_own_ejections_first() -> None:
+    health = health_with(report("a", TWO, 9.0), report("a", THREE, 9.0))
     assert health.tried_last == {TWO}
     for _ in range(FAILURES_TO_EJECT):
         health.failed(100.0, ONE)
     assert health.tried_last == {ONE}
 
 
-def test_what_operators_ejected_is_asked_last_and_not_looked_at_until_they_say_so() -> None:
+def test_servers_ejected_by_operators_are_tried_last_and_not_probed_until_the_ejection_ends() -> None:
     health = Health()
     health.advise(100.0, [], POOLS, frozenset((ONE, TWO)))
     assert health.tried_last == {ONE, TWO} and first(health, 900.0) == THREE
@@ -71,9 +74,9 @@
     assert not health.tried_last and first(health, 901.0) == ONE
 
 
-def test_advice_begins_an_ejection_that_its_own_look_ends_and_nothing_prolongs() -> None:
-    words = [told("a", ONE, 50.0), told("b", ONE, 50.0), told("c", ONE, 0.0)]
-    health = made(*words)
+def test_an_ejection_by_advice_ends_with_an_own_probe_and_is_not_prolonged() -> None:
+    words = [report("a", ONE, 50.0), report("b", ONE, 50.0), report("c", ONE, 0.0)]
+    health = health_with(*words)
     assert health.tried_last == {ONE} and health.servers[ONE].advised and not health.words(100.0)
     for at in range(100, 160):
         health.advise(float(at), words, POOLS)
@@ -84,27 +87,27 @@
 
 
 @pytest.mark.parametrize("more", [{"age_s": 400.0}, {"slowness": 3.0}, {"whole": False}, {"age_s": -1.0}])
-def test_a_stale_or_crawling_giver_changes_nothing(more: dict[str, float]) -> None:
-    assert not made(told("a", ONE, 9.0), told("b", ONE, 0.0), told("c", ONE, 0.0)).tried_last
-    health = made(told("a", ONE, 9.0, **more))
-    alone = made()
+def test_advice_that_is_stale_or_from_a_slow_node_changes_nothing(more: dict[str, float]) -> None:
+    assert not health_with(report("a", ONE, 9.0), report("b", ONE, 0.0), report("c", ONE, 0.0)).tried_last
+    health = health_with(report("a", ONE, 9.0, **more))
+    alone = health_with()
     assert not health.tried_last and health.servers[ONE].latency.weight == 0.0
-    assert [health.cost(100.0, one, 0) for one in POOLS["x"]] == [
-        alone.cost(100.0, one, 0) for one in POOLS["x"]
+    assert [health.cost(100.0, address, 0) for address in POOLS["x"]] == [
+        alone.cost(100.0, address, 0) for address in POOLS["x"]
     ]
 
 
-def test_what_is_quicker_is_asked_more_and_what_nobody_knows_is_soon_known() -> None:
-    health, draw, load, asked = made(), random.Random(1), dict.fromkeys(POOLS["x"], 0), []
+def test_faster_servers_get_more_requests_and_unknown_ones_are_soon_tried() -> None:
+    health, draw, load, asked = health_with(), random.Random(1), dict.fromkeys(POOLS["x"], 0), []
     for n in range(200):
         now = 100.0 + n / 10
-        address = min(POOLS["x"], key=lambda one: health.cost(now, one, load[one]))
+        address = min(POOLS["x"], key=lambda server: health.cost(now, server, load[server]))
         asked.append(address)
         health.good(now, address, draw.uniform(0.9, 1.1) * (0.5 if address == ONE else 0.02))
     assert set(asked[:9]) == set(POOLS["x"]) and asked[20:].count(ONE) <= 3
 
 
-def test_a_word_is_as_old_as_it_told_and_the_time_since_it_came_and_its_giver_has_to_be_there() -> None:
+def test_a_reports_age_includes_the_time_since_it_came_and_its_sender_must_be_present() -> None:
     data, givers = pack(1.0, [Word("s:1", 0.02, 200, 1.0, 9.0)]), PeerReports()
     assert unpack(data) == (1.0, [Word("s:1", 0.02, 200, 1.0, 9.0)])
     givers.advice(10.0, "a", 1, 1, data, True)
@@ -117,12 +120,12 @@
             unpack(bad)
 
 
-def test_a_node_knows_that_it_crawls_and_tells_no_more_than_it_has_to() -> None:
+def test_a_node_measures_its_slowness_and_reports_only_when_due() -> None:
     pace, now = LoopPace(), 5.0
     for _ in range(40):
         now += TICK_S
         assert pace.tick(now) == pytest.approx(1.0)
-    assert pace.tick(now + 20.0) > 3.0  # it was stopped
+    assert pace.tick(now + 20.0) > 3.0  # The process was stopped for 20 s.
     teller, word = ReportSchedule(), Word("s:1", 0.02, 200, 1.0, 0.0)
     assert teller.due(0.0, [word], False) and not teller.due(1.0, [word], False)
     assert teller.due(2.0, [word], True, 9.0) and not teller.due(2.1, [word], False, 9.0)
--- a/tests/replica/test_histories.py
+++ b/tests/replica/test_histories.py
@@ -1,4 +1,5 @@
-"""Random histories of the real core and journal over disks in memory, with faults; then all heals."""
+"""Random histories of the real core and journal on simulated disks, with faults that end before the
+checks."""
 
 import pytest
 
--- a/tests/replica/test_merges.py
+++ b/tests/replica/test_merges.py
@@ -1,4 +1,4 @@
-"""States that merge: in any order, in any grouping, any number of times."""
+"""Merging of record states: the result depends on neither order, grouping nor repetition."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -16,7 +16,7 @@
 
 @st.composite
 def causals(draw: st.DrawFn) -> list[State]:
-    """Three that came about by writes, deletes and merges among four writers, as real ones do."""
+    """Draw three states that result from writes, deletes and merges of four writers, as real ones do."""
     held = {writer: Causal({}, {}) for writer in ("a/1", "a/2", "b/1", "c/1")}
     counts = dict.fromkeys(held, 0)
     for _ in range(draw(st.integers(0, 12))):
@@ -42,7 +42,7 @@
     assert pack(merge(a, b)) == pack(merge(b, a)) and unpack(type(a), pack(a)) == a
 
 
-def test_a_write_takes_the_place_of_what_it_saw_and_stands_beside_what_it_did_not() -> None:
+def test_a_write_replaces_the_values_it_saw_and_conflicts_with_the_others() -> None:
     a = Causal({}, {}).write(Dot("a/1", 1), b"x")
     late = a.write(Dot("b/1", 1), b"late")
     gone = a.write(Dot("c/1", 1), None)
@@ -54,7 +54,7 @@
 
 @settings(max_examples=50, deadline=None)
 @given(st.lists(st.tuples(st.integers(0, 400), st.integers(0, 3)), max_size=60))
-def test_sums_are_those_of_what_is_held_however_it_came_about(steps: list[tuple[int, int]]) -> None:
+def test_sums_depend_on_the_entries_alone_not_on_the_order_of_changes(steps: list[tuple[int, int]]) -> None:
     grown, held = Sums(), dict[bytes, int]()
     for key, value in steps:
         name = f"k{key}".encode()
@@ -71,7 +71,7 @@
     assert all(0 <= at < RANGES for at in grown.leaves)
 
 
-def test_old_periods_are_dropped_by_all_and_not_taken_up_again() -> None:
+def test_old_periods_are_dropped_and_not_accepted_again() -> None:
     table, other = Table("a/1"), Table("b/1")
     for period in range(6):
         table.tally("spending", spending_key("t", period), 1.0, 0.0)
@@ -81,7 +81,7 @@
     assert not table.hear(name, pack(record.state)).mine and name not in table.records
 
 
-def test_a_settled_tombstone_turns_away_what_it_covers() -> None:
+def test_a_settled_tombstone_rejects_the_states_it_covers() -> None:
     a, b = Table("a/1"), Table("b/1")
     name = a.write("note", "k", b"x")
     early = pack(a.records[name].state)
--- a/tests/replica/test_newcomer.py
+++ b/tests/replica/test_newcomer.py
@@ -1,4 +1,4 @@
-"""A node that was killed begins beside a broken server with what the others learned of it. Real processes."""
+"""A restarted node uses what the others learned of a broken server. Real processes."""
 
 import asyncio
 from pathlib import Path
@@ -20,7 +20,7 @@
 
 
 class Broken(Server):
-    """Takes each request, and says nothing."""
+    """Accepts each connection and closes it without a reply."""
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.runs += 1
@@ -28,11 +28,14 @@
 
 
 async def ask(fleet: Fleet, name: str, count: int) -> list[int]:
-    """One after the other; their statuses."""
+    """Send ``count`` requests one after the other; return their statuses."""
     return [(await fleet.scgi(name, "s", "a"))[0] for _ in range(count)]
 
 
 async def ejected(fleet: Fleet, name: str, by: str, more_than: int = 0) -> None:
+    """Wait until the node has ejected a server by this cause more than so many times, and send it requests
+    meanwhile."""
+
     async def found() -> bool:
         await ask(fleet, name, 1)
         return sum(event["why"] == by for event in fleet.events(name, "replica.server")) > more_than
@@ -40,10 +43,10 @@
     await fleet.until(found, what=f"{name} passes the broken server over: {by}")
 
 
-def test_a_newcomer_passes_over_what_others_ejected_and_hears_no_stale_word(tmp_path: Path) -> None:
-    async def whole() -> None:
+def test_a_restarted_node_avoids_servers_that_others_ejected_and_ignores_stale_advice(tmp_path: Path) -> None:
+    async def run() -> None:
         good, other, broken = Server(0.005), Server(0.005), Broken()
-        places = [await one.start() for one in (broken, good, other)]
+        places = [await server.start() for server in (broken, good, other)]
         at = ", ".join(f'"{host}:{port}"' for host, port in places)
         tables: dict[str, Any] = {"agree": {"voters": NAMES}, "replica": {"advice": True, "repair_s": 0.5}}
         async with Fleet(tmp_path, 7, NAMES, tables=tables, inventory=INVENTORY.format(at=at)) as fleet:
@@ -53,21 +56,21 @@
             for name in NAMES:
                 await ejected(fleet, name, "own")
             await fleet.kill("c")
-            for name in ("a", "b"):  # as long as nobody looks it stays out; with 1 of 3 looks it is longer
+            for name in ("a", "b"):  # A failed probe ejects the server again, for a longer time.
                 await ejected(fleet, name, "own", 1)
             await fleet.start("c")
 
             async def advised() -> bool:
                 servers = (await fleet.view("c", "/replica/advice"))["servers"]
-                return any(one["advised"] and one["last"] for one in servers.values())
+                return any(server["advised"] and server["last"] for server in servers.values())
 
             await fleet.until(advised, what="advice at the newcomer")
             before = broken.runs
             found = await ask(fleet, "c", 20)
-            # One look, where its machine took longer than the ejection has left.
+            # One probe may fail, if the machine was so slow that the ejection had ended.
             assert found.count(200) >= 19 and broken.runs - before <= 2 + len(NAMES), found
 
-            fleet.stop("a", "b")  # what they told stays at c, and counts no more
+            fleet.stop("a", "b")  # Their records stay at c, but their advice has no weight any more.
             await fleet.restart("c")
             why = [event["why"] for event in fleet.events("c", "replica.server")]
             own, advice = why.count("own"), why.count("advice")
@@ -83,12 +86,12 @@
                 return (place in view) is wanted
 
             await fleet.until(by_hand, what="an operator's word at another node")
-            await fleet.restart("c")  # from its disk, too
+            await fleet.restart("c")  # The ejection is also read from its disk.
             await fleet.until(by_hand)
             await fleet.call("b", "POST", f"/replica/delete?kind=ejection&key={place}")
             await fleet.until(lambda: by_hand(False))
             assert not fleet.troubles(), fleet.save_history()
-        for one in (good, other, broken):
-            one.close()
+        for server in (good, other, broken):
+            server.close()
 
-    asyncio.run(whole())
+    asyncio.run(run())
--- a/tests/replica/test_part.py
+++ b/tests/replica/test_part.py
@@ -1,4 +1,4 @@
-"""The module's actor under leases: what it is told of budgets, and when."""
+"""The decision module's actor with leases: which budgets it gets, and when."""
 
 from beechrock import interface as api
 from beechrock.core.actor import ModuleActor
@@ -17,7 +17,7 @@
 )
 
 
-def test_an_inventory_that_is_taken_up_brings_no_fixed_part() -> None:
+def test_a_new_inventory_brings_no_fixed_share_of_a_budget() -> None:
     boot = [0.0]
     module = ModuleActor(SETTINGS, 1, lambda: 6000.0, Counters())
     holder = Holder("a", 1, 2, 1.0)
@@ -25,17 +25,17 @@
     spending.settings(6000.0, module.settings)
     spending.caps_changed = True
 
-    def part() -> float | None:
+    def budget_share() -> float | None:
         module.tick(6000.0)
         return module.node.settings.tenants[0].budget
 
-    assert part() == NOTHING  # before the first lease
+    assert budget_share() == NOTHING  # There is no lease yet.
     holder.answered(0.0, [Granted(("budget", "t", 101), 1, 5.0, 1, 0)])
     spending.caps_changed = True
-    assert part() == 10.0  # a node's part is told times the fleet's size
-    assert module.update_settings(SETTINGS) and part() == 10.0
-    boot[0] = 3.0  # stopped for longer than the lease
-    assert part() == NOTHING
+    assert budget_share() == 10.0  # The lease's amount times the size of the fleet.
+    assert module.update_settings(SETTINGS) and budget_share() == 10.0
+    boot[0] = 3.0  # The process was stopped for longer than the lease.
+    assert budget_share() == NOTHING
     plain = ModuleActor(SETTINGS, 1, lambda: 6000.0, Counters())
     plain.tick(6000.0)
     assert plain.update_settings(SETTINGS) and plain.node.settings.tenants[0].budget == 40.0
--- a/tests/replica/test_periods.py
+++ b/tests/replica/test_periods.py
@@ -1,4 +1,4 @@
-"""A node whose clock is years ahead opens no periods beside those that most see."""
+"""A node whose clock is years ahead opens no period far past those of most other holders."""
 
 import asyncio
 import sys
@@ -37,28 +37,29 @@
     return "budget", "t", period
 
 
-def made(**periods: int) -> Budgets:
+def budgets_with(**periods: int) -> Budgets:
     budgets = Budgets()
     for index, (name, period) in enumerate(periods.items()):
         budgets.apply(index + 1, log.ask(name, 1, [(pot(period), 40.0, 0, 1.0)]))
     return budgets
 
 
-def test_what_is_far_past_most_holders_is_not_opened_and_all_else_is() -> None:
-    three = made(a=5, b=5, c=5)
+def test_a_period_far_past_those_of_most_holders_is_not_opened_and_others_are() -> None:
+    three = budgets_with(a=5, b=5, c=5)
     assert too_far(three, {pot(7), pot(99)}, "d") == {pot(7), pot(99)}
     assert not too_far(three, {pot(6), pot(5), pot(4), ("rate", "t", 0), ("budget", "u", 99)}, "d")
-    assert not too_far(made(), {pot(99)}, "a")  # nobody is there yet
-    assert not too_far(made(a=5), {pot(99)}, "b")  # one against one tells nothing
-    assert not too_far(made(a=99, b=99, c=5), {pot(99)}, "c")  # that one was slow
-    assert not too_far(made(a=99, b=99, c=5), {pot(100)}, "d")
-    assert too_far(made(a=99, b=5, c=5, d=5), {pot(100)}, "a") == {pot(100)}  # it came first, alone
-    for key, lease in three.open_leases():  # all stood still; the leader closes what nobody renews
+    assert not too_far(budgets_with(), {pot(99)}, "a")  # There is no holder yet.
+    assert not too_far(budgets_with(a=5), {pot(99)}, "b")  # One other holder is not enough to decide.
+    assert not too_far(budgets_with(a=99, b=99, c=5), {pot(99)}, "c")  # The node itself was behind.
+    assert not too_far(budgets_with(a=99, b=99, c=5), {pot(100)}, "d")
+    # The node was alone when it opened its first period.
+    assert too_far(budgets_with(a=99, b=5, c=5, d=5), {pot(100)}, "a") == {pot(100)}
+    for key, lease in three.open_leases():  # After a stop of all nodes, the leader closes the old leases.
         three.apply(9, log.close(key, lease.id, lease.turn))
     assert not too_far(three, {pot(99)}, "a")
 
 
-def test_nothing_is_asked_for_before_the_log_is_read() -> None:
+def test_no_lease_is_requested_before_the_log_is_read() -> None:
     async def work() -> None:
         read, asked = asyncio.Event(), list[bytes]()
 
@@ -81,7 +82,7 @@
                 asked.append(command)
 
         counters = Counters()
-        module = ModuleActor(SETTINGS, 1, lambda: 6000.0, counters)  # its 101st period
+        module = ModuleActor(SETTINGS, 1, lambda: 6000.0, counters)  # At 6000 s, in its 101st period.
         replica: Any = SimpleNamespace(
             settings=SimpleNamespace(lease_s=0.2),
             talk=SimpleNamespace(name="e", life=1, peers=("a", "b", "c")),
@@ -109,7 +110,7 @@
         await leased(fleet, *fleet.names)
 
         async def pots() -> list[Any]:
-            return [one["pot"] for one in (await fleet.view("a", "/replica"))["pots"]]
+            return [row["pot"] for row in (await fleet.view("a", "/replica"))["pots"]]
 
         before = await pots()
         await fleet.kill("e")
--- a/tests/replica/test_priors.py
+++ b/tests/replica/test_priors.py
@@ -1,4 +1,4 @@
-"""A newcomer's first guesses: better with good advice, never worse for bad."""
+"""First estimates of a node that has just started: good advice improves them, and bad advice does no harm."""
 
 import random
 
@@ -10,7 +10,7 @@
 
 
 def steady(advice: list[Advice], seed: int) -> int:
-    """Own samples until the estimate stays within a fifth of the truth."""
+    """Return the number of own samples after which the estimate stays within a fifth of the true value."""
     draw, estimate, last = random.Random(seed), Estimate(CAUTIOUS), 0
     estimate.advise(advice)
     for n in range(1, 60):
@@ -35,7 +35,7 @@
         [Advice("a", 400.0, 0, 1.0)],
     ],
 )
-def test_unsound_advice_weighs_nothing(bad: list[Advice]) -> None:
+def test_unsound_advice_has_no_weight(bad: list[Advice]) -> None:
     assert [steady(bad, seed) for seed in range(20)] == [steady([], seed) for seed in range(20)]
 
 
@@ -45,10 +45,10 @@
         wrong = Advice("x", 4 * TRUE, 10_000, 0.0)
         assert steady([wrong], seed) <= max(steady([], seed), DOUBT)
         assert steady([*GOOD, wrong], seed) <= steady([], seed)
-    assert all(one.weight <= MAX_WEIGHT for one in GOOD)
+    assert all(advice.weight <= MAX_WEIGHT for advice in GOOD)
     estimate = Estimate(CAUTIOUS)
     estimate.advise(GOOD)
     for _ in range(40):
         estimate.observe(10.0)
-    estimate.advise(GOOD)  # heard again: its own is what counts by now
+    estimate.advise(GOOD)  # The same advice again: by now only own samples count.
     assert estimate.value == pytest.approx(10.0)
--- a/tests/replica/test_processes.py
+++ b/tests/replica/test_processes.py
@@ -1,4 +1,4 @@
-"""Five real processes with faults between them; waits are for events, and no verdict hangs on a time."""
+"""Five real processes with faults between them. Tests wait for events, and no result depends on timing."""
 
 import json
 from pathlib import Path
@@ -12,7 +12,8 @@
 
 def test_both_sides_of_a_split_spend_from_their_leases_and_never_more_than_the_whole(tmp_path: Path) -> None:
     async def work(fleet: Fleet, server: Server) -> None:
-        for _ in range(10):  # on a slow machine the cut side's lease may be over before its first request
+        # On a slow machine the lease of the cut-off side may end before its first request.
+        for _ in range(10):
             await leased(fleet, *NAMES)
             fleet.links.split(["a", "b", "c"], ["d", "e"])
             served = set(await spend(fleet, ["d", "e", "a", "b", "c"], 2))
@@ -21,7 +22,7 @@
             fleet.links.heal()
         assert {"d", "e"} & served and {"a", "b", "c"} & served
 
-        async def ended() -> bool:  # the cut side's lease runs out, and with it what it may spend
+        async def ended() -> bool:  # The lease of the cut-off side ends, and so it may spend nothing more.
             views = [await fleet.view(name, "/replica") for name in ("d", "e")]
             return all(view["leases"][0]["state"] == "ended" for view in views)
 
@@ -46,29 +47,29 @@
             events = fleet.events(None, "budget.spent")
             total = sum({event["node"]: event["spent"] - event["back"] for event in events}.values())
             shown = [sum(view.get("a", {}).values()) for view in views]
-            print(shown, total, server.runs)  # seen where it fails
+            print(shown, total, server.runs)  # Printed if the test fails.
             return set(shown) == {total} and total <= WHOLE
 
         await fleet.until(told)
-        await fleet.term("e")  # what it had left goes back, and the others can have it
+        await fleet.term("e")  # It gives back what it has not spent.
         backs = [event for event in fleet.events("e", "budget.back")]
         assert backs or not fleet.events("e", "budget.lease")
 
     play(tmp_path, work)
 
 
-def test_away_for_a_while_stopped_put_back_to_a_backup_and_all_killed_at_once(tmp_path: Path) -> None:
+def test_absent_stopped_restored_and_killed_nodes_catch_up(tmp_path: Path) -> None:
     async def work(fleet: Fleet, server: Server) -> None:
         await level(fleet)
         await put(fleet, "a", "k1", "one")
         await put(fleet, "a", "gone", "x")
         await fleet.until(lambda: kept(fleet, "gone"))
         await level(fleet)
-        await fleet.kill("e")  # away while things change, and one is deleted
+        await fleet.kill("e")  # Absent while one record changes and another is deleted.
         fleet.save_copy("e")
         await put(fleet, "b", "k1", "two")
         await fleet.call("c", "POST", "/replica/delete?kind=note&key=gone")
-        fleet.stop("d")  # accepts, and is silent: it holds nobody up
+        fleet.stop("d")  # It accepts connections and is silent, which must not block the others.
         await put(fleet, "a", "k2", "x")
         await fleet.until(lambda: kept(fleet, "k2"))
         fleet.go_on("d")
@@ -76,7 +77,7 @@
         await level(fleet)
         assert [await value(fleet, "e", key) for key in ("k1", "k2", "gone")] == ["two", "x", None]
         await fleet.kill("e")
-        fleet.restore_copy("e")  # a backup, of before the delete
+        fleet.restore_copy("e")  # A backup from before the deletion.
         await fleet.start("e")
         await fleet.until(lambda: fleet.events(None, "replica.older"), what="the backup is noticed")
         await level(fleet)
@@ -107,7 +108,7 @@
     play(tmp_path, work)
 
 
-def test_a_whole_copy_goes_on_at_its_cursor_when_its_giver_or_itself_is_killed(tmp_path: Path) -> None:
+def test_a_full_copy_continues_at_its_cursor_when_its_giver_or_receiver_is_killed(tmp_path: Path) -> None:
     async def work(fleet: Fleet, server: Server) -> None:
         async def many() -> bool:
             return bool((await fleet.view("a", "/replica"))["records"] >= 4500)
@@ -117,7 +118,7 @@
             await fleet.call(name, "POST", "/replica/trial?per_s=0")
         await level(fleet)
         await fleet.kill("e")
-        fleet.restore_copy("e", "never")  # an empty folder
+        fleet.restore_copy("e", "never")  # An empty folder.
         await fleet.start("e")
 
         async def under_way(least: float, but: str = "") -> Any:
--- a/tests/replica/test_renewed.py
+++ b/tests/replica/test_renewed.py
@@ -1,4 +1,4 @@
-"""A memory that was emptied and made whole again: who has to hear of that, and how soon."""
+"""A node that lost its store and is whole again: its peers have to know that at once."""
 
 from pathlib import Path
 from types import SimpleNamespace
@@ -15,11 +15,11 @@
 from beechrock.store.folder import open_folder
 from beechrock.store.witness import Witness
 
-TRAVEL_S = 0.05  # of a word, its answer and the sync of what was heard, in a world without faults
+TRAVEL_S = 0.05  # Time for a message, its reply and the receiver's sync, in a simulation without faults.
 
 
 def emptied_and_whole_again(world: World, name: str) -> Node:
-    """This node with a new, empty disk, at the moment at which it has become whole."""
+    """Restart a node with a new, empty disk, and run until it has become whole; return it."""
     node = world.nodes[name]
     node.crash()
     node.files.safe = {}
@@ -32,8 +32,9 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_a_memory_that_is_whole_again_is_told_at_once_and_not_set_aside_in_the_next_life(seed: int) -> None:
-    """Seen in plays: killed within a second of it, a node came back to peers that knew its former disk."""
+def test_a_store_that_is_whole_again_is_announced_at_once_and_kept_in_the_next_life(seed: int) -> None:
+    """Without this, a node that was killed within a second restarted among peers that knew only its former
+    disk."""
     world = World(seed, 4)
     world.run(4.0)
     for n in range(8):
@@ -44,7 +45,7 @@
     others = [other for other in world.nodes.values() if other is not node]
     assert all(other.core.peer_states["n3"].verdict in ("same", "newer") for other in others)
     node.crash()
-    for other in others:  # whoever heard it has it on disk
+    for other in others:  # Each peer that received it has saved it on disk.
         other.crash()
         other.begin()
     world.run(world.now + 4.0)
@@ -55,9 +56,9 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_one_that_was_cut_off_meanwhile_takes_it_for_another_and_it_takes_a_whole_copy(seed: int) -> None:
-    """What a peer that never heard of the copy says is cautious, and costs a whole copy, also of one that is
-    whole by then; nothing is lost by it."""
+def test_a_peer_that_missed_the_reset_rejects_the_new_store_and_causes_a_full_copy(seed: int) -> None:
+    """A peer that missed the reset judges the new store as another one. That costs a full copy, even of a
+    node that is whole by then, but loses nothing."""
     world = World(seed, 4)
     world.run(4.0)
     for n in range(8):
@@ -66,7 +67,7 @@
     pairs = {(a, b) for a in world.names for b in world.names if "n1" in (a, b) and a != b}
     world.cuts |= pairs
     node = emptied_and_whole_again(world, "n3")
-    world.write(world.nodes["n0"], "k0", b"y")  # with it the end of the copy is on its disk
+    world.write(world.nodes["n0"], "k0", b"y")  # With this write the end of the copy gets on the node's disk.
     world.run(world.now + 2.0)
     node.crash()
     node.begin()
@@ -83,8 +84,9 @@
     assert not world.judge() and len(node.core.table.records) == 8
 
 
-def test_a_new_opening_is_remembered_on_disk_though_nothing_is_written(tmp_path: Path) -> None:
-    """Seen in a play: peers that began anew in a quiet fleet knew the former disk of one they believed."""
+def test_a_new_opening_of_a_peer_is_saved_though_nothing_else_is_written(tmp_path: Path) -> None:
+    """Without this, peers that restarted in an idle fleet knew only the former disk of a node they had
+    accepted."""
     mark = Mark(b"i" * 16, 1, 1, b"d" * 16, ((b"d" * 16, 1),))
     hello = encode(Hello(mark.to_bytes(), "whole", 0, b"", 1), Held(mark.digest, 1))
     talk = SimpleNamespace(
@@ -99,7 +101,7 @@
 
     replica = Replica(ReplicaSettings(leases=False), context, talk, None)  # type: ignore[arg-type]
     replica._receive("b", 1, hello)
-    assert replica.writes_due.is_set() and not replica.core.writes  # the disk's thread is asked for
+    assert replica.writes_due.is_set() and not replica.core.writes  # A sync is due without a change.
     assert replica.disk.append(replica.core)
     replica.disk.sync()
     assert Witness(open_folder(tmp_path / "replica"), "replica.witness").known["b"] == mark
--- a/tests/replica/test_told.py
+++ b/tests/replica/test_told.py
@@ -1,4 +1,4 @@
-"""The table, the module's parts of budgets, the checker, and the errors on the way."""
+"""Settings of [replica], shares of budgets in the decision module, the history checker, and errors."""
 
 from dataclasses import replace
 from pathlib import Path
@@ -25,7 +25,7 @@
 CLASS = api.ClassSettings(latency_objective_s=1.0, deadline_s=3.0)
 
 
-def test_the_table_is_checked_with_its_key() -> None:
+def test_an_error_in_the_table_names_its_key() -> None:
     assert read({}, "f: replica", Path()) == ReplicaSettings()
     assert read({"lease_s": 1, "leases": False}, "f: replica", Path()).lease_s == 1.0
     for key, bad in (("lease_s", 0), ("repair_s", "x"), ("leases", 1), ("most_mb", 1)):
@@ -33,19 +33,20 @@
             read({key: bad}, "f: replica", Path())
 
 
-def test_what_cannot_be_read_is_refused_and_said() -> None:
+def test_unreadable_messages_and_entries_are_refused() -> None:
     hello = Hello(b"m", "whole", 1, b"r", 0)
     assert decode(encode(hello)) == (hello, None)
     assert decode(encode(hello, Held(b"d", 7))) == (hello, Held(b"d", 7))
-    for bad in (b"", b"\x92\x02\x00", b"\x93\x01\x00\x01", encode(Batch(1, [(b"x",)]))):  # type: ignore[list-item]
+    # type: ignore[list-item]
+    for bad in (b"", b"\x92\x02\x00", b"\x93\x01\x00\x01", encode(Batch(1, [(b"x",)]))):
         with pytest.raises(ReplicaRecordError):
             decode(bad)
         with pytest.raises(ReplicaRecordError):
             Loaded().entry(bad)
 
 
-class Play:
-    """The real decision module under leases; its clock and that of leases as told."""
+class LeasedModule:
+    """The real decision module with leases, on simulated clocks of the module and of the leases."""
 
     def __init__(self) -> None:
         self.now, self.boot, self.index = 6000.0, 0.0, 0
@@ -58,14 +59,14 @@
 
     def ask(self, want: float) -> None:
         self.index += 1
-        told = self.budgets.apply(
+        answer = self.budgets.apply(
             self.index, log.ask("a", 1, [(pot, 40.0, 0, want) for pot in self.holder.current])
         )
-        self.holder.answered(self.boot, told)
+        self.holder.answered(self.boot, answer)
         self.spending.caps_changed = True
 
     def request(self) -> bool:
-        """As a batch is decided: the parts first."""
+        """Decide a batch with one request, after updating the shares; return whether it was accepted."""
         events: list[api.Event] = []
         if (parted := self.spending.due(self.now, self.node)) is not None:
             events.append(api.SettingsChanged(parted))
@@ -88,41 +89,41 @@
                 )
             )
         )
-        said = self.node.decide(self.now, events)
-        taken = any(isinstance(one, api.Run) and one.id == ident for one in said)
-        if taken:
+        actions = self.node.decide(self.now, events)
+        accepted = any(isinstance(action, api.Run) and action.id == ident for action in actions)
+        if accepted:
             self.node.decide(self.now, [api.RunFinished(ident, api.Outcome.OK, 0.01)])
-        return taken
-
-
-def test_the_module_spends_what_is_leased_and_nothing_before_after_a_pause_or_in_another_period() -> None:
-    play = Play()
-    assert not play.request()  # no lease yet, and no fixed part either
-    assert play.node.settings.tenants[0].budget == NOTHING
-    play.ask(3.0)
-    assert [play.request() for _ in range(5)] == [True, True, True, False, False]
-    play.ask(2.0)
-    assert play.request()
-    play.boot += 5.0  # stopped: the lease ran out meanwhile
-    assert not play.request()
-    play.ask(0.0)
-    assert [play.request(), play.request()] == [True, False]
-    play.now += 60.0  # the next period, of which nothing is leased
-    assert not play.request()
-    play.ask(1.0)
-    assert [play.request(), play.request()] == [True, False]
-    play.now -= 60.0  # a wall clock that goes back finds its period spent
-    assert not play.request()
-    play.ask(1.0)
-    assert [play.request(), play.request()] == [True, False]
-    play.spending.read_spending(play.now, play.node)
-    spent = {place: went for place, (went, _) in play.spending.totals.items()}
+        return accepted
+
+
+def test_the_module_spends_only_what_is_leased_and_nothing_after_a_pause_or_in_another_period() -> None:
+    module = LeasedModule()
+    assert not module.request()  # There is no lease yet, and no fixed share either.
+    assert module.node.settings.tenants[0].budget == NOTHING
+    module.ask(3.0)
+    assert [module.request() for _ in range(5)] == [True, True, True, False, False]
+    module.ask(2.0)
+    assert module.request()
+    module.boot += 5.0  # The process was stopped, and the lease ended meanwhile.
+    assert not module.request()
+    module.ask(0.0)
+    assert [module.request(), module.request()] == [True, False]
+    module.now += 60.0  # The next period, of which nothing is leased.
+    assert not module.request()
+    module.ask(1.0)
+    assert [module.request(), module.request()] == [True, False]
+    module.now -= 60.0  # The wall clock goes back: the lease of that period has been spent.
+    assert not module.request()
+    module.ask(1.0)
+    assert [module.request(), module.request()] == [True, False]
+    module.spending.read_spending(module.now, module.node)
+    spent = {place: went for place, (went, _) in module.spending.totals.items()}
     assert spent == {("t", 101): 6.0, ("t", 102): 1.0}
-    renewed = play.spending.settings(play.now, replace(play.node.settings, tenants=(TENANT,)))
-    assert (renewed.tenants[0].budget or 0.0) < 20.0  # an inventory taken up anew brings no fixed part
+    renewed = module.spending.settings(module.now, replace(module.node.settings, tenants=(TENANT,)))
+    assert (renewed.tenants[0].budget or 0.0) < 20.0  # A new inventory brings no fixed share.
 
 
-def test_the_checker_finds_what_can_never_be() -> None:
+def test_the_checker_finds_impossible_histories() -> None:
     lease = {"event": "budget.lease", "pot": ["budget", "t", 1], "id": 1, "amount": 5.0, "whole": 10.0}
     put: dict[str, Any] = {
         "event": "replica.put",
@@ -170,7 +171,7 @@
         assert any(text in line for line in check(history, ("replica",))), (text, history)
 
 
-def test_commands_without_an_answer_or_a_choice_end_with_two() -> None:
+def test_commands_without_an_answer_or_a_choice_exit_with_2() -> None:
     for words in (["status"], ["diff"], ["verify"], ["resolve", "note", "k", "--delete"]):
         ended = CliRunner().invoke(main, ["replica", *words, "--at", "127.0.0.1:1"])
         assert ended.exit_code == 2 and "127.0.0.1:1" in ended.output + ended.stderr
