--- a/beechrock/replica/advice.py
+++ b/beechrock/replica/advice.py
@@ -24,6 +24,8 @@
 
 
 class Advising:
+    """Advice about upstream servers at one node."""
+
     def __init__(self, replica: "Replica", work: Any) -> None:
         self.replica, self.work, self.clock = replica, work, replica.clock
         self.health, self.pace, self.schedule, self.peer_reports = (
@@ -32,7 +34,7 @@
             ReportSchedule(),
             PeerReports(),
         )
-        self.slowness = 1.0
+        self.slowness = 1.0  # Ratio of this node's loop interval to its usual one.
         # Whether a server's state has changed by own observations since the last report.
         self.state_changed = False
         # Keys of all ``ejection`` records seen by this process; None until the table has been read.
@@ -127,6 +129,7 @@
         return advice_found
 
     def view(self) -> dict[str, Any]:
+        """Return the state of all observed servers, for operators."""
         now, health = self.clock(), self.health
         ejected_by_operators = sorted("{}:{}".format(*ejected) for ejected in health.ejected_by_operators)
         return {
--- a/beechrock/replica/budgets.py
+++ b/beechrock/replica/budgets.py
@@ -24,6 +24,8 @@
 
 
 class Leasing:
+    """The budget leases of one node, and their closing while it leads."""
+
     def __init__(self, replica: "Replica", agree: Any) -> None:
         self.replica, self.agree = replica, agree
         self.lease_s = replica.settings.lease_s
--- a/beechrock/replica/catchup.py
+++ b/beechrock/replica/catchup.py
@@ -2,9 +2,9 @@
 meanwhile. Pure.
 
 States: AWAY (no peer has judged this node's store yet), TAIL (a peer sends the changes that this node has
-not acknowledged), SNAPSHOT (the store is empty, older than known or another one's: a full copy is taken by
-ranges of key hashes, from ``cursor`` on, which is kept on disk), REPAIR (digests are compared with the
-others'), WHOLE.
+not acknowledged), SNAPSHOT (the store is older than known, another one's or lacks many records: a full copy
+is taken by ranges of key hashes, from ``cursor`` on, which is kept on disk), REPAIR (digests are compared
+with the others'), WHOLE.
 Events: ``on_verdict`` (a peer's verdict on this node's store), ``outdated``, ``piece``, ``next_giver``
 (time), ``repaired`` (a repair round with a peer has ended, and all that the peer had is here).
 Transitions: AWAY to TAIL, SNAPSHOT or REPAIR; TAIL to REPAIR or SNAPSHOT; SNAPSHOT to REPAIR; REPAIR to
@@ -39,6 +39,8 @@
 
 @dataclass(slots=True)
 class Catchup:
+    """The state machine of one node."""
+
     nodes: int  # Number of nodes in the fleet, this one included.
     cursor: int = RANGES  # First range still to be copied; RANGES if no copy is in progress. Kept on disk.
     forgot: bool = False  # Whether the store was empty or found older: repair then needs more peers.
--- a/beechrock/replica/core.py
+++ b/beechrock/replica/core.py
@@ -31,15 +31,15 @@
 HELLO_S = 1.0  # Seconds between two Hellos to each peer.
 PRESENT_S = 3.5  # Seconds after its last message during which a peer counts as present.
 MAX_ASIDE = 10_000  # Maximum number of records kept aside for operators.
-OUTDATED = "outdated"
+OUTDATED = "outdated"  # Verdict on a store that lacks tombstones which were dropped.
 VERDICTS = {verdict.value for verdict in Verdict}
 
 
 @dataclass(slots=True)
 class Core:
     name: str
-    writer: str
-    others: tuple[str, ...]
+    writer: str  # Name of this start of the node as a writer.
+    others: tuple[str, ...]  # Names of the other nodes.
     base: int  # Start of the batch numbers: random, so that no late acknowledgement of an earlier life fits.
     mark: Callable[[], tuple[bytes, bytes]]  # Returns the store's mark, and the digest of its opening.
     judge: Callable[[str, bytes, bool], Verdict]  # Judges a peer's mark, as Disk.judge does.
@@ -47,7 +47,7 @@
     kinds: Kinds = field(default_factory=Kinds)
     repair_s: float = 5.0  # Seconds between two repair rounds.
     give_bytes_per_s: float = 4e6  # Rate limit for full copies given to peers.
-    most_records: int = 1 << 20
+    most_records: int = 1 << 20  # Maximum number of records.
     forgot: bool = False  # Whether the store was empty, or found older, and isn't repaired yet.
     cursor: int = RANGES  # First range still to be copied; RANGES if no copy is in progress.
     without: frozenset[str] = frozenset()  # Names of guards to disable; for simulations and tests only.
@@ -56,9 +56,9 @@
     spread: Spread = field(init=False)
     catchup: Catchup = field(init=False)
     peer_states: dict[str, PeerState] = field(init=False)
-    round: Round | None = None
-    rounds: int = 0
-    next_round_s: float = 0.0
+    round: Round | None = None  # The present repair round.
+    rounds: int = 0  # Number of the last repair round; starts at ``base``.
+    next_round_s: float = 0.0  # Earliest time of the next repair round, in monotonic seconds.
     repair_turn: int = 0  # Number of peers chosen for repair so far, for choosing them in turn.
     hello_s: float = float("-inf")  # Time of the last Hello, in monotonic seconds.
     renewed: bool = False  # Whether the node is whole again after a loss of memory and no Hello has said so.
--- a/beechrock/replica/giving.py
+++ b/beechrock/replica/giving.py
@@ -10,12 +10,14 @@
 from beechrock.replica.messages import Piece
 from beechrock.replica.sums import RANGES
 
-PIECE_BYTES, PIECE_RANGES = 131_072, 4096
+PIECE_BYTES, PIECE_RANGES = 131_072, 4096  # Size at which a piece is closed, and its maximum of ranges.
 
 
 @dataclass(slots=True)
 class Giving:
-    bytes_per_s: float
+    """The pieces to send, and the rate limit."""
+
+    bytes_per_s: float  # Rate limit for all peers together.
     names: Callable[[int], Iterable[bytes]]  # Returns the names of the records in a range.
     entry: Callable[[bytes], tuple[bytes, int] | None]  # Returns a record's packed state and change number.
     # By peer: first range of the piece that it asked for.
@@ -25,6 +27,7 @@
     given: int = 0  # Bytes given in this life.
 
     def ask(self, peer: str, cursor: int) -> None:
+        """Record a peer's request for the piece from the range ``cursor`` on."""
         if 0 <= cursor < RANGES:
             self.requests[peer] = cursor
 
--- a/beechrock/replica/journal.py
+++ b/beechrock/replica/journal.py
@@ -55,7 +55,7 @@
             case ["copy", int(cursor), bool(forgot)]:
                 self.cursor, self.forgot = cursor, forgot
             case _:
-                raise ReplicaRecordError("an entry of no known kind", where="store replica")
+                raise ReplicaRecordError("an entry of an unknown kind", where="store replica")
 
     def snapshot(self, data: bytes) -> None:
         """Load a snapshot, which is a sequence of entries. Raises ReplicaRecordError if it cannot be read."""
--- a/beechrock/replica/kept.py
+++ b/beechrock/replica/kept.py
@@ -24,15 +24,15 @@
 
 @dataclass(slots=True)
 class Waiters:
+    """All callers that wait."""
+
     need: int  # Number of peers that have to acknowledge a change.
     waiting: list[Waiter] = field(default_factory=list)
 
     def wait(self, name: bytes, seq: int, kept: Callable[[], None]) -> Waiter:
         """Add a wait for change ``seq`` of a record. Raises ReplicaFullError if too many callers wait."""
         if len(self.waiting) >= MAX_WAITERS:
-            raise ReplicaFullError(
-                f"{MAX_WAITERS} wait for a majority", where="replica", do="come back later"
-            )
+            raise ReplicaFullError(f"{MAX_WAITERS} wait for a majority", where="replica", do="retry later")
         waiter = Waiter(name, seq, kept)
         self.waiting.append(waiter)
         self._finish()
--- a/beechrock/replica/kinds.py
+++ b/beechrock/replica/kinds.py
@@ -24,6 +24,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Kind:
+    """A kind of records."""
+
     name: str
     state: type[Tally] | type[Causal] | type[Own]
     priority: int  # Lower ones are sent first; 0 is for records that limit spending.
--- a/beechrock/replica/leases.py
+++ b/beechrock/replica/leases.py
@@ -42,6 +42,8 @@
 
 @dataclass(slots=True)
 class Lease:
+    """The part of a pot that one life of a node holds."""
+
     id: int
     holder: str  # Name of the node.
     life: int  # Life of the node, with random bits (``holder_life``).
@@ -53,6 +55,8 @@
 
 @dataclass(slots=True)
 class Pot:
+    """An amount that nodes share by leases."""
+
     kind: str  # budget or rate
     name: str  # Name of the team or dependency.
     period: int  # Number of the period, from 1; 0 for a rate.
@@ -85,6 +89,8 @@
 
 @dataclass(slots=True)
 class Budgets:
+    """The machine: all pots and their leases."""
+
     pots: dict[PotKey, Pot] = field(default_factory=dict)
     without: frozenset[str] = frozenset()  # Names of guards to disable; for simulations and tests only.
 
@@ -111,7 +117,9 @@
             return Result.BAD
         for key, granted in before.items():
             if self.pots[key].granted > granted + 1e-9:
-                raise BrokenInvariantError("a give-back that grants", where=f"pot {key}")
+                raise BrokenInvariantError(
+                    "a give-back or close increased a granted amount", where=f"pot {key}"
+                )
         return result
 
     def _ask(self, index: int, holder: str, life: int, items: list[Any]) -> Any:
--- a/beechrock/replica/messages.py
+++ b/beechrock/replica/messages.py
@@ -12,8 +12,7 @@
 from beechrock.replica.errors import ReplicaRecordError
 
 READS = 1, 2  # Formats that can be read; the last one is sent to peers that can read it.
-# Each Hello of this number to a peer that has only sent older formats is in the newest format.
-TRY_NEWEST_EVERY = 30
+TRY_NEWEST_EVERY = 30  # One of this many Hellos to a peer that only sent older formats is in the newest one.
 Entries = list[tuple[bytes, bytes]]  # Each: name, packed state.
 
 
@@ -178,7 +177,9 @@
         if version > 1:
             digest, synced, *values = values
             if not isinstance(digest, bytes) or not isinstance(synced, int):
-                raise ReplicaRecordError("a message that does not tell its disk", where="replica")
+                raise ReplicaRecordError(
+                    "a message without the position of the sender's disk", where="replica"
+                )
             held = Held(digest, synced)
         number, *values = values
         message_type = TYPES[number]
@@ -186,13 +187,15 @@
         if len(values) != len(wanted) or not all(
             isinstance(value, kind) for value, (_, kind) in zip(values, wanted, strict=True)
         ):
-            raise ReplicaRecordError(f"a message that is no {message_type.__name__}", where="replica")
+            raise ReplicaRecordError(
+                f"a message with invalid fields of {message_type.__name__}", where="replica"
+            )
         message: Message = message_type(*values)
         if isinstance(message, Batch | Piece) and not all(
             len(entry) == 2 and isinstance(entry[0], bytes) and isinstance(entry[1], bytes)
             for entry in message.entries
         ):
-            raise ReplicaRecordError("entries that are none", where="replica")
+            raise ReplicaRecordError("a message with invalid entries", where="replica")
         return message, held
     except (ValueError, TypeError, IndexError, msgpack.UnpackException) as error:
         raise ReplicaRecordError(f"a message that cannot be read: {error}", where="replica") from None
--- a/beechrock/replica/operators.py
+++ b/beechrock/replica/operators.py
@@ -154,7 +154,7 @@
 
 def _kind_and_key(params: dict[str, str]) -> tuple[str, str]:
     if not params.get("kind") or not params.get("key"):
-        raise UnknownRecordError("kind and key are wanted", where="replica", wanted="?kind=KIND&key=KEY")
+        raise UnknownRecordError("kind and key are required", where="replica", wanted="?kind=KIND&key=KEY")
     return params["kind"], params["key"]
 
 
--- a/beechrock/replica/part.py
+++ b/beechrock/replica/part.py
@@ -130,7 +130,7 @@
             raise NotKeptError(
                 f"no majority within {within_s:g} s",
                 where=" ".join(named(name)),
-                do="see /replica for who is there; it spreads on",
+                do="see /replica for the peers that are present; the change is still sent to them",
             ) from None
         finally:
             self.core.waiters.drop(waiter)
--- a/beechrock/replica/priors.py
+++ b/beechrock/replica/priors.py
@@ -16,7 +16,8 @@
 MAX_WEIGHT = 8.0  # Weight of the best advice, in own samples.
 HALF_LIFE_S = 60.0  # Age at which the weight has halved, in seconds.
 MAX_AGE_S = 300.0  # Age above which advice has no weight, in seconds.
-# Number of own samples after which a prior is dropped. The mean of own samples then moves by this fraction.
+# Number of own samples after which a prior is dropped, and each new sample moves the mean by
+# 1/ENOUGH_SAMPLES.
 ENOUGH_SAMPLES = 32
 MAX_RATIO = 2.0  # Factor between own mean and prior above which the prior is dropped, after DOUBT samples.
 DOUBT = 3  # Number of own samples that can contradict a prior.
--- a/beechrock/replica/records.py
+++ b/beechrock/replica/records.py
@@ -61,6 +61,7 @@
 
     @property
     def total(self) -> float:
+        """Net amount spent by all writers."""
         return sum(spent - back for spent, back in self.counts.values())
 
     def plain(self) -> list[Any]:
@@ -100,7 +101,9 @@
         """Return the state with one value in place of all present ones; None deletes."""
         if self.seen.get(dot.writer, 0) >= dot.n:
             raise BrokenInvariantError(
-                f"{dot} is written twice", where="a causal record", wanted="a count above all of its writer"
+                f"{dot} is written twice",
+                where="a causal record",
+                wanted="a number above all earlier ones of its writer",
             )
         seen = {**self.seen, dot.writer: dot.n}
         if len(seen) > MAX_WRITERS:
@@ -113,6 +116,7 @@
 
     @property
     def live_values(self) -> list[bytes]:
+        """The present values, without deletes."""
         return [self.values[dot] or b"" for dot in sorted(self.values) if self.values[dot] is not None]
 
     @property
@@ -130,7 +134,7 @@
             {str(w): int(n) for w, n in seen},
         )
         if any(made.seen.get(dot.writer, 0) < dot.n for dot in made.values):
-            raise ReplicaRecordError("a value beyond its context", where="a causal record")
+            raise ReplicaRecordError("a value that its context does not cover", where="a causal record")
         return made
 
 
@@ -170,7 +174,7 @@
         return made.of_plain(msgpack.unpackb(data))
     except (ValueError, TypeError, AttributeError, KeyError, msgpack.UnpackException) as error:
         raise ReplicaRecordError(
-            f"no state of a record: {error}",
+            f"a state that cannot be decoded: {error}",
             where=made.__name__.lower(),
             do="run the version that wrote it, or a later one",
         ) from None
@@ -181,4 +185,6 @@
     match a, b:
         case (Tally(), Tally()) | (Causal(), Causal()) | (Own(), Own()):
             return a.merge(b)  # type: ignore[arg-type]
-    raise ReplicaRecordError(f"{type(a).__name__} beside {type(b).__name__}", where="merge of a record")
+    raise ReplicaRecordError(
+        f"{type(a).__name__} cannot be merged with {type(b).__name__}", where="merge of a record"
+    )
--- a/beechrock/replica/spending.py
+++ b/beechrock/replica/spending.py
@@ -43,6 +43,8 @@
 
 @dataclass(slots=True)
 class Spending:
+    """The budgets of the decision module at one node."""
+
     holder: Holder
     clock: Callable[[], float]  # The clock of the leases.
     may_spend: Callable[[], bool]  # Returns whether this node may spend at all.
--- a/beechrock/replica/spread.py
+++ b/beechrock/replica/spread.py
@@ -56,6 +56,8 @@
 
 @dataclass(slots=True)
 class Spread:
+    """The queues of all peers."""
+
     base: int  # Batch numbers start above it, so that no late acknowledgement of an earlier life fits.
     peers: dict[str, PeerQueue]
     entry: Callable[[bytes], tuple[bytes, int] | None]  # Returns packed state and number of the last change.
@@ -87,7 +89,7 @@
                 peer.in_flight[batch.n] = now, batch.names
                 batches.append(batch)
             if len(peer.in_flight) > WINDOW:
-                raise BrokenInvariantError(f"{len(peer.in_flight)} batches under way", where=peer.name)
+                raise BrokenInvariantError(f"{len(peer.in_flight)} batches in flight", where=peer.name)
         return batches
 
     def _batch(self, peer: PeerQueue) -> Batch | None:
--- a/beechrock/replica/table.py
+++ b/beechrock/replica/table.py
@@ -43,6 +43,7 @@
 
 
 def spending_key(team: str, period: int) -> str:
+    """Return the key of a team's spending in a period; keys of a team sort by period."""
     return f"{team}\0{period:016d}"
 
 
@@ -55,6 +56,8 @@
 
 @dataclass(slots=True)
 class Record:
+    """A record as held by this node."""
+
     kind: Kind
     key: str
     state: State
@@ -73,6 +76,8 @@
 
 @dataclass(slots=True)
 class Table:
+    """The records and tombstones of one node."""
+
     writer: str  # Name of this start of the node as a writer.
     kinds: Kinds = field(default_factory=Kinds)
     max_records: int = MAX_RECORDS
@@ -176,7 +181,7 @@
                 do="raise replica.most_records",
             )
         if before is not None and not _covers(state, before.state):
-            raise BrokenInvariantError("a state that lost something", where=f"{kind.name} {key}")
+            raise BrokenInvariantError("a new state does not cover the old one", where=f"{kind.name} {key}")
         self.seq += 1
         self._unsettle(name)
         packed = pack(state)
@@ -230,7 +235,7 @@
         del self.fresh[name]
         state = self.records.pop(name).state
         if not isinstance(state, Causal) or not state.deleted:
-            raise BrokenInvariantError("a living record among the tombstones", where=str(named(name)))
+            raise BrokenInvariantError("a record with a value among the tombstones", where=str(named(name)))
         self.sums.put(name, None)
         self.remember(name, state)
 
--- a/beechrock/replica/telling.py
+++ b/beechrock/replica/telling.py
@@ -3,8 +3,8 @@
 
 A report counts while the process that sent it is present and whole, and by the slowness that it states of
 itself. Its age is the stated age plus the time since the report came, so no two clocks are compared. A node
-reports anew every REPORT_S while its observations may count; so a report that other nodes have kept and pass
-on is understated in age by no more than that.
+reports anew every REPORT_S while its observations may count; so the age of a report that came by way of
+another node is understated by no more than that.
 """
 
 import math
@@ -48,7 +48,7 @@
             for word in words
             for value, kind in zip(_values(word), KINDS, strict=True)
         ):
-            raise ReplicaRecordError("advice that is none", where="learned")
+            raise ReplicaRecordError("advice with invalid fields", where="learned")
         return float(slowness), words
     except (ValueError, TypeError, msgpack.UnpackException) as error:
         raise ReplicaRecordError(f"advice that cannot be read: {error}", where="learned") from None
--- a/beechrock/replica/told.py
+++ b/beechrock/replica/told.py
@@ -22,6 +22,8 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaSettings:
+    """The checked settings."""
+
     lease_s: float = 6.0  # Length of a budget lease, in seconds; it is renewed three times in that time.
     repair_s: float = 5.0  # Seconds between two repair rounds.
     most_mb: float = 256  # Maximum size of log and snapshot together, in MB.
--- a/beechrock/replica/trial.py
+++ b/beechrock/replica/trial.py
@@ -19,6 +19,8 @@
 
 
 class Trial:
+    """The load generator of one node."""
+
     def __init__(self, replica: "Replica") -> None:
         self.replica, self.n, self.per_s = replica, 0, replica.settings.trial_per_s
         self.lags: list[float] = []
