--- a/beechrock/replica/advice.py
+++ b/beechrock/replica/advice.py
@@ -140,7 +140,7 @@
                     "state": server.state(now).value,
                     "last": address in health.tried_last,
                     "advised": server.advised,
-                    "seen": server.seen,
+                    "seen": server.observations,
                     "fails": server.consecutive_failures,
                     "mean_ms": round(1000 * server.latency.mean, 2),
                     "prior_ms": round(1000 * server.latency.prior, 2),
--- a/beechrock/replica/catchup.py
+++ b/beechrock/replica/catchup.py
@@ -71,34 +71,34 @@
         return self.stage not in (Stage.AWAY, Stage.SNAPSHOT)
 
     @property
-    def counts(self) -> bool:
-        """Whether this node's acknowledgements count for a majority."""
+    def whole(self) -> bool:
+        """Whether this node is whole, so that its acknowledgements count for a majority."""
         return self.stage is Stage.WHOLE
 
     # --- events
 
-    def on_verdict(self, now: float, by: str, verdict: Verdict, tail: bool, surplus: int) -> bool:
-        """Process the verdict of the peer ``by`` on this node's store. ``tail``: the peer knows which changes
+    def on_verdict(self, now: float, peer: str, verdict: Verdict, tail: bool, surplus: int) -> bool:
+        """Process a peer's verdict on this node's store. ``tail``: the peer knows which changes
         this node lacks. ``surplus``: how many records the peer holds beyond ours. Return whether all causal
         records have to be set aside."""
         if verdict in (Verdict.OLDER, Verdict.OTHER) and not self.forgot:
-            return self.outdated(now, by)
+            return self.outdated(now, peer)
         if self.cursor < RANGES and self.stage is not Stage.SNAPSHOT:
             self._enter(Stage.SNAPSHOT)  # An interrupted copy continues at its cursor.
-            self.giver, self.giver_active_s = by, now
+            self.giver, self.giver_active_s = peer, now
         elif self.stage in (Stage.AWAY, Stage.TAIL) and surplus > COPY_THRESHOLD:
-            self._start_copy(now, by)
+            self._start_copy(now, peer)
         elif self.stage is Stage.AWAY:
             self._enter(Stage.TAIL if tail and not self.forgot else Stage.REPAIR)
         return False
 
-    def outdated(self, now: float, by: str) -> bool:
+    def outdated(self, now: float, peer: str) -> bool:
         """Start a full copy, because a peer dropped tombstones that this node never received: records held
         here may have been deleted. Return whether all causal records have to be set aside."""
         if self.stage is Stage.SNAPSHOT:
             return False
         self.forgot, self.resets = True, self.resets + 1
-        self._start_copy(now, by)
+        self._start_copy(now, peer)
         return True
 
     def _start_copy(self, now: float, giver: str) -> None:
@@ -106,12 +106,12 @@
         self.cursor, self.giver, self.giver_active_s = 0, giver, now
         self._enter(Stage.SNAPSHOT)
 
-    def piece(self, now: float, by: str, start: int, after: int) -> bool:
+    def piece(self, now: float, peer: str, start: int, after: int) -> bool:
         """Advance the cursor over a piece of the copy. Return whether it continues the copy; an old or
         repeated piece does not."""
         if self.stage is not Stage.SNAPSHOT or start != self.cursor or not start < after <= RANGES:
             return False
-        self.cursor, self.giver_active_s, self.giver = after, now, by
+        self.cursor, self.giver_active_s, self.giver = after, now, peer
         if self.cursor == RANGES:
             self._enter(Stage.REPAIR)
         return True
@@ -126,11 +126,11 @@
             self.giver, self.giver_active_s = others[at % len(others)], now
         return self.giver
 
-    def repaired(self, by: str) -> bool:
-        """Record that the repair round with ``by`` has ended. Return whether this node has become whole."""
+    def repaired(self, peer: str) -> bool:
+        """Record that a repair round with a peer has ended. Return whether this node has become whole."""
         if self.stage not in (Stage.REPAIR, Stage.TAIL):
             return False
-        self.repaired_by.add(by)
+        self.repaired_by.add(peer)
         if self.stage is Stage.TAIL:
             self._enter(Stage.REPAIR)
         if len(self.repaired_by) >= self.need:
--- a/beechrock/replica/core.py
+++ b/beechrock/replica/core.py
@@ -326,7 +326,7 @@
         room, names = True, set[bytes]()
         for name, packed in entries:
             try:
-                merged = self.table.hear(name, packed)
+                merged = self.table.merge_state(name, packed)
             except ReplicaFullError:
                 room = False
                 self.refused += 1
@@ -337,7 +337,7 @@
                 self.refused += 1  # A record of a newer version, or damaged: not interpreted.
                 continue
             names.add(name)
-            if merged.theirs and (found := self._entry(name)) is not None:
+            if merged.sender_lacks and (found := self._entry(name)) is not None:
                 self.spread.enqueue(sender, name, found[1])
         return room, names
 
@@ -348,7 +348,7 @@
         if self.round is not None and self.round.peer == sender:
             self.round.received(now, names)
             self._finish_round(now)
-        return [Say(sender, Ack(n, self.catchup.counts, room), 0 if "sync" in self.without else self._after)]
+        return [Say(sender, Ack(n, self.catchup.whole, room), 0 if "sync" in self.without else self._after)]
 
     def _on_ack(self, now: float, sender: str, n: int, counts: bool, room: bool) -> None:
         names = self.spread.acked(sender, n, room, now)
--- a/beechrock/replica/health.py
+++ b/beechrock/replica/health.py
@@ -40,7 +40,7 @@
 
     server: str  # HOST:PORT
     mean_s: float  # Mean time of a request, in seconds; 0 if unknown.
-    seen: int  # Number of own observations.
+    observations: int  # Number of own observations.
     age_s: float  # Seconds since the last observation.
     ejected_s: float  # Seconds left of an ejection by own observations; 0 if not ejected.
 
@@ -50,7 +50,7 @@
     """What this node knows of a server."""
 
     latency: Estimate = field(default_factory=lambda: Estimate(0.0))  # Time of a request, in seconds.
-    seen: int = 0  # Number of own observations, failures included.
+    observations: int = 0  # Number of own observations, failures included.
     observed_s: float = 0.0  # Time of the last observation, in monotonic seconds.
     successes: int = 0  # Number of good replies.
     consecutive_failures: int = 0
@@ -102,7 +102,7 @@
 
     def _observed(self, now: float, address: Address) -> Server:
         server = self._server(address)
-        server.seen, server.observed_s = server.seen + 1, now
+        server.observations, server.observed_s = server.observations + 1, now
         return server
 
     def _server(self, address: Address) -> Server:
@@ -134,12 +134,12 @@
         if pools is not self.pools:
             self.pools = pools
             self.listed = {"{}:{}".format(*server): server for pool in pools.values() for server in pool}
-        by_server: dict[str, list[tuple[Advice, Word]]] = {}
+        reports_by_server: dict[str, list[tuple[Advice, Word]]] = {}
         for advice, word in reports:
-            by_server.setdefault(word.server, []).append((advice, word))
-        for name, words in by_server.items():
+            reports_by_server.setdefault(word.server, []).append((advice, word))
+        for name, words in reports_by_server.items():
             address = self.listed.get(name)
-            if address is not None and self._server(address).seen < DOUBT:
+            if address is not None and self._server(address).observations < DOUBT:
                 self._apply_ejection_advice(now, address, words)
         self._update_order(now)
 
@@ -181,12 +181,13 @@
         if server is not None and address in self.tried_last:
             trying = server.state(now) is State.TRYING and not load
             return -1.0 if trying else LAST_COST + load
-        unknown = server is None or (server.seen < DOUBT and not server.latency.weight)
+        unknown = server is None or (server.observations < DOUBT and not server.latency.weight)
         if not load and (
-            unknown or (server is not None and server.seen and now - server.observed_s > PROBE_AFTER_S)
+            unknown
+            or (server is not None and server.observations and now - server.observed_s > PROBE_AFTER_S)
         ):
             # An idle server that is unknown or long unobserved goes first; unknown ones are tried in turn.
-            return -1.0 + (0.1 * server.seen if server is not None and unknown else 0.0)
+            return -1.0 + (0.1 * server.observations if server is not None and unknown else 0.0)
         return (load + 1) * self._latency(server)
 
     def _latency(self, server: Server | None) -> float:
@@ -217,7 +218,7 @@
             Word(
                 "{}:{}".format(*address),
                 round(server.latency.mean, 6),
-                server.seen,
+                server.observations,
                 round(max(0.0, now - server.observed_s), 3),
                 0.0
                 if server.advised
@@ -225,5 +226,5 @@
                 or (FIRST_S if server.ejected_until else 0.0),
             )
             for address, server in self.servers.items()
-            if server.seen
+            if server.observations
         ][:MAX_SERVERS]
--- a/beechrock/replica/journal.py
+++ b/beechrock/replica/journal.py
@@ -39,7 +39,7 @@
         match fields:
             case ["records", entries]:
                 for name, packed in entries:
-                    self.table.hear(name, packed)
+                    self.table.merge_state(name, packed)
             case ["aside"]:
                 self.aside |= self.table.set_aside()
             case ["settled", entries]:
@@ -92,7 +92,7 @@
             size, batch = 0, []
     if batch:
         encoded.append(_encode("records", batch))
-    copy = (core.catchup.cursor, core.catchup.forgot and not core.catchup.counts)
+    copy = (core.catchup.cursor, core.catchup.forgot and not core.catchup.whole)
     if copy != core.noted:
         core.noted = copy
         encoded.append(_encode("copy", *copy))
--- a/beechrock/replica/leases.py
+++ b/beechrock/replica/leases.py
@@ -100,11 +100,11 @@
         """Apply a command of the log. Return a list of Granted with the leases after an ASK or a BACK, or a
         Result."""
         try:
-            version, what, *fields = msgpack.unpackb(command)
+            version, verb, *fields = msgpack.unpackb(command)
             if version != FORMAT:
                 return Result.BAD
-            before = {key: pot.granted for key, pot in self.pots.items()} if what != "ask" else {}
-            match what, fields:
+            before = {key: pot.granted for key, pot in self.pots.items()} if verb != "ask" else {}
+            match verb, fields:
                 case "ask", [str(holder), int(life), list(items)]:
                     return self._ask(index, holder, life, items[:MAX_ITEMS])
                 case "back", [str(holder), int(life), int(ident), int(n), float(amount), list(pot)]:
@@ -321,20 +321,20 @@
 
 @dataclass(slots=True)
 class Closing:
-    """The leader's choice of leases to close. It is not replicated: a new leader waits anew for each."""
+    """The leader's choice of leases to close. It is not replicated: a new leader waits a whole lease first."""
 
     lease_s: float  # Seconds without a renewal after which a lease is closed.
     # By lease: its turn, and when it was first seen.
-    seen: dict[int, tuple[int, float]] = field(default_factory=dict)
+    turns_seen: dict[int, tuple[int, float]] = field(default_factory=dict)
 
     def due(self, now: float, budgets: Budgets) -> list[tuple[PotKey, int, int]]:
         """Return the leases to close, each with pot, lease and turn. The time counts from when this leader
         first saw the turn, which is after the holder sent its request."""
         found, turns = [], dict[int, tuple[int, float]]()
         for key, lease in budgets.open_leases():
-            turn, since_s = self.seen.get(lease.id, (0, now))
+            turn, since_s = self.turns_seen.get(lease.id, (0, now))
             turns[lease.id] = (turn, since_s) if turn == lease.turn else (lease.turn, now)
             if now - turns[lease.id][1] > self.lease_s:
                 found.append((key, lease.id, lease.turn))
-        self.seen = turns
+        self.turns_seen = turns
         return found
--- a/beechrock/replica/operators.py
+++ b/beechrock/replica/operators.py
@@ -124,7 +124,7 @@
     return found
 
 
-def _plain(state: State | None) -> Any:
+def _values_by_dot(state: State | None) -> Any:
     if isinstance(state, Causal):
         return {
             str(dot): None if value is None else value.decode(errors="replace")
@@ -144,9 +144,9 @@
             {
                 "kind": kind,
                 "key": key,
-                "values": _plain(core.table.state(name)),
+                "values": _values_by_dot(core.table.state(name)),
                 "acting": None if acting is None else acting.decode(errors="replace"),
-                "aside": _plain(core.aside.get(name)),
+                "aside": _values_by_dot(core.aside.get(name)),
             }
         )
     return {"differing": len(names), "records": rows}
@@ -165,7 +165,7 @@
         "kind": kind,
         "key": key,
         "value": None if value is None else value.decode(errors="replace"),
-        "values": _plain(replica.core.table.state(ident(kind, key))),
+        "values": _values_by_dot(replica.core.table.state(ident(kind, key))),
     }
 
 
--- a/beechrock/replica/records.py
+++ b/beechrock/replica/records.py
@@ -64,11 +64,11 @@
         """Net amount spent by all writers."""
         return sum(spent - back for spent, back in self.counts.values())
 
-    def plain(self) -> list[Any]:
+    def to_plain(self) -> list[Any]:
         return [[writer, *self.counts[writer]] for writer in sorted(self.counts)]
 
     @classmethod
-    def of_plain(cls, plain_state: Iterable[Any]) -> "Tally":
+    def from_plain(cls, plain_state: Iterable[Any]) -> "Tally":
         return cls({str(w): (float(spent), float(back)) for w, spent, back in plain_state})
 
 
@@ -123,19 +123,19 @@
     def deleted(self) -> bool:
         return not self.live_values
 
-    def plain(self) -> list[Any]:
+    def to_plain(self) -> list[Any]:
         return [[[*dot, self.values[dot]] for dot in sorted(self.values)], sorted(self.seen.items())]
 
     @classmethod
-    def of_plain(cls, plain_state: Any) -> "Causal":
+    def from_plain(cls, plain_state: Any) -> "Causal":
         values, seen = plain_state
-        made = cls(
+        state = cls(
             {Dot(str(w), int(n)): None if v is None else bytes(v) for w, n, v in values},
             {str(w): int(n) for w, n in seen},
         )
-        if any(made.seen.get(dot.writer, 0) < dot.n for dot in made.values):
+        if any(state.seen.get(dot.writer, 0) < dot.n for dot in state.values):
             raise ReplicaRecordError("a value that its context does not cover", where="a causal record")
-        return made
+        return state
 
 
 @dataclass(frozen=True, slots=True)
@@ -150,11 +150,11 @@
     def merge(self, other: "Own") -> "Own":
         return max(self, other, key=lambda state: (state.life, state.n, state.value))
 
-    def plain(self) -> list[Any]:
+    def to_plain(self) -> list[Any]:
         return [self.life, self.n, self.value]
 
     @classmethod
-    def of_plain(cls, plain_state: Any) -> "Own":
+    def from_plain(cls, plain_state: Any) -> "Own":
         life, n, value = plain_state
         return cls(int(life), int(n), bytes(value))
 
@@ -164,18 +164,18 @@
 
 def pack(state: State) -> bytes:
     """Encode a state; equal states give equal bytes."""
-    data: bytes = msgpack.packb(state.plain())
+    data: bytes = msgpack.packb(state.to_plain())
     return data
 
 
-def unpack(made: type[Tally] | type[Causal] | type[Own], data: bytes) -> State:
+def unpack(state_type: type[Tally] | type[Causal] | type[Own], data: bytes) -> State:
     """Decode a state. Raises ReplicaRecordError if it is not one of that type."""
     try:
-        return made.of_plain(msgpack.unpackb(data))
+        return state_type.from_plain(msgpack.unpackb(data))
     except (ValueError, TypeError, AttributeError, KeyError, msgpack.UnpackException) as error:
         raise ReplicaRecordError(
             f"a state that cannot be decoded: {error}",
-            where=made.__name__.lower(),
+            where=state_type.__name__.lower(),
             do="run the version that wrote it, or a later one",
         ) from None
 
--- a/beechrock/replica/repair.py
+++ b/beechrock/replica/repair.py
@@ -52,7 +52,7 @@
         names = 0
         while self.open and len(parts) + len(lists) < MAX_ASK_RANGES and names < MAX_ASK_NAMES:
             range_ = self.open.pop()
-            if sums.small(range_):
+            if sums.is_small(range_):
                 listed = sums.listed(range_)
                 names += len(listed)
                 lists.append([*range_, [[name, value.to_bytes(16)] for name, value in listed.items()]])
--- a/beechrock/replica/spread.py
+++ b/beechrock/replica/spread.py
@@ -62,7 +62,7 @@
     peers: dict[str, PeerQueue]
     entry: Callable[[bytes], tuple[bytes, int] | None]  # Returns packed state and number of the last change.
     priority: Callable[[bytes], int]  # Returns the priority of a record by its name.
-    n: int = 0  # Number of batches made.
+    batches_made: int = 0
     max_queued: int = MAX_QUEUED
 
     def changed(self, name: bytes, seq: int, except_peer: str = "") -> None:
@@ -110,8 +110,8 @@
                     size += len(name) + len(found[0])
         if not names:
             return None
-        self.n += 1
-        return Batch(peer.name, self.base + self.n, names, entries)
+        self.batches_made += 1
+        return Batch(peer.name, self.base + self.batches_made, names, entries)
 
     def _requeue_late(self, peer: PeerQueue, now: float) -> None:
         late = [n for n, (sent_s, _) in peer.in_flight.items() if now - sent_s >= peer.retry_s]
--- a/beechrock/replica/sums.py
+++ b/beechrock/replica/sums.py
@@ -62,17 +62,17 @@
                 del self.levels[level][at]
             at //= WAYS
 
-    def of(self, range_: Range) -> Summed:
+    def sum_of(self, range_: Range) -> Summed:
         """Return the sum and the number of entries of a range."""
         return self.levels[range_[0]].get(range_[1], (0, 0))
 
     @property
     def root(self) -> Summed:
-        return self.of((0, 0))
+        return self.sum_of((0, 0))
 
     def parts(self, range_: Range) -> list[Summed]:
         level, number = range_
-        return [self.of((level + 1, number * WAYS + n)) for n in range(WAYS)]
+        return [self.sum_of((level + 1, number * WAYS + n)) for n in range(WAYS)]
 
     def listed(self, range_: Range) -> dict[bytes, int]:
         """Return the digests of all entries in a range, by name."""
@@ -89,9 +89,9 @@
             else [at for at in sorted(self.leaves) if at in wanted]
         )
 
-    def small(self, range_: Range) -> bool:
+    def is_small(self, range_: Range) -> bool:
         """Whether a range is listed by names instead of compared by parts."""
-        return range_[0] == DEPTH or self.of(range_)[1] <= LIST_ENTRIES
+        return range_[0] == DEPTH or self.sum_of(range_)[1] <= LIST_ENTRIES
 
     def compare(self, range_: Range, parts: list[Summed]) -> list[Range]:
         """Return the parts of a range that differ from another node's."""
@@ -99,7 +99,7 @@
         return [
             (level + 1, number * WAYS + n)
             for n, theirs in enumerate(parts[:WAYS])
-            if self.of((level + 1, number * WAYS + n)) != theirs
+            if self.sum_of((level + 1, number * WAYS + n)) != theirs
         ]
 
     def compare_list(self, range_: Range, theirs: dict[bytes, int]) -> tuple[list[bytes], list[bytes]]:
--- a/beechrock/replica/table.py
+++ b/beechrock/replica/table.py
@@ -67,11 +67,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Merged:
-    """Result of a merge. ``mine``: this node's state has changed. ``theirs``: the sender's state lacks
-    something."""
+    """Result of a merge. ``changed_here``: this node's state has changed. ``sender_lacks``: the sender's
+    state lacks something."""
 
-    mine: bool
-    theirs: bool
+    changed_here: bool
+    sender_lacks: bool
 
 
 @dataclass(slots=True)
@@ -137,7 +137,7 @@
 
     # --- states from other nodes
 
-    def hear(self, name: bytes, packed: bytes) -> Merged:
+    def merge_state(self, name: bytes, packed: bytes) -> Merged:
         """Merge another node's state. Raises ReplicaRecordError if it cannot be read, and ReplicaFullError
         if the sender has to send it again."""
         kind_name, key = named(name)
--- a/beechrock/replica/telling.py
+++ b/beechrock/replica/telling.py
@@ -119,8 +119,10 @@
         since = now - self.received[peer][2]
         return [
             (
-                Advice(peer, word.mean_s or 1.0, word.seen, word.age_s + since, slowness, trusted),
-                Word(word.server, word.mean_s, word.seen, word.age_s, max(0.0, word.ejected_s - since)),
+                Advice(peer, word.mean_s or 1.0, word.observations, word.age_s + since, slowness, trusted),
+                Word(
+                    word.server, word.mean_s, word.observations, word.age_s, max(0.0, word.ejected_s - since)
+                ),
             )
             for word in words
         ]
--- a/beechrock/replica/trial.py
+++ b/beechrock/replica/trial.py
@@ -22,7 +22,7 @@
     """The load generator of one node."""
 
     def __init__(self, replica: "Replica") -> None:
-        self.replica, self.n, self.per_s = replica, 0, replica.settings.trial_per_s
+        self.replica, self.changes_made, self.per_s = replica, 0, replica.settings.trial_per_s
         self.lags: list[float] = []
         replica.trial = self
         replica.on("learned", self._changed)
@@ -37,8 +37,8 @@
             due_changes += self.per_s * step_s
             while due_changes >= 1:
                 due_changes -= 1
-                self.n += 1
-                key = f"{self.replica.core.name}/{self.n % KEYS}"
+                self.changes_made += 1
+                key = f"{self.replica.core.name}/{self.changes_made % KEYS}"
                 self.replica.own("learned", key, f"{clocks.boot():.6f}".encode())
 
     def _changed(self, key: str) -> None:
@@ -51,9 +51,9 @@
         """Return the number of changes, and statistics of the delays since the last call, in milliseconds."""
         lags, self.lags = sorted(self.lags), []
         if not lags:
-            return {"made": self.n, "heard": 0}
+            return {"made": self.changes_made, "heard": 0}
         return {
-            "made": self.n,
+            "made": self.changes_made,
             "heard": len(lags),
             "median_ms": round(1000 * lags[len(lags) // 2], 2),
             "p99_ms": round(1000 * lags[len(lags) * 99 // 100], 2),
--- a/tests/copies.py
+++ b/tests/copies.py
@@ -60,7 +60,7 @@
         views = [await fleet.view(name, "/replica") for name in names or fleet.up]
         return len({view["root"] for view in views}) == 1 and all(view["stage"] == "whole" for view in views)
 
-    await fleet.until(same, what="equal copies")
+    await fleet.until(same, what="equal records")
 
 
 def kept(fleet: Fleet, key: str) -> bool:
@@ -75,7 +75,7 @@
         views = [await fleet.view(name, "/replica") for name in names]
         return all(view["leases"] and view["leases"][0]["cap"] >= 1 for view in views)
 
-    await fleet.until(held, what="a lease at each")
+    await fleet.until(held, what="a lease at each node")
 
 
 async def spend(fleet: Fleet, names: list[str], count: int) -> list[str]:
--- a/tests/replica/test_guards.py
+++ b/tests/replica/test_guards.py
@@ -25,7 +25,7 @@
         others,
         0,
         lambda: (mark.to_bytes(), mark.digest),
-        lambda peer, told, believe: Verdict.NEWER if believe else verdict,
+        lambda peer, packed, believe: Verdict.NEWER if believe else verdict,
         repair_s=0.1,
     )
     return made
@@ -73,12 +73,12 @@
     tombstone = b.table.records[b"note\0k"].packed
     talk([a, b], 6.0, 2.0)
     assert not a.table.fresh and not b.table.fresh and a.table.settled
-    a.table.hear(b"note\0k", tombstone)
+    a.table.merge_state(b"note\0k", tombstone)
     late = b.table.settled[b"note\0k"].merge(a.table.settled[b"note\0k"])
     from beechrock.replica.records import Causal, pack
 
     wider = Causal(late.values, {**late.seen, "z/1": 1})
-    a.table.hear(b"note\0k", pack(wider))
+    a.table.merge_state(b"note\0k", pack(wider))
     assert a.table.sums.root[1] == 0 and not a.table.fresh
 
 
@@ -105,20 +105,20 @@
     b = core("b", "a")
     b.write("note", "gone", b"v")
     b.take(0.0, "a", Welcome(b.mark()[1], "older", False, 0, "whole"))
-    assert b.catchup.stage is Stage.SNAPSHOT and not b.catchup.may_spend and not b.catchup.counts
+    assert b.catchup.stage is Stage.SNAPSHOT and not b.catchup.may_spend and not b.catchup.whole
     assert b.table.acting("note", "gone") is None and b.differs() == [b"note\0gone"] and b.reset
 
 
 def test_an_interrupted_copy_continues_at_its_cursor_and_takes_no_piece_twice() -> None:
-    made = Catchup(3, cursor=100, forgot=True)
-    made.on_verdict(0.0, "a", Verdict.NEWER, False, 0)
-    assert made.stage is Stage.SNAPSHOT and made.next_giver(0.1, ["a", "b"]) == "a"
-    assert made.piece(0.2, "a", 100, 200) and not made.piece(0.3, "a", 100, 300)
-    assert not made.piece(0.3, "b", 250, 300) and made.cursor == 200
-    assert made.next_giver(9.0, ["a", "b"]) == "b"  # The giver "a" has been silent for too long.
-    assert made.piece(9.1, "b", 200, RANGES) and made.stage is Stage.REPAIR
-    # After a loss of memory, two of three nodes are needed, so that every majority is met.
-    assert not made.repaired("a") and made.repaired("b")
+    catchup = Catchup(3, cursor=100, forgot=True)
+    catchup.on_verdict(0.0, "a", Verdict.NEWER, False, 0)
+    assert catchup.stage is Stage.SNAPSHOT and catchup.next_giver(0.1, ["a", "b"]) == "a"
+    assert catchup.piece(0.2, "a", 100, 200) and not catchup.piece(0.3, "a", 100, 300)
+    assert not catchup.piece(0.3, "b", 250, 300) and catchup.cursor == 200
+    assert catchup.next_giver(9.0, ["a", "b"]) == "b"  # The giver "a" has been silent for too long.
+    assert catchup.piece(9.1, "b", 200, RANGES) and catchup.stage is Stage.REPAIR
+    # After a loss of memory two peers are needed, so that every majority of the three nodes is met.
+    assert not catchup.repaired("a") and catchup.repaired("b")
 
 
 def test_the_queue_for_an_absent_peer_is_bounded() -> None:
--- a/tests/replica/test_hard_cases.py
+++ b/tests/replica/test_hard_cases.py
@@ -69,8 +69,8 @@
         begun = time.monotonic()
         await put(fleet, "e", "late", "x")
         await put(fleet, "a", "k", "one")
-        await fleet.until(lambda: kept(fleet, "k"), what="the others wait for no slow disk")
-        assert await spend(fleet, ["e"], 1), "its requests do not either"
+        await fleet.until(lambda: kept(fleet, "k"), what="the others don't wait for the slow disk")
+        assert await spend(fleet, ["e"], 1), "its requests don't wait either"
         await fleet.until(lambda: kept(fleet, "late"))
         # The change is sent to nobody before it is on e's disk. There is no check in between, as a slow
         # machine may take longer.
@@ -82,12 +82,12 @@
             lambda: any(
                 event["error"] == "StoreFullError" for event in fleet.events("e") if event.get("error")
             ),
-            what="it says that its disk is full",
+            what="the full disk is logged",
         )
         await put(fleet, "a", "k", "two")
         assert not kept(fleet, "full") and await spend(fleet, ["e"], 1)
         fleet.disk("e")
-        await fleet.until(lambda: kept(fleet, "full"), what="room again")
+        await fleet.until(lambda: kept(fleet, "full"), what="the disk has room again")
         await level(fleet)
         fleet.disk("e", lose=True)
         for key in ("lied", "lied2"):
@@ -97,7 +97,9 @@
         fleet.disk("e")
         older = len(fleet.events(None, "replica.older"))
         await fleet.start("e")
-        await fleet.until(lambda: len(fleet.events(None, "replica.older")) > older, what="the lie is noticed")
+        await fleet.until(
+            lambda: len(fleet.events(None, "replica.older")) > older, what="the lost writes are noticed"
+        )
         await level(fleet)
         assert (await fleet.view("e", "/replica"))["forgot"]
         found = [await value(fleet, "e", key) for key in ("k", "late", "full", "lied")]
@@ -133,7 +135,7 @@
         )
         await put(fleet, "e", "k", "by_the_first")  # The first process doesn't know of the second yet.
         await put(fleet, "a", "k2", "x")
-        await fleet.until(lambda: kept(fleet, "k2"), what="nobody is held up")
+        await fleet.until(lambda: kept(fleet, "k2"), what="the others are not blocked")
         for _ in range(3):
             await spend(fleet, NAMES, 2)
         fleet.links.attach("e", "{}:{}".format(*first))
@@ -149,8 +151,8 @@
             return bool((await fleet.view("a", "/replica"))["refused"])
 
         await put(fleet, "a", "k4", "x")
-        await fleet.until(lambda: kept(fleet, "k4"), what="one format is a majority")
-        await fleet.until(refused, what="the other format is counted")
+        await fleet.until(lambda: kept(fleet, "k4"), what="the nodes of one format are a majority")
+        await fleet.until(refused, what="messages of the other format are counted")
         assert (await fleet.view("d", "/replica"))["stage"] == "away"
         await fleet.restart("d")
         await level(fleet)
--- a/tests/replica/test_health.py
+++ b/tests/replica/test_health.py
@@ -83,7 +83,7 @@
     assert health.servers[ONE].ejected_until == 100.0 + MAX_ADVISED_S and first(health, 160.0) == ONE
     health.good(160.0, ONE, 0.02)
     health.advise(161.0, words, POOLS)
-    assert not health.tried_last and health.words(161.0)[0].seen == 1
+    assert not health.tried_last and health.words(161.0)[0].observations == 1
 
 
 @pytest.mark.parametrize("more", [{"age_s": 400.0}, {"slowness": 3.0}, {"whole": False}, {"age_s": -1.0}])
@@ -108,13 +108,13 @@
 
 
 def test_a_reports_age_includes_the_time_since_it_came_and_its_sender_must_be_present() -> None:
-    data, givers = pack(1.0, [Word("s:1", 0.02, 200, 1.0, 9.0)]), PeerReports()
+    data, peer_reports = pack(1.0, [Word("s:1", 0.02, 200, 1.0, 9.0)]), PeerReports()
     assert unpack(data) == (1.0, [Word("s:1", 0.02, 200, 1.0, 9.0)])
-    givers.advice(10.0, "a", 1, 1, data, True)
-    ((advice, word),) = givers.advice(70.0, "a", 1, 1, data, True)
+    peer_reports.advice(10.0, "a", 1, 1, data, True)
+    ((advice, word),) = peer_reports.advice(70.0, "a", 1, 1, data, True)
     assert advice.age_s == 61.0 and word.ejected_s == 0.0 and advice.weight > 0
-    assert givers.advice(70.0, "a", 1, 1, data, False)[0][0].weight == 0.0
-    assert givers.advice(80.0, "a", 2, 1, data, True)[0][0].age_s == 1.0
+    assert peer_reports.advice(70.0, "a", 1, 1, data, False)[0][0].weight == 0.0
+    assert peer_reports.advice(80.0, "a", 2, 1, data, True)[0][0].age_s == 1.0
     for bad in (b"", b"\x93\x02\x01\x90", b"\x93\x01\x01\x91\x91\x01"):
         with pytest.raises(ReplicaRecordError):
             unpack(bad)
@@ -126,9 +126,9 @@
         now += TICK_S
         assert pace.tick(now) == pytest.approx(1.0)
     assert pace.tick(now + 20.0) > 3.0  # The process was stopped for 20 s.
-    teller, word = ReportSchedule(), Word("s:1", 0.02, 200, 1.0, 0.0)
-    assert teller.due(0.0, [word], False) and not teller.due(1.0, [word], False)
-    assert teller.due(2.0, [word], True, 9.0) and not teller.due(2.1, [word], False, 9.0)
-    assert teller.due(2.2, [word], False) and not teller.due(2.3, [word], False)
-    assert teller.due(2.2 + REPORT_S, [word], False)
-    assert not teller.due(99.0, [Word("s:1", 0.02, 200, 999.0, 0.0)], False)
+    schedule, word = ReportSchedule(), Word("s:1", 0.02, 200, 1.0, 0.0)
+    assert schedule.due(0.0, [word], False) and not schedule.due(1.0, [word], False)
+    assert schedule.due(2.0, [word], True, 9.0) and not schedule.due(2.1, [word], False, 9.0)
+    assert schedule.due(2.2, [word], False) and not schedule.due(2.3, [word], False)
+    assert schedule.due(2.2 + REPORT_S, [word], False)
+    assert not schedule.due(99.0, [Word("s:1", 0.02, 200, 999.0, 0.0)], False)
--- a/tests/replica/test_merges.py
+++ b/tests/replica/test_merges.py
@@ -78,18 +78,21 @@
     assert len(table.records) == 4
     other.tally("spending", spending_key("t", 0), 1.0, 0.0)
     ((name, record),) = other.records.items()
-    assert not table.hear(name, pack(record.state)).mine and name not in table.records
+    assert not table.merge_state(name, pack(record.state)).changed_here and name not in table.records
 
 
 def test_a_settled_tombstone_rejects_the_states_it_covers() -> None:
     a, b = Table("a/1"), Table("b/1")
     name = a.write("note", "k", b"x")
     early = pack(a.records[name].state)
-    b.hear(name, early)
+    b.merge_state(name, early)
     a.write("note", "k", None)
     assert a.settle(a.seq) == 1 and a.sums.root[1] == 0 and name not in a.records
-    merged = a.hear(name, early)
-    assert not merged.mine and merged.theirs and a.acting("note", "k") is None
-    assert b.hear(name, pack(a.state(name))).mine and b.acting("note", "k") is None  # type: ignore[arg-type]
+    merged = a.merge_state(name, early)
+    assert not merged.changed_here and merged.sender_lacks and a.acting("note", "k") is None
+    assert b.merge_state(name, pack(a.state(name))).changed_here and b.acting("note", "k") is None  # type: ignore[arg-type]
     b.write("note", "k", b"anew")
-    assert a.hear(ident("note", "k"), pack(b.records[name].state)).mine and a.acting("note", "k") == b"anew"
+    assert (
+        a.merge_state(ident("note", "k"), pack(b.records[name].state)).changed_here
+        and a.acting("note", "k") == b"anew"
+    )
--- a/tests/replica/test_newcomer.py
+++ b/tests/replica/test_newcomer.py
@@ -40,7 +40,7 @@
         await ask(fleet, name, 1)
         return sum(event["why"] == by for event in fleet.events(name, "replica.server")) > more_than
 
-    await fleet.until(found, what=f"{name} passes the broken server over: {by}")
+    await fleet.until(found, what=f"{name} ejects the broken server: {by}")
 
 
 def test_a_restarted_node_avoids_servers_that_others_ejected_and_ignores_stale_advice(tmp_path: Path) -> None:
@@ -64,7 +64,7 @@
                 servers = (await fleet.view("c", "/replica/advice"))["servers"]
                 return any(server["advised"] and server["last"] for server in servers.values())
 
-            await fleet.until(advised, what="advice at the newcomer")
+            await fleet.until(advised, what="advice at the restarted node")
             before = broken.runs
             found = await ask(fleet, "c", 20)
             # One probe may fail, if the machine was so slow that the ejection had ended.
@@ -72,8 +72,8 @@
 
             fleet.stop("a", "b")  # Their records stay at c, but their advice has no weight any more.
             await fleet.restart("c")
-            why = [event["why"] for event in fleet.events("c", "replica.server")]
-            own, advice = why.count("own"), why.count("advice")
+            causes = [event["why"] for event in fleet.events("c", "replica.server")]
+            own, advice = causes.count("own"), causes.count("advice")
             await ejected(fleet, "c", "own", own)
             assert (await ask(fleet, "c", 5)).count(200) >= 4
             assert [event["why"] for event in fleet.events("c", "replica.server")].count("advice") == advice
@@ -85,7 +85,7 @@
                 view = (await fleet.view("c", "/replica/advice"))["by_hand"]
                 return (place in view) is wanted
 
-            await fleet.until(by_hand, what="an operator's word at another node")
+            await fleet.until(by_hand, what="the operator's ejection at another node")
             await fleet.restart("c")  # The ejection is also read from its disk.
             await fleet.until(by_hand)
             await fleet.call("b", "POST", f"/replica/delete?kind=ejection&key={place}")
--- a/tests/replica/test_periods.py
+++ b/tests/replica/test_periods.py
@@ -116,7 +116,7 @@
         await fleet.kill("e")
         fleet.nodes["e"].begin(await fleet._file("e"), fleet._environ("e"), [sys.executable, "-c", AHEAD])
         await fleet._up("e")
-        await fleet.until(lambda: fleet.events("e", "budget.too_far"), what="it is told")
+        await fleet.until(lambda: fleet.events("e", "budget.too_far"), what="the warning is logged")
         assert await pots() == before and (await fleet.view("e", "/replica"))["too_far"]
         assert set(await spend(fleet, fleet.names, 1)) <= {"a", "b", "c", "d"}
         await leased(fleet, "a", "b", "c", "d")
--- a/tests/replica/test_processes.py
+++ b/tests/replica/test_processes.py
@@ -42,7 +42,7 @@
             await spend(fleet, NAMES, 4)
         assert server.runs <= WHOLE
 
-        async def told() -> bool:
+        async def recorded() -> bool:
             views = [await fleet.view(name, "/replica/spending") for name in NAMES]
             events = fleet.events(None, "budget.spent")
             total = sum({event["node"]: event["spent"] - event["back"] for event in events}.values())
@@ -50,7 +50,7 @@
             print(shown, total, server.runs)  # Printed if the test fails.
             return set(shown) == {total} and total <= WHOLE
 
-        await fleet.until(told)
+        await fleet.until(recorded)
         await fleet.term("e")  # It gives back what it has not spent.
         backs = [event for event in fleet.events("e", "budget.back")]
         assert backs or not fleet.events("e", "budget.lease")
@@ -121,19 +121,19 @@
         fleet.restore_copy("e", "never")  # An empty folder.
         await fleet.start("e")
 
-        async def under_way(least: float, but: str = "") -> Any:
+        async def under_way(minimum: float, except_giver: str = "") -> Any:
             view = await fleet.view("e", "/replica")
-            ready = view["stage"] == "snapshot" and view["progress"] > least and view["giver"]
-            ready = ready and view["giver"] != but
+            ready = view["stage"] == "snapshot" and view["progress"] > minimum and view["giver"]
+            ready = ready and view["giver"] != except_giver
             return view if ready else None
 
-        view = await fleet.until(lambda: under_way(0.1), what="a copy under way")
+        view = await fleet.until(lambda: under_way(0.1), what="a copy in progress")
         giver = view["giver"]
         await fleet.kill(giver)
-        view = await fleet.until(lambda: under_way(view["progress"], giver), what="another gives on")
+        view = await fleet.until(lambda: under_way(view["progress"], giver), what="a copy from another peer")
         await fleet.restart("e")
-        again = await fleet.until(lambda: under_way(0.0), what="it goes on where it was")
-        assert again["progress"] >= view["progress"] - 0.1
+        resumed = await fleet.until(lambda: under_way(0.0), what="the copy continues at its cursor")
+        assert resumed["progress"] >= view["progress"] - 0.1
         await fleet.call("e", "POST", "/replica/trial?per_s=0")
         await fleet.start(giver)
         await fleet.call(giver, "POST", "/replica/trial?per_s=0")
