--- a/beechrock/replica/health.py
+++ b/beechrock/replica/health.py
@@ -1,14 +1,16 @@
-"""Which servers below a node asks first: by what it saw of them, and before that by what others tell. Pure.
-
-States of a server: WELL; EJECTED (FAILS failures one behind the other, or others say so): asked last, for a
-time that doubles; TRYING (that time is over): one request at a time looks whether it is back.
-Events: ``good``, ``failed`` (own observations), ``advise`` (others' word), time.
-
-Invariants: of a service's servers at most half are asked last, but by operators' word, the node's own first
-among them, so neither a failure of all nor wrong advice leaves the load to a few; an ejection by advice ends
-ADVISED_S after it began, whatever is told meanwhile, and with the first good answer; nobody hears advice
-against a good answer of its own, nor after DOUBT own observations. An order is all that comes of it: who is
-asked last is asked where nobody else takes the connection.
+"""Order in which a node tries upstream servers: by its own observations, and before it has any, by the
+advice of other nodes. Pure.
+
+States of a server: WELL; EJECTED (after FAILURES_TO_EJECT consecutive failures, or by advice): tried last,
+for a time that doubles with each ejection; TRYING (that time is over): one request at a time probes it.
+Events: ``good``, ``failed`` (own observations), ``advise`` (advice of other nodes), time.
+
+Invariants: at most half of a service's servers are tried last, except by ejections of operators; ejections
+by own observations come first among them. So neither a failure of all servers nor wrong advice leaves the
+load to a few. An ejection by advice ends MAX_ADVISED_S after it began at the latest, whatever advice comes
+meanwhile, and with the first good reply. Advice ejects no server that has replied well to this node, nor one
+with DOUBT own observations. The result is only an order: a server that is tried last still gets the request
+if no other accepts the connection.
 """
 
 from collections.abc import Iterable, Mapping
@@ -18,12 +20,12 @@
 from beechrock.replica.priors import DOUBT, Advice, Estimate
 
 Address = tuple[str, int]
-FAILS = 5  # failures one behind the other
-FIRST_S, MOST_S = 5.0, 60.0  # an ejection, and the longest
-ADVISED_S = 30.0  # the longest by advice; then it looks itself
-LOOK_S = 10.0  # a server that was not seen for so long is looked at by one request
-LAST = 1e9  # cost of one that is asked last
-MOST_SERVERS = 256  # that are told of and remembered
+FAILURES_TO_EJECT = 5  # Consecutive failures after which a server is ejected.
+FIRST_S, MAX_EJECTION_S = 5.0, 60.0  # Length of the first ejection, and of the longest, in seconds.
+MAX_ADVISED_S = 30.0  # Longest ejection by advice, in seconds; then the node probes the server itself.
+PROBE_AFTER_S = 10.0  # Seconds without an observation after which one request probes a server.
+LAST_COST = 1e9  # Cost of a server that is tried last.
+MAX_SERVERS = 256  # Maximum number of servers remembered and reported.
 
 
 class State(Enum):
@@ -34,110 +36,114 @@
 
 @dataclass(frozen=True, slots=True)
 class Word:
-    """What a node tells of a server; ``ejected_s`` left of an ejection by its own observations."""
+    """One node's report on a server."""
 
-    server: str
-    mean_s: float
-    seen: int
-    age_s: float
-    ejected_s: float
+    server: str  # HOST:PORT
+    mean_s: float  # Mean time of a request, in seconds; 0 if unknown.
+    observations: int  # Number of own observations.
+    age_s: float  # Seconds since the last observation.
+    ejected_s: float  # Seconds left of an ejection by own observations; 0 if not ejected.
 
 
 @dataclass(slots=True)
 class Server:
-    """``until`` is 0 where nobody ejected it."""
+    """What this node knows of a server."""
 
-    latency: Estimate = field(default_factory=lambda: Estimate(0.0))
-    seen: int = 0  # own observations, failures too
-    at_s: float = 0.0  # the last one
-    goods: int = 0
-    fails: int = 0
-    until: float = 0.0
-    turns: int = 0  # ejections one behind the other
-    advised: bool = False  # by others' word alone
+    latency: Estimate = field(default_factory=lambda: Estimate(0.0))  # Time of a request, in seconds.
+    observations: int = 0  # Number of own observations, failures included.
+    observed_s: float = 0.0  # Time of the last observation, in monotonic seconds.
+    successes: int = 0  # Number of good replies.
+    consecutive_failures: int = 0
+    ejected_until: float = 0.0  # End of the ejection, in monotonic seconds; 0 if not ejected.
+    ejections: int = 0  # Number of consecutive ejections.
+    advised: bool = False  # Whether it is ejected by advice alone.
 
     def state(self, now: float) -> State:
-        if not self.until:
+        if not self.ejected_until:
             return State.WELL
-        return State.EJECTED if now < self.until else State.TRYING
+        return State.EJECTED if now < self.ejected_until else State.TRYING
 
 
 @dataclass(slots=True)
 class Health:
-    """One node's; ``pools`` by service, as its inventory lists them."""
+    """The health of all servers as one node sees it; ``pools`` are the servers of each service in its
+    inventory."""
 
     servers: dict[Address, Server] = field(default_factory=dict)
     pools: Mapping[str, tuple[Address, ...]] = field(default_factory=dict)
-    listed: dict[str, Address] = field(default_factory=dict)  # of all services, by name
-    by_hand: frozenset[Address] = frozenset()  # that operators ejected, until they delete their word
-    last: frozenset[Address] = frozenset()  # asked last
-    turned: list[tuple[Address, str]] = field(default_factory=list)  # what happened, for the log
+    listed: dict[str, Address] = field(default_factory=dict)  # Servers of all services, by HOST:PORT.
+    ejected_by_operators: frozenset[Address] = frozenset()  # Until the operators delete the record.
+    tried_last: frozenset[Address] = frozenset()  # Servers that are tried last.
+    # Servers whose state has changed, each with the cause, for the log.
+    transitions: list[tuple[Address, str]] = field(default_factory=list)
 
     # --- own observations
 
     def good(self, now: float, address: Address, seconds: float) -> None:
-        server = self._seen(now, address)
+        server = self._observed(now, address)
         server.latency.observe(max(1e-6, seconds))
-        server.goods, server.fails = server.goods + 1, 0
-        if server.until:
-            server.until, server.turns, server.advised = 0.0, 0, False
-            self._turned(now, address, "back")
+        server.successes, server.consecutive_failures = server.successes + 1, 0
+        if server.ejected_until:
+            server.ejected_until, server.ejections, server.advised = 0.0, 0, False
+            self._record_transition(now, address, "back")
 
     def failed(self, now: float, address: Address, seconds: float = 0.0) -> None:
-        """``seconds``: it took so long without an end."""
-        server = self._seen(now, address)
+        """Count a failure. ``seconds``: how long a request without a reply took; 0 leaves the latency as
+        is."""
+        server = self._observed(now, address)
         if seconds:
             server.latency.observe(seconds)
-        server.fails += 1
+        server.consecutive_failures += 1
         trying = server.state(now) is State.TRYING
-        if trying or (not server.until and server.fails >= FAILS):
-            server.until = now + min(MOST_S, FIRST_S * 2 ** min(10, server.turns))
-            server.turns, server.advised = server.turns + 1, False
-            self._turned(now, address, "own")
-
-    def _seen(self, now: float, address: Address) -> Server:
-        server = self._of(address)
-        server.seen, server.at_s = server.seen + 1, now
+        if trying or (not server.ejected_until and server.consecutive_failures >= FAILURES_TO_EJECT):
+            server.ejected_until = now + min(MAX_EJECTION_S, FIRST_S * 2 ** min(10, server.ejections))
+            server.ejections, server.advised = server.ejections + 1, False
+            self._record_transition(now, address, "own")
+
+    def _observed(self, now: float, address: Address) -> Server:
+        server = self._server(address)
+        server.observations, server.observed_s = server.observations + 1, now
         return server
 
-    def _of(self, address: Address) -> Server:
+    def _server(self, address: Address) -> Server:
         found = self.servers.get(address)
         if found is None:
-            if len(self.servers) >= MOST_SERVERS:
-                gone = (one for one in self.servers if "{}:{}".format(*one) not in self.listed)
-                del self.servers[next(gone, next(iter(self.servers)))]
+            if len(self.servers) >= MAX_SERVERS:
+                unlisted = (other for other in self.servers if "{}:{}".format(*other) not in self.listed)
+                del self.servers[next(unlisted, next(iter(self.servers)))]
             found = self.servers[address] = Server()
         return found
 
-    def _turned(self, now: float, address: Address, why: str) -> None:
-        self.turned.append((address, why))
-        del self.turned[:-MOST_SERVERS]
-        self._rank(now)
+    def _record_transition(self, now: float, address: Address, cause: str) -> None:
+        self.transitions.append((address, cause))
+        del self.transitions[:-MAX_SERVERS]
+        self._update_order(now)
 
-    # --- others' word
+    # --- advice of other nodes
 
     def advise(
         self,
         now: float,
-        told: Iterable[tuple[Advice, Word]],
+        reports: Iterable[tuple[Advice, Word]],
         pools: Mapping[str, tuple[Address, ...]],
-        by_hand: frozenset[Address] = frozenset(),
+        ejected_by_operators: frozenset[Address] = frozenset(),
     ) -> None:
-        """All that sound and unsound givers tell at present; the weights are theirs (priors.py)."""
-        self.by_hand = by_hand
+        """Apply the present reports of all other nodes, weighted as in priors.py, and the operators'
+        ejections."""
+        self.ejected_by_operators = ejected_by_operators
         if pools is not self.pools:
             self.pools = pools
-            self.listed = {"{}:{}".format(*one): one for places in pools.values() for one in places}
-        by_server: dict[str, list[tuple[Advice, Word]]] = {}
-        for advice, word in told:
-            by_server.setdefault(word.server, []).append((advice, word))
-        for name, words in by_server.items():
+            self.listed = {"{}:{}".format(*server): server for pool in pools.values() for server in pool}
+        reports_by_server: dict[str, list[tuple[Advice, Word]]] = {}
+        for advice, word in reports:
+            reports_by_server.setdefault(word.server, []).append((advice, word))
+        for name, words in reports_by_server.items():
             address = self.listed.get(name)
-            if address is not None and self._of(address).seen < DOUBT:
-                self._advised(now, address, words)
-        self._rank(now)
+            if address is not None and self._server(address).observations < DOUBT:
+                self._apply_ejection_advice(now, address, words)
+        self._update_order(now)
 
-    def _advised(self, now: float, address: Address, words: list[tuple[Advice, Word]]) -> None:
+    def _apply_ejection_advice(self, now: float, address: Address, words: list[tuple[Advice, Word]]) -> None:
         server = self.servers[address]
         server.latency.advise([advice for advice, word in words if word.mean_s > 0])
         weights = {True: 0.0, False: 0.0}
@@ -145,72 +151,80 @@
             weights[word.ejected_s > 0] += advice.weight
         left = max(
             (word.ejected_s for advice, word in words if word.ejected_s > 0 and advice.weight > 0),
-            default=ADVISED_S,
+            default=MAX_ADVISED_S,
         )
-        if weights[True] <= weights[False] or server.goods or server.until:
+        if weights[True] <= weights[False] or server.successes or server.ejected_until:
             return
-        server.until, server.advised = now + min(left, ADVISED_S), True
-        self._turned(now, address, "advice")
+        server.ejected_until, server.advised = now + min(left, MAX_ADVISED_S), True
+        self._record_transition(now, address, "advice")
 
     # --- the order
 
-    def _rank(self, now: float) -> None:
-        wanted = sorted(
-            (one for one, server in self.servers.items() if server.until),
-            key=lambda one: self.servers[one].advised,
+    def _update_order(self, now: float) -> None:
+        ejected = sorted(
+            (candidate for candidate, server in self.servers.items() if server.ejected_until),
+            key=lambda candidate: self.servers[candidate].advised,
         )
-        last: set[Address] = set(self.by_hand)
-        for address in wanted:
-            of = [places for places in self.pools.values() if address in places]
-            if all(len(last & set(places)) < len(places) // 2 for places in of):
+        last: set[Address] = set(self.ejected_by_operators)
+        for address in ejected:
+            pools_of_server = [pool for pool in self.pools.values() if address in pool]
+            if all(len(last & set(pool)) < len(pool) // 2 for pool in pools_of_server):
                 last.add(address)
-        self.last = frozenset(last)
+        self.tried_last = frozenset(last)
 
     def cost(self, now: float, address: Address, load: int) -> float:
-        """Who has the least is asked first; ``load``: requests of this node that are open there."""
+        """Return the cost of sending a request to a server; the cheapest is tried first. ``load``: number of
+        this node's open requests there."""
         server = self.servers.get(address)
-        if address in self.by_hand:
-            return LAST + load
-        if server is not None and address in self.last:
+        if address in self.ejected_by_operators:
+            return LAST_COST + load
+        if server is not None and address in self.tried_last:
             trying = server.state(now) is State.TRYING and not load
-            return -1.0 if trying else LAST + load
-        unknown = server is None or (server.seen < DOUBT and not server.latency.weight)
-        if not load and (unknown or (server is not None and server.seen and now - server.at_s > LOOK_S)):
-            return -1.0 + (0.1 * server.seen if server is not None and unknown else 0.0)  # each in turn
+            return -1.0 if trying else LAST_COST + load
+        unknown = server is None or (server.observations < DOUBT and not server.latency.weight)
+        if not load and (
+            unknown
+            or (server is not None and server.observations and now - server.observed_s > PROBE_AFTER_S)
+        ):
+            # An idle server that is unknown or long unobserved goes first; unknown ones are tried in turn.
+            return -1.0 + (0.1 * server.observations if server is not None and unknown else 0.0)
         return (load + 1) * self._latency(server)
 
     def _latency(self, server: Server | None) -> float:
-        """One that nobody knows is taken for as quick as the quickest, so it is soon known."""
+        """Return the expected time of a request. An unknown server counts as fast as the fastest known one,
+        so that it is soon tried."""
         if server is not None and (server.latency.samples or server.latency.weight):
             if not server.latency.weight and server.latency.samples < DOUBT:
-                server.latency.cautious = self._least() or server.latency.mean
+                server.latency.cautious = self._lowest_latency() or server.latency.mean
             return server.latency.value
-        return self._least() or 1.0
+        return self._lowest_latency() or 1.0
 
-    def _least(self) -> float:
+    def _lowest_latency(self) -> float:
         return min(
             (
-                one.latency.mean if one.latency.samples >= DOUBT else one.latency.prior
-                for one in self.servers.values()
-                if one.latency.samples >= DOUBT or one.latency.weight
+                server.latency.mean if server.latency.samples >= DOUBT else server.latency.prior
+                for server in self.servers.values()
+                if server.latency.samples >= DOUBT or server.latency.weight
             ),
             default=0.0,
         )
 
-    # --- what others are told
+    # --- reports to other nodes
 
     def words(self, now: float) -> list[Word]:
-        """Own observations alone: advice is not passed on."""
+        """Return the reports on all observed servers. Only own observations count: advice is not passed
+        on."""
         return [
             Word(
                 "{}:{}".format(*address),
                 round(server.latency.mean, 6),
-                server.seen,
-                round(max(0.0, now - server.at_s), 3),
+                server.observations,
+                round(max(0.0, now - server.observed_s), 3),
                 0.0
                 if server.advised
-                else round(max(0.0, server.until - now), 3) or (FIRST_S if server.until else 0.0),
+                else round(max(0.0, server.ejected_until - now), 3)
+                or (FIRST_S if server.ejected_until else 0.0),
             )
             for address, server in self.servers.items()
-            if server.seen
-        ][:MOST_SERVERS]
+            if server.observations
+        ][:MAX_SERVERS]
--- a/beechrock/replica/leases.py
+++ b/beechrock/replica/leases.py
@@ -1,14 +1,15 @@
-"""The machine ``budgets`` of the agreed log: who may spend what part of which pot. Deterministic, pure.
-
-A pot is a team's budget of one period (``budget``), or a rate that a dependency survives (``rate``). A lease
-is one life's part of one pot. Commands: ASK (renews, and grants by need), BACK (the n-th give-back of a
-lease), CLOSE (the leader: this lease was not renewed). An index of the log names a lease.
-
-States of a lease: OPEN, CLOSED (of a budget: its amount stays counted until its own life gives back what it
-has not spent; of a rate: it is free again).
-Invariants: in a pot, open amounts and what is counted of closed ones never grow beyond the whole; a give-back
-happens once, in the order of its number, and never exceeds its lease; a lease that was renewed is not
-closed by a word from before; a pot that was dropped is never opened again.
+"""The machine ``budgets`` of the agreed log: which node may spend how much of which pot. Pure.
+
+A pot is a team's budget for one period (``budget``), or the rate that a dependency survives (``rate``). A
+lease is the part of a pot that one life of a node holds. Commands: ASK (renews leases, and grants more by
+need), BACK (the n-th give-back of a lease), CLOSE (by the leader, of a lease that was not renewed). A lease's
+number comes from the log index of its first ASK and its position there. All commands are deterministic.
+
+States of a lease: OPEN, CLOSED (a budget's amount stays counted until the same life gives back the unspent
+rest; a rate's amount is free again at once).
+Invariants: in a pot, the amounts of open leases and the counted amounts of closed ones never grow beyond the
+whole; a give-back is applied once, in the order of its number, and never exceeds its lease; a close that was
+decided before a renewal doesn't close the renewed lease; a pot that was dropped is never opened again.
 """
 
 from dataclasses import dataclass, field
@@ -21,40 +22,46 @@
 
 MACHINE = "budgets"
 FORMAT = 1
-MOST_POTS, KEEP_PERIODS = 16_384, 4
-MOST_LEASES = 256  # of a pot, closed ones too
-MOST_ITEMS = 256  # of an ASK
-MOST_NAME = 256
-START_BITS = 20
-SLICE, LEAST = 0.5, 1 / 32  # at most this part of what is free; all of it under so much of the whole
+MAX_POTS, KEEP_PERIODS = 16_384, 4  # Maximum number of pots, and of periods of one team.
+MAX_LEASES = 256  # Maximum number of leases in a pot, closed ones included.
+MAX_ITEMS = 256  # Maximum number of items in an ASK.
+MAX_NAME = 256  # Maximum length of a name.
+START_BITS = 20  # Number of random bits below the life number in a holder's life.
+# Largest share of the free amount that one request is granted. If no more than SMALL_SHARE of the whole pot
+# is free, a request may get all of it.
+GRANT_SHARE, SMALL_SHARE = 0.5, 1 / 32
 
 
 class Result(Enum):
     DONE = "done"
     BAD = "bad"
     FULL = "full"
-    GONE = "gone"  # no such lease, or pot; nothing has changed
-    LATE = "late"  # renewed since
+    GONE = "gone"  # There is no such lease or pot; nothing has changed.
+    LATE = "late"  # The lease was renewed after the close was decided.
 
 
 @dataclass(slots=True)
 class Lease:
+    """The part of a pot that one life of a node holds."""
+
     id: int
-    holder: str
-    life: int
-    amount: float
-    turn: int = 1
-    backs: int = 0
+    holder: str  # Name of the node.
+    life: int  # Life of the node, with random bits (``holder_life``).
+    amount: float  # Amount granted, less what was given back.
+    turn: int = 1  # Version: counts renewals and give-backs.
+    backs: int = 0  # Number of give-backs applied.
     open: bool = True
 
 
 @dataclass(slots=True)
 class Pot:
+    """An amount that nodes share by leases."""
+
     kind: str  # budget or rate
-    name: str  # of the team or dependency
-    period: int  # 0 for a rate
-    whole: float
-    number: int  # of the inventory that told the whole
+    name: str  # Name of the team or dependency.
+    period: int  # Number of the period, from 1; 0 for a rate.
+    whole: float  # Amount of the whole pot.
+    generation: int  # Generation of the inventory that defines the amount.
     leases: dict[int, Lease] = field(default_factory=dict)
 
     @property
@@ -66,12 +73,12 @@
         return max(0.0, self.whole - self.granted)
 
 
-PotKey = tuple[str, str, int]
+PotKey = tuple[str, str, int]  # Kind, name and period of a pot.
 
 
 @dataclass(frozen=True, slots=True)
 class Granted:
-    """A lease as it stands after an item of an ASK, or a BACK."""
+    """The state of a lease after an item of an ASK, or after a BACK."""
 
     pot: PotKey
     id: int
@@ -82,58 +89,67 @@
 
 @dataclass(slots=True)
 class Budgets:
+    """The machine: all pots and their leases."""
+
     pots: dict[PotKey, Pot] = field(default_factory=dict)
-    without: frozenset[str] = frozenset()  # guards taken out, by the laboratory alone
+    without: frozenset[str] = frozenset()  # Names of guards to disable; for simulations and tests only.
 
-    # --- the log
+    # --- commands of the log
 
     def apply(self, index: int, command: bytes) -> Any:
-        """What is granted by an ASK or left by a BACK, as a list of Granted; or a Result."""
+        """Apply a command of the log. Return a list of Granted with the leases after an ASK or a BACK, or a
+        Result."""
         try:
-            version, what, *told = msgpack.unpackb(command)
+            version, verb, *fields = msgpack.unpackb(command)
             if version != FORMAT:
                 return Result.BAD
-            before = {key: pot.granted for key, pot in self.pots.items()} if what != "ask" else {}
-            match what, told:
+            before = {key: pot.granted for key, pot in self.pots.items()} if verb != "ask" else {}
+            match verb, fields:
                 case "ask", [str(holder), int(life), list(items)]:
-                    return self._ask(index, holder, life, items[:MOST_ITEMS])
+                    return self._ask(index, holder, life, items[:MAX_ITEMS])
                 case "back", [str(holder), int(life), int(ident), int(n), float(amount), list(pot)]:
-                    result = self._back(holder, life, _key(pot), ident, n, amount)
+                    result = self._back(holder, life, _pot_key(pot), ident, n, amount)
                 case "close", [int(ident), int(turn), list(pot)]:
-                    result = self._close(_key(pot), ident, turn)
+                    result = self._close(_pot_key(pot), ident, turn)
                 case _:
                     return Result.BAD
         except (ValueError, TypeError, msgpack.UnpackException):
             return Result.BAD
         for key, granted in before.items():
             if self.pots[key].granted > granted + 1e-9:
-                raise BrokenInvariantError("a give-back that grants", where=f"pot {key}")
+                raise BrokenInvariantError(
+                    "a give-back or close increased a granted amount", where=f"pot {key}"
+                )
         return result
 
     def _ask(self, index: int, holder: str, life: int, items: list[Any]) -> Any:
-        wanted = [(_key(pot), float(whole), int(number), float(want)) for pot, whole, number, want in items]
+        wanted = [
+            (_pot_key(pot), float(whole), int(generation), float(want))
+            for pot, whole, generation, want in items
+        ]
         return [
             granted
-            for n, one in enumerate(wanted)
-            if (granted := self._one(index * MOST_ITEMS + n, holder, life, *one)) is not None
+            for n, item in enumerate(wanted)
+            if (granted := self._grant(index * MAX_ITEMS + n, holder, life, *item)) is not None
         ]
 
-    def _one(
-        self, ident: int, holder: str, life: int, key: PotKey, whole: float, number: int, want: float
+    def _grant(
+        self, ident: int, holder: str, life: int, key: PotKey, whole: float, generation: int, want: float
     ) -> Granted | None:
-        pot = self._pot(key, whole, number)
-        if pot is None or not want >= 0 or len(holder) > MOST_NAME:
+        pot = self._open_pot(key, whole, generation)
+        if pot is None or not want >= 0 or len(holder) > MAX_NAME:
+            return None
+        held = [other for other in pot.leases.values() if other.holder == holder and other.open]
+        if any(other.life > life for other in held):
+            # Two nodes have one name, or this is a late command of an earlier life. The newer life holds it.
             return None
-        mine = [one for one in pot.leases.values() if one.holder == holder and one.open]
-        if any(one.life > life for one in mine):
-            return None  # two nodes of one name, or a word from before: the newer life has it
-        lease = next((one for one in mine if one.life == life), None)
-        room = pot.free if pot.free <= LEAST * pot.whole else SLICE * pot.free
+        lease = next((other for other in held if other.life == life), None)
+        room = pot.free if pot.free <= SMALL_SHARE * pot.whole else GRANT_SHARE * pot.free
         if "whole" in self.without:
             room = want
         grant = min(want, room)
         if lease is None:
-            if len(pot.leases) >= MOST_LEASES:
+            if len(pot.leases) >= MAX_LEASES:
                 return None
             lease = pot.leases[ident] = Lease(ident, holder, life, 0.0, 0)
         granted = pot.granted
@@ -143,28 +159,29 @@
             raise BrokenInvariantError(f"{pot.granted:g} granted of {pot.whole:g}", where=f"pot {key}")
         return Granted(key, lease.id, lease.amount, lease.turn, lease.backs)
 
-    def _pot(self, key: PotKey, whole: float, number: int) -> Pot | None:
+    def _open_pot(self, key: PotKey, whole: float, generation: int) -> Pot | None:
         kind, name, period = key
         pot = self.pots.get(key)
         if pot is None:
             if (
                 kind not in ("budget", "rate")
-                or not 0 < len(name.encode()) <= MOST_NAME
+                or not 0 < len(name.encode()) <= MAX_NAME
                 or not whole > 0
                 or (kind == "rate") != (period == 0)
-                or len(self.pots) >= MOST_POTS
+                or len(self.pots) >= MAX_POTS
             ):
                 return None
-            pot = self.pots[key] = Pot(kind, name, period, whole, number)
-            self._drop(name)
+            pot = self.pots[key] = Pot(kind, name, period, whole, generation)
+            self._drop_old_periods(name)
             return self.pots.get(key)
-        if number > pot.number or (number == pot.number and 0 < whole < pot.whole):
-            pot.number, pot.whole = number, whole  # of two words under one number the lesser counts
+        if generation > pot.generation or (generation == pot.generation and 0 < whole < pot.whole):
+            # Of two amounts from the same generation, the smaller counts.
+            pot.generation, pot.whole = generation, whole
         return pot
 
-    def _drop(self, name: str) -> None:
-        """The oldest periods of a team, so also one that is older than all and was forgotten: what it granted
-        is not known any more."""
+    def _drop_old_periods(self, name: str) -> None:
+        """Drop the oldest periods of a team. That includes a period that was just opened if it is older than
+        all others: it may have been dropped before, and what it had granted is not known any more."""
         periods = sorted(key for key in self.pots if key[0] == "budget" and key[1] == name)
         for key in periods[:-KEEP_PERIODS]:
             del self.pots[key]
@@ -175,13 +192,13 @@
         if lease is None or (lease.holder, lease.life) != (holder, life):
             return Result.GONE
         if n <= lease.backs and "once" not in self.without:
-            return [Granted(key, ident, lease.amount, lease.turn, lease.backs)]  # it was done before
+            return [Granted(key, ident, lease.amount, lease.turn, lease.backs)]  # It was applied before.
         if n > lease.backs + 1:
             return Result.BAD
         if not 0 <= amount <= lease.amount + 1e-9:
             return Result.BAD
         lease.backs += 1
-        lease.turn += 1  # an answer from before, which tells the larger amount, is then known as older
+        lease.turn += 1  # So the holder ignores a late answer from before, which has the larger amount.
         lease.amount = max(0.0, lease.amount - amount)
         return [Granted(key, ident, lease.amount, lease.turn, lease.backs)]
 
@@ -197,7 +214,7 @@
             del pot.leases[ident]
         return Result.DONE
 
-    # --- read
+    # --- reading and snapshots
 
     def open_leases(self) -> list[tuple[PotKey, Lease]]:
         return [(key, lease) for key, pot in self.pots.items() for lease in pot.leases.values() if lease.open]
@@ -207,10 +224,18 @@
             (
                 *key,
                 pot.whole,
-                pot.number,
+                pot.generation,
                 [
-                    (one.id, one.holder, one.life, one.amount, one.turn, one.backs, one.open)
-                    for one in pot.leases.values()
+                    (
+                        lease.id,
+                        lease.holder,
+                        lease.life,
+                        lease.amount,
+                        lease.turn,
+                        lease.backs,
+                        lease.open,
+                    )
+                    for lease in pot.leases.values()
                 ],
             )
             for key, pot in self.pots.items()
@@ -219,7 +244,7 @@
         return data
 
     def restore(self, data: bytes) -> None:
-        """ReplicaRecordError for what is no snapshot of this format."""
+        """Load a snapshot. Raises ReplicaRecordError if it is not one of this format."""
         try:
             version, pots = msgpack.unpackb(data)
         except (ValueError, TypeError, msgpack.UnpackException):
@@ -232,54 +257,58 @@
                 do="run the version that wrote it, or a later one",
             )
         self.pots = {}
-        for kind, name, period, whole, number, held in pots:
-            leases = {one[0]: Lease(*one) for one in held}
-            self.pots[kind, name, period] = Pot(kind, name, period, whole, number, leases)
+        for kind, name, period, whole, generation, held in pots:
+            leases = {row[0]: Lease(*row) for row in held}
+            self.pots[kind, name, period] = Pot(kind, name, period, whole, generation, leases)
 
 
-def _key(told: Any) -> PotKey:
-    kind, name, period = told
+def _pot_key(fields: Any) -> PotKey:
+    kind, name, period = fields
     return str(kind), str(name), int(period)
 
 
-def start(life: int, drawn: int) -> int:
-    """The life of a holder: above those of earlier lives, and another's only by one chance in a million.
-    Two processes of one name may have one life number (copies of one folder, a clock that was ahead), and
-    would be granted one lease, which both spend."""
+def holder_life(life: int, drawn: int) -> int:
+    """Return a holder's life: its life number above random bits, so it is greater than those of earlier
+    lives and equals that of another process only by a chance of one in a million. Two processes of one name
+    may have the same life number (copies of one folder, a clock that was ahead); without the bits both would
+    spend one lease."""
     return (life << START_BITS) | (drawn & ((1 << START_BITS) - 1))
 
 
 def too_far(budgets: Budgets, wanted: set[PotKey], name: str) -> set[PotKey]:
-    """Of these, pots that nobody opened yet, more than a period past where most holders of their team stand.
+    """Return those of the wanted pots that are not open yet and lie more than one period after the periods
+    of most other holders of the same team.
 
-    Four of them would push out the pots of now. Who asks goes by it, and not the machine: a fleet that stood
-    still for many periods goes on once the leader has closed the leases of before, as it does in any case.
+    Opening four such pots would drop the present ones (KEEP_PERIODS). The requesting node applies this rule,
+    not the machine. A fleet that was stopped for many periods can continue as soon as the leader has closed
+    the old leases, as they no longer count here.
     """
     new = {pot for pot in wanted if pot[0] == "budget" and pot not in budgets.pots}
-    stand: dict[str, dict[str, int]] = {pot[1]: {} for pot in new}
+    positions: dict[str, dict[str, int]] = {pot[1]: {} for pot in new}
     for (kind, team, period), pot in budgets.pots.items():
-        if kind == "budget" and team in stand:
+        if kind == "budget" and team in positions:
             for lease in pot.leases.values():
                 if lease.open and lease.holder != name:
-                    stand[team][lease.holder] = max(period, stand[team].get(lease.holder, 0))
+                    positions[team][lease.holder] = max(period, positions[team].get(lease.holder, 0))
     return {
         pot
         for pot in new
-        if 2 * sum(at < pot[2] - 1 for at in stand[pot[1]].values()) > len(stand[pot[1]]) + 1
+        if 2 * sum(at < pot[2] - 1 for at in positions[pot[1]].values()) > len(positions[pot[1]]) + 1
     }
 
 
 # --- commands
 
 
-def _command(*told: Any) -> bytes:
-    data: bytes = msgpack.packb((FORMAT, *told))
+def _command(*fields: Any) -> bytes:
+    data: bytes = msgpack.packb((FORMAT, *fields))
     return data
 
 
 def ask(holder: str, life: int, items: list[tuple[PotKey, float, int, float]]) -> bytes:
-    """Each: pot, its whole, the inventory's number, what is wanted on top (0: renew alone)."""
-    return _command("ask", holder, life, [list(one) for one in items])
+    """Encode an ASK. Each item: pot, its whole amount, the inventory's generation, the additional amount
+    wanted (0 to only renew)."""
+    return _command("ask", holder, life, [list(item) for item in items])
 
 
 def back(holder: str, life: int, pot: PotKey, ident: int, n: int, amount: float) -> bytes:
@@ -292,18 +321,20 @@
 
 @dataclass(slots=True)
 class Closing:
-    """The leader's side, volatile: which leases to close. A reign begins with a whole wait for each."""
+    """The leader's choice of leases to close. Not replicated: a new leader waits a whole lease first."""
 
-    lease_s: float
-    seen: dict[int, tuple[int, float]] = field(default_factory=dict)  # lease: turn, since when it stands
+    lease_s: float  # Seconds without a renewal after which a lease is closed.
+    # By lease: its turn, and when it was first seen.
+    turns_seen: dict[int, tuple[int, float]] = field(default_factory=dict)
 
     def due(self, now: float, budgets: Budgets) -> list[tuple[PotKey, int, int]]:
-        """Pot, lease, turn. Counted from when this leader saw the turn, which is after its holder asked."""
-        found, standing = [], dict[int, tuple[int, float]]()
+        """Return the leases to close, each with pot, lease and turn. The time counts from when this leader
+        first saw the turn, which is after the holder sent its request."""
+        found, turns = [], dict[int, tuple[int, float]]()
         for key, lease in budgets.open_leases():
-            turn, since_s = self.seen.get(lease.id, (0, now))
-            standing[lease.id] = (turn, since_s) if turn == lease.turn else (lease.turn, now)
-            if now - standing[lease.id][1] > self.lease_s:
+            turn, since_s = self.turns_seen.get(lease.id, (0, now))
+            turns[lease.id] = (turn, since_s) if turn == lease.turn else (lease.turn, now)
+            if now - turns[lease.id][1] > self.lease_s:
                 found.append((key, lease.id, lease.turn))
-        self.seen = standing
+        self.turns_seen = turns
         return found
