--- a/beechrock/lowering/__init__.py
+++ b/beechrock/lowering/__init__.py
@@ -1,6 +1,6 @@
-"""Routing policy lowered to what each hardware class can run: what becomes of each rule, where, and how
-exactly.
+"""Compiles a routing policy into one table per hardware class and reports how exactly each rule is kept.
 
-Owns the policy's model, the passes, the packed tables and the rollout of a plan. All but ``part`` is pure;
-may import ``inventory``, ``agree``, ``duties`` and ``talk``, and no edge.
+Owns the policy model, the compiler passes, the packed tables and the rollout of a plan. Only ``apart``,
+``measure``, ``part``, ``plans`` and ``sending`` do I/O. May import ``inventory``, ``agree``, ``duties`` and
+``talk``, and no edge.
 """
--- a/beechrock/lowering/abilities.py
+++ b/beechrock/lowering/abilities.py
@@ -1,8 +1,9 @@
-"""What a program has to know to run a table, and what this one knows. Pure, but for the laboratory's word.
+"""Table features that a program must support to run a table, and those that this program supports.
 
-A plan says for each class what its table needs, so that a node of an earlier program carries each table that
-asks for nothing new, and says of any other what it lacks. ``BEECHROCK_LAB_LACKS`` (a list with commas) lets
-this program act as one that lacks some; no operator sets it.
+A plan lists for each class the features that its table needs. A node with an older program therefore runs
+every table without new features, and names the missing ones of any other table. The environment variable
+``BEECHROCK_LAB_LACKS`` (comma-separated) makes this program act as if it lacked some features; only the
+laboratory's tests set it, no operator does. Pure except for reading that variable.
 """
 
 import os
@@ -12,16 +13,16 @@
 
 LAB = "BEECHROCK_LAB_LACKS"
 ALL = ("affinity", "coarse", "hedges", "limits", "mirrors", "priority", "retries", "states", "tiers")
-USUAL_LEVEL = 3  # of priority, as a rule that tells none has it
+USUAL_LEVEL = 3  # Priority level of a rule that sets no priority
 LACKS = frozenset(filter(None, os.environ.get(LAB, "").split(","))) & frozenset(ALL)
 HAS = tuple(ability for ability in ALL if ability not in LACKS)
 
 
 def needs_of(table: Table) -> tuple[str, ...]:
-    """Of all that it may come to, in any state."""
+    """Return the features that the table needs, over all actions in every loss state, sorted by name."""
     found = set()
     for action in table.actions:
-        told = {
+        uses = {
             "affinity": action.affinity != Affinity.NONE,
             "hedges": action.hedge_ms is not None,
             "limits": action.rate_per_s is not None or action.at_once is not None,
@@ -30,7 +31,7 @@
             "retries": action.retries > 0,
             "tiers": len(action.tiers) > 1,
         }
-        found |= {ability for ability, wanted in told.items() if wanted}
+        found |= {ability for ability, used in uses.items() if used}
     if table.coarse:
         found.add("coarse")
     if any(table.states.values()):
--- a/beechrock/lowering/acts.py
+++ b/beechrock/lowering/acts.py
@@ -1,19 +1,20 @@
-"""What a rule's limits, retries, hedge and mirrors come to for one request after the other. Pure.
+"""Enforces a rule's limits, retries, hedge and mirrors for each request. Pure.
 
-``Acts`` is a node's: by rule and team a bucket of tokens, the sends that are open, and a budget for what is
-sent more than once. ``Tries`` is one request's.
+``Acts`` holds a node's state: for each rule and team a token bucket, the number of open sends, and a budget
+for retries and hedges. ``Tries`` holds the state of one request.
 
-A server that is out by permit gets nothing that is begun or sent again while it is; what is open there goes
-on to its end.
+A server that is excluded by permit gets no new request, retry, hedge or mirror copy while it is excluded;
+sends that are already open there run to their end.
 
-States of a request: NEW, OUT (one send is open), TWICE (a hedge too), OVER. Events: begin, unreached (no
-connection, so it never ran), ended (with a reply or without), timer. What comes of them: ``Send``, ``Copy``
-(to a mirror; nobody waits for it), ``Wait`` (then ``timer``), and at last one of ``Done``, ``TurnAway``,
-``Nowhere``.
+States of a request: NEW, OUT (one send is open), TWICE (a hedge is open too), OVER. Events: begin, unreached
+(no connection was made, so the request never ran), ended (with or without a reply), timer. Resulting
+actions: ``Send``, ``Copy`` (to a mirror, whose answer nobody awaits), ``Wait`` (followed by ``timer``), and
+finally exactly one of ``Done``, ``TurnAway``, ``Nowhere``.
 
-Invariants (looked at after each event): what may not run twice is sent on only after sends that were not
-connected; a rule's open sends are not over its limit; in any stretch of w seconds it is sent not more than
-rate * w + burst; a request has one end, and holds nothing after it; nothing is sent to a server that is out.
+Invariants (checked after each event): a request that must not run twice is sent again only after a send that
+made no connection; the open sends of a rule do not exceed its limit; in any window of w seconds a rule gets
+at most rate * w + burst sends; a request ends once and holds nothing afterwards; nothing is sent to an
+excluded server.
 """
 
 from collections.abc import Hashable, Sequence
@@ -24,34 +25,39 @@
 from beechrock.lowering.tables import Action
 
 Address = tuple[str, int]
-BURST_S = 0.2  # of its rate a rule may send at once, at least one
-BUDGET_PART, BUDGET_MOST = 0.1, 10.0  # a first send earns this part of a further one, up to so many
-OUT_S = 1.0  # a request whose servers are out comes again after this: nobody knows when they are back
-OPEN_S = 0.25  # a request over the limit of open sends comes again after this: their ends are not known
-MOST_COUNTED = 20_000  # rules and teams with limits or budgets; idle ones go, else new ones are turned away
-MOST_COPIES = 32  # of mirrors that are open at a node; more are left out
-SLACK = 1e-9  # tokens: of sums of parts
+BURST_S = 0.2  # Seconds of a rule's rate that may be sent as one burst; always at least one send
+# Each request adds BUDGET_PER_REQUEST of one extra send (a retry or hedge) to the budget, up to MAX_BUDGET.
+BUDGET_PER_REQUEST, MAX_BUDGET = 0.1, 10.0
+# Retry delay in seconds when all servers are excluded by permit; the time of their return is unknown.
+OUT_S = 1.0
+# Retry delay in seconds at the limit of open sends; it is unknown when one of them will end.
+OPEN_S = 0.25
+# Maximum number of counters, one per rule and team. Idle ones are evicted; if none is idle, a request that
+# needs a new counter is rejected.
+MAX_COUNTS = 20_000
+MAX_COPIES = 32  # Maximum number of open mirror copies per node; further copies are skipped
+SLACK = 1e-9  # Tolerance in tokens for the rounding error of summed fractions
 
 
 @dataclass(slots=True)
 class Count:
-    """Of one rule and team."""
+    """Token bucket, open sends, retry budget and mirror counter of one rule and team."""
 
     tokens: float
-    at: float  # when they were counted
-    open: int = 0  # sends under its limits
-    budget: float = 1.0
-    copied: int = 0  # requests that mirrors were drawn for
+    at: float  # Time of the last refill of ``tokens``, in monotonic seconds
+    open: int = 0  # Number of open sends that count against the limits
+    budget: float = 1.0  # Number of retries and hedges that may be sent
+    copied: int = 0  # Number of requests considered for mirroring
     rate_per_s: float | None = None
 
     def grow(self, now: float, limits: "Limits") -> None:
         self.rate_per_s = limits.rate_per_s
         if limits.rate_per_s is not None:
-            more = max(0.0, now - self.at) * limits.rate_per_s
-            self.tokens, self.at = min(limits.burst, self.tokens + more), max(now, self.at)
+            earned = max(0.0, now - self.at) * limits.rate_per_s
+            self.tokens, self.at = min(limits.burst, self.tokens + earned), max(now, self.at)
 
     def idle(self, now: float) -> bool:
-        """Begun anew it would let no more through than it does now."""
+        """Return whether a new counter in its place would admit no more sends than this one does now."""
         return not self.open and (
             self.rate_per_s is None or self.tokens + (now - self.at) * self.rate_per_s >= 1.0
         )
@@ -59,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """``rate_per_s`` and ``at_once`` of a rule, at this node and of one team."""
+    """Rate limit and limit of concurrent sends of a rule, for one team at this node."""
 
     rate_per_s: float | None = None
     at_once: int | None = None
@@ -70,33 +76,33 @@
 
 
 class Acts:
-    """A node's counts; one owner, the router."""
+    """Counters of all rules at a node; owned by the router."""
 
     def __init__(self) -> None:
         self.counts: dict[Hashable, Count] = {}
         self.copies = 0
-        self.out: frozenset[Address] = frozenset()  # servers below that are out by permit
+        self.out: frozenset[Address] = frozenset()  # Servers that are excluded by permit
 
     def count(self, now: float, key: Hashable) -> Count | None:
-        """None: all places are taken by what is under way."""
+        """Return the counter for ``key``; None if the table is full and no counter is idle."""
         found = self.counts.get(key)
         if found is None:
-            if len(self.counts) >= MOST_COUNTED:
+            if len(self.counts) >= MAX_COUNTS:
                 self.counts = {k: c for k, c in self.counts.items() if not c.idle(now)}
-                if len(self.counts) >= MOST_COUNTED:
+                if len(self.counts) >= MAX_COUNTS:
                     return None
             found = self.counts[key] = Count(1.0, now)
         return found
 
     def admit(self, now: float, key: Hashable, limits: Limits) -> float:
-        """0: one more send is open; else the seconds after which one may be asked for again."""
+        """Count one more open send and return 0, or return the seconds until the next attempt."""
         count = self.count(now, key)
         if count is None or (limits.at_once is not None and count.open >= limits.at_once):
             return OPEN_S
         count.grow(now, limits)
         if limits.rate_per_s is not None:
             if limits.rate_per_s <= 0:
-                return OPEN_S  # told as 0: nothing goes
+                return OPEN_S  # A configured rate of 0 admits no send
             if count.tokens < 1.0 - SLACK:
                 return max(0.001, (1.0 - count.tokens) / limits.rate_per_s)
             count.tokens -= 1.0
@@ -110,13 +116,13 @@
             raise BrokenInvariantError("a send ended twice", where="lowering", do="send the log")
 
     def earn(self, now: float, key: Hashable) -> None:
-        """A request began; a part of a further send is its rule's."""
+        """Add a new request's share to the retry budget of its rule."""
         count = self.count(now, key)
         if count is not None:
-            count.budget = min(BUDGET_MOST, count.budget + BUDGET_PART)
+            count.budget = min(MAX_BUDGET, count.budget + BUDGET_PER_REQUEST)
 
     def spend(self, key: Hashable) -> bool:
-        """Whether its rule may send one more that it need not."""
+        """Take one retry or hedge from the rule's budget; return whether there was one."""
         count = self.counts.get(key)
         if count is None or count.budget < 1.0 - SLACK:
             return False
@@ -127,13 +133,18 @@
         self.counts[key].budget += 1.0
 
     def copied(self, key: Hashable, mirrors: Sequence[tuple[int, int]]) -> list[int]:
-        """Which mirrors get a copy of this request: of each hundred in a row as many as its percent says."""
+        """Return the indices of the mirrors that get a copy of this request.
+
+        Of each 100 consecutive requests a mirror gets as many as its percentage.
+        """
         count = self.counts.get(key)
         if count is None:
             return []
         at, count.copied = count.copied, count.copied + 1
-        drawn = [n for n, (_, share) in enumerate(mirrors) if (at + 1) * share // 100 > at * share // 100]
-        drawn = drawn[: max(0, MOST_COPIES - self.copies)]
+        drawn = [
+            index for index, (_, share) in enumerate(mirrors) if (at + 1) * share // 100 > at * share // 100
+        ]
+        drawn = drawn[: max(0, MAX_COPIES - self.copies)]
         self.copies += len(drawn)
         return drawn
 
@@ -163,14 +174,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Done:
-    """The request's answer is what this send came to; what else is open is dropped."""
+    """End the request with the result of this send; all other open sends are cancelled."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class TurnAway:
-    """It never ran; it may come again after this."""
+    """Reject the request, which never ran; the caller may retry it after ``after_s`` seconds."""
 
     after_s: float
     why: str
@@ -178,7 +189,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Nowhere:
-    """No server was reached: it never ran."""
+    """Give up because no server could be reached; the request never ran."""
 
 
 Act = Send | Copy | Wait | Done | TurnAway | Nowhere
@@ -186,28 +197,32 @@
 
 @dataclass(frozen=True, slots=True)
 class Asked:
-    """What a way says of one request. ``own``: so many addresses are under the rule's limits, the others are
-    its fall-backs'. ``again``: it may run twice. ``mirrors``: by mirror of the action where copies go."""
+    """Routing decision for one request.
+
+    The first ``own`` addresses count against the rule's limits; the others belong to its fall-backs.
+    ``repeatable`` says whether the request may run twice. ``mirrors`` holds the address of each mirror of the
+    action, or None if no server of that mirror is available.
+    """
 
     key: Hashable
     action: Action
     addresses: tuple[Address, ...]
     own: int
-    again: bool
+    repeatable: bool
     mirrors: tuple[Address | None, ...] = ()
 
 
 class Tries:
-    """One request's sends."""
+    """All sends of one request."""
 
     def __init__(self, acts: Acts, asked: Asked) -> None:
         self.acts, self.asked = acts, asked
         self.limits = Limits(asked.action.rate_per_s, asked.action.at_once)
         self.state = State.NEW
         self.left = self._in(asked.addresses)
-        self.open: dict[int, bool] = {}  # sends under way, and whether they are counted
-        self.sent = self.ran = self.retried = 0  # ``ran``: sends that may have run
-        self.last = 0  # the send that ended last
+        self.open: dict[int, bool] = {}  # By number of an open send: whether it counts against the limits
+        self.sent = self.ran = self.retried = 0  # ``ran``: number of sends that may have run
+        self.last = 0  # Number of the send that ended last; 0 if none has
         self.hedged = False
 
     def begin(self, now: float) -> list[Act]:
@@ -215,7 +230,7 @@
         self.acts.earn(now, asked.key)
         after_s = self.acts.admit(now, asked.key, self.limits)
         if after_s:
-            # Over its limits a request goes to the rule's fall-backs, which these are not about.
+            # Over the rule's limits the request goes to the fall-backs, to which the limits do not apply.
             self.left = self._in(asked.addresses[asked.own :])
             if not self.left:
                 self.state = State.OVER
@@ -227,7 +242,7 @@
             self.state = State.OVER
             return [self._nowhere()]
         found.append(self._send(not after_s))
-        if asked.again:
+        if asked.repeatable:
             if asked.action.hedge_ms is not None:
                 found.append(Wait(asked.action.hedge_ms / 1000))
             for at in self.acts.copied(asked.key, asked.action.mirrors):
@@ -240,7 +255,7 @@
         return found
 
     def unreached(self, now: float, number: int) -> list[Act]:
-        """No connection: it goes to the next one, as the same send."""
+        """Handle a failed connection: try the next server, without counting another send against limits."""
         if number not in self.open:
             return []
         counted = self.open.pop(number)
@@ -255,7 +270,7 @@
         return found
 
     def ended(self, now: float, number: int, good: bool) -> list[Act]:
-        """A reply, or the connection ended without one: then it may have run."""
+        """Handle a reply or a lost connection; in both cases the request may have run."""
         if number not in self.open:
             return []
         self._release(self.open.pop(number))
@@ -264,13 +279,13 @@
         if not good and not self.open:
             found = self._more(now, self.retried < self.asked.action.retries)
             self.retried += bool(found)
-        if good or not self.open:  # what else is open is dropped
+        if good or not self.open:  # ``_end`` drops the other open sends
             found = self._end(Done(number))
         self._check()
         return found
 
     def timer(self, now: float) -> list[Act]:
-        """The hedge's time has come."""
+        """Send the hedge, at most once, if exactly one send is open and limits and budget allow it."""
         self.left = self._in(self.left)
         if self.state is not State.OUT or self.hedged or not self.left:
             return []
@@ -280,16 +295,15 @@
         return found
 
     def close(self) -> None:
-        """Nobody waits for it any more."""
+        """Release all open sends, because nobody waits for the request any more."""
         for counted in self.open.values():
             self._release(counted)
         self.open.clear()
         self.state = State.OVER
 
     def _more(self, now: float, wanted: bool) -> list[Act]:
-        """One send more than it needs: only of what may run twice, under the rule's limits, out of its
-        budget."""
-        if not (wanted and self.asked.again):
+        """Send a retry or hedge if the request may run twice and the rule's limits and budget allow it."""
+        if not (wanted and self.asked.repeatable):
             return []
         self.left = self._in(self.left) or self._in(self.asked.addresses[: self.asked.own])
         if not self.left or not self.acts.spend(self.asked.key):
@@ -306,16 +320,18 @@
         self.state = State.TWICE if len(self.open) > 1 else State.OUT
         address = self.left.pop(0)
         if address in self.acts.out:
-            raise BrokenInvariantError("a send to a server that is out", where="lowering", do="send the log")
+            raise BrokenInvariantError(
+                "a send to a server that is excluded by permit", where="lowering", do="send the log"
+            )
         return Send(self.sent, address)
 
     def _in(self, addresses: Sequence[Address]) -> list[Address]:
-        """Those that are not out now: they may have gone since the request began."""
+        """Return the addresses not excluded now; the exclusions may have changed since the request began."""
         out = self.acts.out
         return [address for address in addresses if address not in out]
 
     def _nowhere(self) -> Act:
-        """It never ran. Where servers of it are out it is no failure of theirs, and it may come again."""
+        """End a request that never ran; it may be retried if some of its servers are excluded by permit."""
         out = self.acts.out.intersection(self.asked.addresses)
         return TurnAway(OUT_S, "no server of its rule is left: some are out by permit") if out else Nowhere()
 
@@ -330,9 +346,13 @@
         return [act]
 
     def _check(self) -> None:
-        if self.ran > 1 and not self.asked.again:
+        if self.ran > 1 and not self.asked.repeatable:
             raise BrokenInvariantError(
-                "what may not run twice is sent twice", where="lowering", do="send the log"
+                "a request that must not run twice was sent twice", where="lowering", do="send the log"
             )
         if (self.state is State.OVER) != (not self.open):
-            raise BrokenInvariantError("a send after the end", where="lowering", do="send the log")
+            raise BrokenInvariantError(
+                "a send is open after the request ended, or none is open before its end",
+                where="lowering",
+                do="send the log",
+            )
--- a/tests/lowering/test_acts.py
+++ b/tests/lowering/test_acts.py
@@ -1,4 +1,4 @@
-"""Limits, retries, hedges and mirrors over random histories: what must hold in any of them."""
+"""Limits, retries, hedges and mirrors: their invariants over random histories, and single cases."""
 
 import asyncio
 import random
@@ -6,8 +6,8 @@
 import pytest
 
 from beechrock.lowering.acts import (
-    BUDGET_MOST,
-    MOST_COPIES,
+    MAX_BUDGET,
+    MAX_COPIES,
     Acts,
     Asked,
     Copy,
@@ -29,15 +29,20 @@
 MIRROR = ("mirror", 1)
 
 
-def asked(again: bool = True, back: bool = False, key: str = "r", **action: object) -> Asked:
-    told = Action(RUN, (((0, 1),),), **action)  # type: ignore[arg-type]
+def asked(repeatable: bool = True, back: bool = False, key: str = "r", **fields: object) -> Asked:
+    action = Action(RUN, (((0, 1),),), **fields)  # type: ignore[arg-type]
     return Asked(
-        key, told if again else told.once(), OWN + BACK * back, len(OWN), again, (MIRROR,) * len(told.mirrors)
+        key,
+        action if repeatable else action.once(),
+        OWN + BACK * back,
+        len(OWN),
+        repeatable,
+        (MIRROR,) * len(action.mirrors),
     )
 
 
 class World:
-    """Requests of some rules at one node, with servers that refuse, fail, answer late or not at all."""
+    """Requests for three rules at one node, with servers that refuse, fail, answer late or never."""
 
     def __init__(self, seed: int) -> None:
         self.draw = random.Random(seed)
@@ -56,28 +61,28 @@
             for at in range(3)
         ]
         self.live: list[tuple[Tries, list[int]]] = []
-        self.limited: dict[str, list[float]] = {}  # by rule: when something went to its own pools
+        self.limited: dict[str, list[float]] = {}  # By rule: times of sends to its own pools
         self.copies: dict[str, int] = {}
         self.begun: dict[str, int] = {}
         self.ends = self.wholly = 0
 
     def take(self, tries: Tries, out: list[int], acts: list[object], same: bool = False) -> None:
-        """``same``: a send that was not connected goes on to the next server."""
+        """Check the actions and note them; ``same``: a send without a connection moved to the next server."""
         key = str(tries.asked.key)
         for act in acts:
             match act:
                 case Send(number, address):
                     out.append(number)
-                    assert address not in self.acts.out, "nothing new goes to one that is out"
+                    assert address not in self.acts.out, "an excluded server gets no send"
                     if same or (address in OWN and tries.open[number]):
                         same or self.limited.setdefault(key, []).append(self.now)
                     else:
-                        assert address in BACK, "beyond the limits only fall-backs are asked"
+                        assert address in BACK, "over the limits only fall-backs get a send"
                 case Copy(address):
-                    assert tries.asked.again and address == MIRROR
+                    assert tries.asked.repeatable and address == MIRROR
                     self.copies[key] = self.copies.get(key, 0) + 1
                 case Wait():
-                    assert tries.asked.again
+                    assert tries.asked.repeatable
                 case _:
                     assert isinstance(act, Done | TurnAway | Nowhere)
                     assert tries.state is State.OVER and not tries.open
@@ -89,11 +94,11 @@
             self.acts.out = frozenset(self.draw.sample((*OWN, *BACK), self.draw.choice((0, 0, 1, 2, 4))))
         if not self.live or self.draw.random() < 0.3:
             rule = self.draw.choice(self.rules)
-            one = Tries(self.acts, rule), list[int]()
+            begun = Tries(self.acts, rule), list[int]()
             self.begun[str(rule.key)] = self.begun.get(str(rule.key), 0) + 1
             self.wholly += 1
-            self.take(*one, one[0].begin(self.now))  # type: ignore[arg-type]
-            self.live.append(one)
+            self.take(*begun, begun[0].begin(self.now))  # type: ignore[arg-type]
+            self.live.append(begun)
         tries, out = self.draw.choice(self.live)
         number = self.draw.choice(out) if out else 1
         event = self.draw.randrange(5)
@@ -109,20 +114,20 @@
             case _:
                 found = []
                 if self.draw.random() < 0.1 and tries.state is not State.OVER:
-                    tries.close()  # its time is over, or its caller is gone
+                    tries.close()  # Its deadline passed, or its caller disconnected
                     self.ends += 1
         self.take(tries, out, found, event == 0)  # type: ignore[arg-type]
-        self.live = [one for one in self.live if one[0].state is not State.OVER]
+        self.live = [entry for entry in self.live if entry[0].state is not State.OVER]
 
     def check(self) -> None:
         for rule in self.rules:
             count = self.acts.counts.get(rule.key)
-            most = rule.action.at_once
+            limit = rule.action.at_once
             held = sum(sum(t.open.values()) for t, _ in self.live if t.asked is rule)
-            assert held == (count.open if count else 0), "what is open is counted, and nothing else"
-            assert most is None or held <= most
+            assert held == (count.open if count else 0), "the counter equals the number of open sends"
+            assert limit is None or held <= limit
         for tries, _ in self.live:
-            assert tries.asked.again or (len(tries.open) <= 1 and tries.ran <= 1)
+            assert tries.asked.repeatable or (len(tries.open) <= 1 and tries.ran <= 1)
 
     def windows(self) -> None:
         for rule in self.rules:
@@ -138,7 +143,7 @@
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_over_random_histories_limits_hold_and_nothing_keyed_goes_twice(seed: int) -> None:
+def test_random_histories_keep_the_limits_and_send_non_repeatable_requests_once(seed: int) -> None:
     world = World(seed)
     for _ in range(600):
         world.step()
@@ -151,51 +156,51 @@
     world.windows()
 
 
-def test_what_may_not_run_twice_is_neither_hedged_nor_tried_again_nor_copied() -> None:
-    """Also where a table would say so: the action is not taken as ``once`` here."""
-    told = Action(RUN, (((0, 1),),), retries=3, hedge_ms=1, mirrors=((0, 100),))
-    keyed = Asked("k", told, OWN, len(OWN), False, (MIRROR,))
+def test_a_non_repeatable_request_gets_no_hedge_retry_or_mirror_copy() -> None:
+    """The check holds even for an action that allows repeats, without the reduction by ``Action.once``."""
+    action = Action(RUN, (((0, 1),),), retries=3, hedge_ms=1, mirrors=((0, 100),))
+    keyed = Asked("k", action, OWN, len(OWN), False, (MIRROR,))
     tries = Tries(Acts(), keyed)
     assert tries.begin(0.0) == [Send(1, OWN[0])]
     assert tries.timer(0.1) == []
-    assert tries.unreached(0.2, 1) == [Send(2, OWN[1])], "what was not connected never ran"
+    assert tries.unreached(0.2, 1) == [Send(2, OWN[1])], "a send without a connection never ran"
     assert tries.ended(0.3, 2, False) == [Done(2)]
 
 
-def test_a_second_send_of_what_may_not_run_twice_breaks_an_invariant() -> None:
-    tries = Tries(Acts(), asked(again=False))
+def test_a_second_send_of_a_non_repeatable_request_breaks_an_invariant() -> None:
+    tries = Tries(Acts(), asked(repeatable=False))
     tries.begin(0.0)
     tries._send(True)
     with pytest.raises(BrokenInvariantError):
         tries.timer(0.0) or tries._check()
 
 
-def test_over_its_limit_a_request_goes_to_the_fall_back_or_hears_when_to_come() -> None:
+def test_a_request_over_the_limit_goes_to_the_fall_back_or_gets_a_retry_delay() -> None:
     acts = Acts()
     assert Tries(acts, asked(rate_per_s=4.0)).begin(0.0) == [Send(1, OWN[0])]
-    (away,) = Tries(acts, asked(rate_per_s=4.0)).begin(0.05)
-    assert isinstance(away, TurnAway) and away.after_s == pytest.approx(0.2)
+    (rejection,) = Tries(acts, asked(rate_per_s=4.0)).begin(0.05)
+    assert isinstance(rejection, TurnAway) and rejection.after_s == pytest.approx(0.2)
     assert Tries(acts, asked(back=True, rate_per_s=4.0)).begin(0.05) == [Send(1, BACK[0])]
     assert Tries(acts, asked(rate_per_s=4.0)).begin(0.26) == [Send(1, OWN[0])]
 
 
-def test_a_server_that_goes_out_gets_no_retry_hedge_or_next_try_and_its_last_one_turns_away() -> None:
+def test_an_excluded_server_gets_no_retry_or_hedge_and_without_another_the_request_is_rejected() -> None:
     acts = Acts()
-    hedged, again = Tries(acts, asked(key="h", hedge_ms=5)), Tries(acts, asked(key="a", retries=3))
-    keyed = Tries(acts, asked(again=False, key="k"))
-    for tries in (hedged, again, keyed):
+    hedged, retried = Tries(acts, asked(key="h", hedge_ms=5)), Tries(acts, asked(key="a", retries=3))
+    keyed = Tries(acts, asked(repeatable=False, key="k"))
+    for tries in (hedged, retried, keyed):
         assert tries.begin(0.0)[0] == Send(1, OWN[0])
     acts.out = frozenset(OWN[:2])
     assert hedged.timer(0.005) == [Send(2, OWN[2])]
-    assert again.ended(0.1, 1, False) == [Send(2, OWN[2])]
+    assert retried.ended(0.1, 1, False) == [Send(2, OWN[2])]
     assert keyed.unreached(0.1, 1) == [Send(2, OWN[2])]
     acts.out = frozenset(OWN)
-    assert again.ended(0.2, 2, False) == [Done(2)], "what runs at one that is out is finished, and counts"
-    (away,) = keyed.unreached(0.2, 2)
-    assert isinstance(away, TurnAway) and away.after_s > 0 and keyed.state is State.OVER
+    assert retried.ended(0.2, 2, False) == [Done(2)], "an open send at an excluded server runs to its end"
+    (rejection,) = keyed.unreached(0.2, 2)
+    assert isinstance(rejection, TurnAway) and rejection.after_s > 0 and keyed.state is State.OVER
     late = Tries(acts, asked(key="h", hedge_ms=5))
-    (away,) = late.begin(0.3)
-    assert isinstance(away, TurnAway) and late.state is State.OVER and acts.counts["h"].open == 2
+    (rejection,) = late.begin(0.3)
+    assert isinstance(rejection, TurnAway) and late.state is State.OVER and acts.counts["h"].open == 2
     assert hedged.ended(0.4, 1, True) == [Done(1)]
     assert all(count.open == 0 for count in acts.counts.values())
     acts.out = frozenset()
@@ -203,10 +208,10 @@
     alone = Tries(acts, asked(hedge_ms=5, key="b"))
     assert alone.begin(0.6)[0] == Send(1, OWN[0])
     acts.out = frozenset(OWN[1:])
-    assert alone.timer(0.605) == [], "a hedge goes to one that was not asked"
+    assert alone.timer(0.605) == [], "a hedge goes only to a server that has not had the request"
 
 
-def test_retries_come_out_of_a_budget_and_a_storm_ends() -> None:
+def test_a_retry_budget_bounds_the_sends_when_every_send_fails() -> None:
     acts, sends = Acts(), 0
     for at in range(200):
         tries = Tries(acts, asked(retries=3))
@@ -214,41 +219,41 @@
         while isinstance(todo[0], Send):
             sends += 1
             todo = tries.ended(at * 0.1, todo[0].number, False)
-    assert 200 < sends <= 200 * 1.1 + BUDGET_MOST + 1
+    assert 200 < sends <= 200 * 1.1 + MAX_BUDGET + 1
 
 
 def test_a_retry_that_the_limit_stops_costs_no_budget() -> None:
     acts = Acts()
     tries = Tries(acts, asked(rate_per_s=1.0, retries=1))
     tries.begin(0.0)
-    had = acts.counts["r"].budget
-    assert tries.ended(0.1, 1, False) == [Done(1)] and acts.counts["r"].budget == had >= 1.0
+    budget_before = acts.counts["r"].budget
+    assert tries.ended(0.1, 1, False) == [Done(1)] and acts.counts["r"].budget == budget_before >= 1.0
 
 
-def test_a_full_table_of_counts_forgets_none_that_still_holds_something_back(
+def test_a_full_counter_table_evicts_only_idle_counters(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("beechrock.lowering.acts.MOST_COUNTED", 2)
+    monkeypatch.setattr("beechrock.lowering.acts.MAX_COUNTS", 2)
     acts, slow = Acts(), Limits(0.01)
     for key in ("a", "b"):
         assert acts.admit(0.0, key, slow) == 0.0
         acts.ended(key)
-    assert acts.admit(1.0, "c", slow) > 0, "full: it is to come again"
-    assert acts.admit(1.0, "a", slow) > 0, "its limit is not forgotten"
+    assert acts.admit(1.0, "c", slow) > 0, "the table is full: the caller must retry later"
+    assert acts.admit(1.0, "a", slow) > 0, "the counter of a is kept"
     assert acts.admit(101.0, "c", slow) == 0.0
 
 
-def test_a_hedge_is_one_and_the_first_answer_counts() -> None:
+def test_only_one_hedge_is_sent_and_the_first_good_answer_wins() -> None:
     tries = Tries(Acts(), asked(hedge_ms=5))
     assert tries.begin(0.0) == [Send(1, OWN[0]), Wait(0.005)]
     assert tries.timer(0.005) == [Send(2, OWN[1])] and tries.state is State.TWICE
     assert tries.timer(0.006) == []
-    assert tries.ended(0.007, 1, False) == [], "the hedge may still do it"
+    assert tries.ended(0.007, 1, False) == [], "the hedge may still succeed"
     assert tries.ended(0.008, 2, True) == [Done(2)]
 
 
-def test_a_mirror_s_answer_never_comes_back_and_its_copies_are_bounded() -> None:
-    acts, told = Acts(), asked(mirrors=((0, 100),))
+def test_mirror_answers_never_reach_the_caller_and_open_copies_are_bounded() -> None:
+    acts, mirrored = Acts(), asked(mirrors=((0, 100),))
     stuck = asyncio.Event()
 
     async def send(address: tuple[str, int], copy: bool) -> Reply | None:
@@ -258,16 +263,16 @@
             return Reply(200, body=b"mirror")
         return Reply(200, body=b"own")
 
-    async def whole() -> None:
+    async def scenario() -> None:
         spawned: list[asyncio.Task[None]] = []
-        for _ in range(2 * MOST_COPIES):
+        for _ in range(2 * MAX_COPIES):
             found = await sent(
-                acts, told, send, lambda: 0.0, lambda work, _: spawned.append(asyncio.ensure_future(work))
+                acts, mirrored, send, lambda: 0.0, lambda work, _: spawned.append(asyncio.ensure_future(work))
             )
             assert found == Reply(200, body=b"own")
-        assert len(spawned) == acts.copies == MOST_COPIES
+        assert len(spawned) == acts.copies == MAX_COPIES
         stuck.set()
         await asyncio.gather(*spawned)
         assert acts.copies == 0
 
-    asyncio.run(whole())
+    asyncio.run(scenario())
