--- a/beechrock/lowering/apart.py
+++ b/beechrock/lowering/apart.py
@@ -1,18 +1,19 @@
-"""The compile in a process of its own: seconds of work, and a solver's memory, are not a node's loop's."""
+"""Runs the compile in a child process, because its seconds of CPU and the solver's memory would stall a node."""
 
 import asyncio
 import os
 import sys
 from pathlib import Path
 
-COMPILE_S = 120.0
-MOST_SAID = 1000  # of what it says, the end
+COMPILE_S = 120.0  # Timeout of a compile, in seconds
+MAX_MESSAGE = 1000  # Maximum number of characters kept from the end of the error output
 
 
 async def compiled(inventory: Path, target: Path) -> tuple[bytes | None, str]:
-    """The plan's bytes and the digest of the inventory it was made from, or None and why there are none.
+    """Return the plan's bytes and the digest of its inventory, or None and the error output.
 
-    The files may be newer than what the node goes by. OSError, TimeoutError.
+    The inventory files may be newer than the inventory in force at this node. Raises OSError if the process
+    can't be started or the plan can't be read, and TimeoutError after COMPILE_S seconds.
     """
     process = await asyncio.create_subprocess_exec(
         sys.executable,
@@ -29,10 +30,10 @@
     )
     try:
         async with asyncio.timeout(COMPILE_S):
-            told, said = await process.communicate()
+            stdout, stderr = await process.communicate()
     except (TimeoutError, asyncio.CancelledError):
         process.kill()
         raise
     if process.returncode:
-        return None, said.decode(errors="replace").strip()[-MOST_SAID:]
-    return await asyncio.to_thread(target.read_bytes), told.decode().split()[-1]
+        return None, stderr.decode(errors="replace").strip()[-MAX_MESSAGE:]
+    return await asyncio.to_thread(target.read_bytes), stdout.decode().split()[-1]
--- a/beechrock/lowering/assemble.py
+++ b/beechrock/lowering/assemble.py
@@ -1,9 +1,8 @@
-"""From placed drafts to tables: what each class runs, where it steers the rest, and the plans for a loss.
-Pure.
+"""Turns placed drafts into tables: what each class runs or steers, and the changes for each loss. Pure.
 
-A class that can't tell a rule's requests apart steers all of that team's requests to that service (its
-*coarse* entries) to one other class, which then has to run each rule that they may meet. A steer never leads
-to another steer.
+If a class can't match a rule's requests exactly, it steers all requests of that team to that service (a
+*coarse* entry) to one other class, which then has to run each rule that those requests may match. A steered
+request is never steered a second time.
 """
 
 from collections.abc import Sequence
@@ -28,13 +27,16 @@
     whole,
 )
 
-TEXT_BYTES = 300  # of a pool's or an action's row that all tables hold once
+TEXT_BYTES = 300  # Estimated bytes of one pool or action row; each table holds each row once
 REFUSED = Action(REFUSE)
 
 
 class Assembly:
-    """One compile, step by step: ``wants`` and ``rooms`` for the solver, ``take`` its answer, then all
-    that follows."""
+    """Steps of one compile.
+
+    ``wants`` and ``rooms`` are the input of the solver; ``take`` takes its placement; the tables and the
+    report are read afterwards.
+    """
 
     def __init__(self, policy: Policy, classes: list[Class], fleet: Fleet) -> None:
         self.policy, self.classes, self.fleet = policy, classes, fleet
@@ -42,15 +44,17 @@
         self.halls = fleet.halls()
         self.pool_at = {name: at for at, name in enumerate(policy.pools)}
         self.ways: list[tuple[int, ...]] = []
-        self.to: list[int | None] = []  # by rank where it is steered while nothing is lost
-        self.actions: list[list[Action]] = []  # by class and rank, while nothing is lost
+        # By rank: index of the class to which the rule is steered while no hall or class is lost.
+        self.to: list[int | None] = []
+        self.actions: list[list[Action]] = []  # By class and rank, while no hall or class is lost
         self.steers = [Action(STEER, target=each.name) for each in classes]
         self.wanted: list[Want] = []
         self.standby: dict[tuple[str, int], Draft] = {}
         self.states: dict[str, dict[str, dict[int, Action]]] = {}
-        self.lean: dict[int, tuple[Draft, ...]] = {}  # by draft; all of them live in ``classes``
-        self.held: dict[tuple[int, bool], Choice] = {}  # by draft, and whether it is steered; the same
-        self.runs: dict[int, Action] = {}  # by draft; the same
+        # Caches by id() of a draft; the ids stay unique because ``classes`` keeps every draft alive.
+        self.lean: dict[int, tuple[Draft, ...]] = {}
+        self.held: dict[tuple[int, bool], Choice] = {}  # The flag says whether the draft is steered
+        self.runs: dict[int, Action] = {}
         for each in classes:
             self._lengths(each)
         for each in classes:
@@ -67,34 +71,37 @@
             self._coarse_target(each)
 
     def _lengths(self, each: Class) -> None:
-        """So many lengths of prefixes as the class can probe, the shortest ranks first."""
+        """Mark rules as stuck whose prefixes exceed the number of prefix lengths that the class can look up.
+
+        Rules of lower rank are served first.
+        """
         held: set[int] = set()
         for rank, draft in enumerate(each.drafts):
-            more = {len(p) for p in draft.prefixes} - held
-            if more and len(held) + len(more) > each.profile.lengths:
-                why = Finding(
+            new_lengths = {len(p) for p in draft.prefixes} - held
+            if new_lengths and len(held) + len(new_lengths) > each.profile.lengths:
+                finding = Finding(
                     Feature.MATCH,
                     Outcome.DROPPED,
                     0,
                     f"over {each.profile.lengths} lengths of prefixes",
-                    ("lengths", len(held) + len(more)),
+                    ("lengths", len(held) + len(new_lengths)),
                 )
-                each.drafts[rank] = _stuck(draft, why)
+                each.drafts[rank] = _stuck(draft, finding)
             else:
-                held |= more
+                held |= new_lengths
 
     def _options(self, draft: Draft) -> tuple[Draft, ...]:
-        """Once for all classes that share the draft."""
+        """Return the drafts to choose from, computed once for all classes that share the draft."""
         known = self.lean.get(id(draft))
         if known is None:
             known = self.lean[id(draft)] = () if draft.stuck else self._ways(draft)
         return known
 
     def _ways(self, draft: Draft) -> tuple[Draft, ...]:
-        why = "no room in the table for it"
+        reason = "no room in the table for it"
         could = wishes(draft)
-        bare = lean(draft, could, why)
-        mid = lean(draft, [wish for wish in could if wish[3] is Mark.MAY], why)
+        bare = lean(draft, could, reason)
+        mid = lean(draft, [wish for wish in could if wish[3] is Mark.MAY], reason)
         found = [draft]
         for other in (mid, bare):
             last = found[-1]
@@ -108,13 +115,16 @@
             if not draft.told_apart:
                 scopes[draft.rule.match.team, draft.rule.match.service] = None
         steers = [self._steer(draft) for draft in each.drafts]
-        least, count = sum(s.memory for s in steers), sum(s.entries for s in steers)
-        if least > each.profile.memory_kb * 1024 or count > each.profile.entries:
-            scopes = {(None, None): None}  # not even the steers fit: one entry for all
+        memory, count = sum(s.memory for s in steers), sum(s.entries for s in steers)
+        if memory > each.profile.memory_kb * 1024 or count > each.profile.entries:
+            scopes = {
+                (None, None): None
+            }  # Even the steer entries alone don't fit: one entry steers everything
         about = Scopes(scopes)
         each.coarse = about.kept
-        # What is met by some requests only keeps its entry for the others, but is not run here: another
-        # class that steers it here would meet the coarse entry, and be sent on. Seen in drawn policies.
+        # A rule that only partly overlaps the coarse scopes keeps its entry for its other requests, but this
+        # class does not run it: a request steered here by another class could match the coarse entry and be
+        # steered a second time. Found with randomly generated policies.
         each.met = {rank for rank, rule in enumerate(self.policy.rules) if about.meets(rule)}
         each.covered = {rank for rank in each.met if about.holds(self.policy.rules[rank])}
 
@@ -137,7 +147,7 @@
                     self.forced[rank].add(each.coarse_to)
 
     def _fits(self, other: Class, met: Sequence[int]) -> bool:
-        """Whether a class holds these at their barest beside the steers of all others."""
+        """Return whether a class has room for the smallest drafts of ``met`` and steers of all other rules."""
         inside_met = set(met)
         needs = [
             self._choice(other.options[r][-1]) if r in inside_met and other.options[r] else self._steer(d)
@@ -146,7 +156,7 @@
         room = self.room(other)
         return all(sum(n.held()[k] for n in needs) <= room.held()[k] for k in range(4))
 
-    # --- for the solver
+    # --- Input of the solver
 
     def _choice(self, draft: Draft) -> Choice:
         found = self.held.get((id(draft), False))
@@ -186,7 +196,7 @@
 
     def room(self, each: Class) -> Room:
         profile = each.profile
-        # A table that only steers names no pool.
+        # A table that steers everything lists no pools.
         base = 0 if (None, None) in each.coarse else len(self.policy.pools) * TEXT_BYTES
         base += (len(self.classes) + 2 + len(each.coarse)) * TEXT_BYTES
         return Room(
@@ -202,9 +212,10 @@
         return [self.room(each) for each in self.classes]
 
     def take(self, wants: list[Want], placed: Placement) -> None:
-        """Go by a placement, and make the plans for each loss."""
+        """Take over a placement, and compute the table changes for each loss of a hall or class."""
         self.ways, self.wanted = list(placed.ways), wants
-        for each in self.classes:  # the solver could not keep what was forced: then nobody is sent there
+        # If the solver could not place a forced rule on the class, no coarse scope is steered there.
+        for each in self.classes:
             to = each.coarse_to
             if to is not None and any(
                 self.ways[r][to] == STEERED for r, f in enumerate(self.forced) if to in f
@@ -219,11 +230,11 @@
             ]
             for each in self.classes
         ]
-        for state, gone in self.lost().items():
-            self._ahead(state, {each.at for each in self.classes if each.name in gone})
+        for state, lost_names in self.lost().items():
+            self._plan_loss(state, {each.at for each in self.classes if each.name in lost_names})
 
     def lost(self) -> dict[str, tuple[str, ...]]:
-        """By state the classes without a machine in it."""
+        """Return for each loss state the classes that have no machine left in it."""
         names = [each.name for each in self.classes]
         found = {
             f"hall:{hall}": tuple(n for n in names if not self.fleet.count(n, hall)) for hall in self.halls
@@ -234,7 +245,7 @@
         return self.classes[at].options[rank][self.ways[rank][at]]
 
     def _run(self, draft: Draft) -> Action:
-        """Once for all classes that share the draft."""
+        """Return the action that runs the draft, created once for all classes that share the draft."""
         found = self.runs.get(id(draft))
         if found is None:
             found = self.runs[id(draft)] = self._made(draft)
@@ -261,38 +272,38 @@
     def action(self, rank: int, at: int) -> Action:
         return self.actions[at][rank]
 
-    def _coarse_action(self, each: Class, gone: set[int]) -> Action:
+    def _coarse_action(self, each: Class, lost_classes: set[int]) -> Action:
         if each.coarse_to is None:
             return REFUSED
-        if each.coarse_to not in gone:
+        if each.coarse_to not in lost_classes:
             return self.steers[each.coarse_to]
-        # Another one that happens to run all of it; else refused, as nobody else knows each rule.
+        # Another class may run all of these rules; otherwise reject, as no other class has every rule.
         met = sorted(each.met)
         for other in self.classes:
             if (
                 other is not each
-                and other.at not in gone
+                and other.at not in lost_classes
                 and all(self.ways[r][other.at] != STEERED for r in met)
             ):
                 return self.steers[other.at]
         return REFUSED
 
-    def _ahead(self, state: str, gone: set[int]) -> None:
-        """What changes in each class's table when these are gone: as little as can be."""
+    def _plan_loss(self, state: str, lost_classes: set[int]) -> None:
+        """Compute the fewest changes to each class's table for the loss of the classes ``lost_classes``."""
         changes: dict[str, dict[int, Action]] = {}
-        there = [each.at not in gone for each in self.classes]
-        # Only where the target is gone: among those that are left the best one stays the best.
+        alive = [each.at not in lost_classes for each in self.classes]
+        # Only steers to a lost class change; for all others the best remaining target stays the same.
         moved = {
-            rank: self._steer_to(target(self.wanted[rank], self.ways[rank], there))
+            rank: self._steer_to(target(self.wanted[rank], self.ways[rank], alive))
             for rank, to in enumerate(self.to)
-            if to in gone
+            if to in lost_classes
         }
         for each in self.classes:
-            if each.at in gone:
+            if each.at in lost_classes:
                 continue
             mine = changes[each.name] = {}
-            if each.coarse and each.coarse_to in gone:
-                mine[COARSE] = self._coarse_action(each, gone)
+            if each.coarse and each.coarse_to in lost_classes:
+                mine[COARSE] = self._coarse_action(each, lost_classes)
             for rank, after in moved.items():
                 if self.ways[rank][each.at] != STEERED or rank in each.covered:
                     continue
@@ -302,16 +313,20 @@
         self.states[state] = changes
 
     def _standby(self, each: Class, rank: int) -> Draft | None:
-        """The barest way to run it here, where that takes nothing that others count on."""
+        """Return the smallest draft that runs the rule here without counters or timers, if there is one.
+
+        Counters and timers are excluded because other rules may already use all of them.
+        """
         for draft in reversed(each.options[rank] if rank not in each.met else ()):
             if not draft.counters(self.teams) and draft.hedge_ms is None:
                 self.standby[each.name, rank] = draft
                 return draft
         return None
 
-    # --- the outcome
+    # --- Results
 
-    def nowhere(self) -> tuple[Rule, str] | None:
+    def unplaceable_rule(self) -> tuple[Rule, str] | None:
+        """Return the first rule that no class runs, with the reason; None if every rule is placed."""
         for rank, way in enumerate(self.ways):
             if all(at == STEERED for at in way):
                 reasons = {f.reason: None for each in self.classes for f in each.drafts[rank].stuck}
@@ -339,8 +354,8 @@
             found[each.name] = frozenset(ranks)
         return found
 
-    def told(self) -> dict[tuple[str, int], Sequence[Finding]]:
-        """By class and rank what is stated of a rule that runs there, in any state."""
+    def stated_findings(self) -> dict[tuple[str, int], Sequence[Finding]]:
+        """Return by class and rank the findings of each rule that runs there in any loss state."""
         found: dict[tuple[str, int], Sequence[Finding]] = {
             key: draft.findings for key, draft in self.standby.items()
         }
@@ -364,20 +379,23 @@
             for state, changes in self.states.items():
                 if mine := changes.get(each.name):
                     states[state] = {rank: actions.of(action) for rank, action in mine.items()}
-            told = list(actions.by_value)
-            used = sorted({at for a in told for part in (*a.tiers, a.mirrors) for at, _ in part})
+            used_actions = list(actions.by_value)
+            used = sorted({at for a in used_actions for part in (*a.tiers, a.mirrors) for at, _ in part})
             place = {at: new for new, at in enumerate(used)}
             pools = [self.policy.pools[names[at]] for at in used]
-            found[each.name] = pack(pools, [a.over(place) for a in told], lines, states)
+            found[each.name] = pack(pools, [a.over(place) for a in used_actions], lines, states)
         return found
 
 
 class _Places:
-    """A table's actions, each once. Most are the same object again: only a new one is compared."""
+    """Numbers the distinct actions of a table.
+
+    Most lookups pass an object that is already known and found by its id, without comparing its fields.
+    """
 
     def __init__(self) -> None:
         self.by_value: dict[Action, int] = {}
-        self.by_id: dict[int, tuple[int, Action]] = {}  # keeps them, so that no other one has their id
+        self.by_id: dict[int, tuple[int, Action]] = {}  # Keeps each action alive, so that its id stays unique
 
     def of(self, action: Action) -> int:
         known = self.by_id.get(id(action))
@@ -387,5 +405,5 @@
         return known[0]
 
 
-def _stuck(draft: Draft, why: Finding) -> Draft:
-    return draft.but(stuck=(*draft.stuck, why))
+def _stuck(draft: Draft, finding: Finding) -> Draft:
+    return draft.but(stuck=(*draft.stuck, finding))
--- a/beechrock/lowering/coarse.py
+++ b/beechrock/lowering/coarse.py
@@ -1,5 +1,4 @@
-"""Classes on their way to a table, and what those that can't tell requests apart hand over as a whole.
-Pure."""
+"""Compile-time state of a hardware class, and the scopes of requests that it steers as a whole. Pure."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -8,27 +7,30 @@
 from beechrock.lowering.policy import Mark, Rule
 from beechrock.lowering.profile import Profile
 
-Scope = tuple[str | None, str | None]  # team and service, None for all
+Scope = tuple[str | None, str | None]  # Team and service; None stands for all
+# Penalty of a lost feature, in the units of the solver's objective.
 LOST_PENALTY = {Outcome.DROPPED: 6, Outcome.APPROXIMATED: 2}
 
 
 @dataclass(slots=True)
 class Class:
-    """A class of the fleet on its way to a table."""
+    """Compile-time state of one hardware class of the fleet."""
 
     name: str
     profile: Profile
-    drafts: list[Draft]
-    at: int
-    options: list[tuple[Draft, ...]] = field(default_factory=list)  # by rank, best first
-    coarse: list[Scope] = field(default_factory=list)
-    coarse_to: int | None = None
-    met: set[int] = field(default_factory=set)  # ranks that requests of coarse entries may meet
-    covered: set[int] = field(default_factory=set)  # those of them that coarse entries hold altogether
+    drafts: list[Draft]  # By rank of the rule
+    at: int  # Index of the class among the classes of the compile
+    # By rank: drafts that the class can run, with the most features first; empty if it can't run the rule.
+    options: list[tuple[Draft, ...]] = field(default_factory=list)
+    coarse: list[Scope] = field(default_factory=list)  # Scopes that are steered as a whole
+    coarse_to: int | None = None  # Index of the class to which the coarse scopes are steered
+    met: set[int] = field(default_factory=set)  # Ranks that match some request of the coarse scopes
+    # Ranks whose requests all lie in the coarse scopes; a subset of ``met``.
+    covered: set[int] = field(default_factory=set)
 
 
 class Scopes:
-    """Which rules a class's coarse entries are about."""
+    """Set of coarse scopes of a class, and the rules that they overlap."""
 
     def __init__(self, scopes: Iterable[Scope]) -> None:
         every = set(scopes)
@@ -43,12 +45,12 @@
         self.mixed_services = {s for t, s in self.kept if t is None}
 
     def holds(self, rule: Rule) -> bool:
-        """All that the rule is about."""
+        """Return whether the scopes contain every request that the rule can match."""
         team, service = rule.match.team, rule.match.service
         return not self.every.isdisjoint(((team, service), (team, None), (None, service), (None, None)))
 
     def meets(self, rule: Rule) -> bool:
-        """Any of it."""
+        """Return whether the scopes contain some request that the rule can match."""
         team, service = rule.match.team, rule.match.service
         if self.holds(rule) or (team is None and service is None and bool(self.every)):
             return True
@@ -60,7 +62,7 @@
 
 
 def penalty(draft: Draft) -> int:
-    """What is lost of a rule, in the solver's coin; ``may`` counts a third."""
+    """Return the solver's penalty for a draft's lost features; a ``may`` feature counts a third."""
     lost = 0
     for finding in draft.findings:
         worth = LOST_PENALTY.get(finding.outcome, 0)
--- a/beechrock/lowering/compile.py
+++ b/beechrock/lowering/compile.py
@@ -1,5 +1,4 @@
-"""The whole: a policy, the classes' profiles and where machines stand, to the bytes of a plan and a
-report. Pure."""
+"""Compiles a policy, the class profiles and the fleet's machine counts into a plan and a report. Pure."""
 
 import gc
 from collections.abc import Iterator, Mapping, Sequence
@@ -16,27 +15,28 @@
 from beechrock.lowering.errors import NowhereError, PlanError, PolicyError
 from beechrock.lowering.passes.draft import Draft, around
 from beechrock.lowering.place import TIME_S, place
-from beechrock.lowering.policy import MOST_CHAIN, NOWHERE, Kind, Policy
+from beechrock.lowering.policy import MAX_CHAIN, NOWHERE, Kind, Policy
 from beechrock.lowering.profile import Fleet, Profile, as_row
 from beechrock.lowering.report import Report
 from beechrock.lowering.tables import Table
 from beechrock.lowering.witness import Judge
 
-PLAN_FORMAT = 2  # 1: what it needs was told for all classes together
-MOST_PLAN = 64 << 20
+PLAN_FORMAT = 2  # Format 1 listed the needed features once for all classes
+MAX_PLAN = 64 << 20  # Maximum size of a plan, in bytes
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """What is published: by class its packed table; ``lost`` says which classes are gone in each state."""
+    """Unit of publication: the packed table of each class, and the classes lost in each loss state."""
 
     data: bytes
     digest: str
-    policy: str  # digest of what it was made from
-    needs: Mapping[str, tuple[str, ...]]  # by class: what a program has to know to run its table
+    policy: str  # Digest of the compile's input
+    needs: Mapping[str, tuple[str, ...]]  # By class: features that a program must support to run its table
     tables: Mapping[str, bytes]
     lost: Mapping[str, tuple[str, ...]] = field(default_factory=dict)
-    declared: Mapping[str, Mapping[str, float]] = field(default_factory=dict)  # what nodes measure against
+    # By class: declared values with which nodes compare their own measurements.
+    declared: Mapping[str, Mapping[str, float]] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
@@ -58,7 +58,7 @@
             PLAN_FORMAT,
             policy,
             [[name, list(needs[name])] for name in sorted(needs)],
-            [[n, tables[n]] for n in sorted(tables)],
+            [[name, tables[name]] for name in sorted(tables)],
             [[state, sorted(lost[state])] for state in sorted(lost)],
             [[name, sorted(declared[name].items())] for name in sorted(declared)],
         ]
@@ -67,11 +67,13 @@
 
 
 def read_plan(data: bytes) -> Plan:
-    """PlanError where these bytes are no plan that this program can read; whether it can run its own class's
-    table is ``lacking``'s word."""
-    if len(data) > MOST_PLAN:
+    """Return the plan in these bytes. Raises PlanError if this program can't read them.
+
+    ``lacking`` says whether this program can run the table of its own class.
+    """
+    if len(data) > MAX_PLAN:
         raise PlanError(
-            f"a plan of {len(data)} bytes", wanted=f"up to {MOST_PLAN}", do="fewer rules or classes"
+            f"a plan of {len(data)} bytes", wanted=f"up to {MAX_PLAN}", do="fewer rules or classes"
         )
     try:
         form, policy, needs, tables, lost, declared = msgpack.unpackb(data)
@@ -88,47 +90,51 @@
         data,
         blake3.blake3(data).hexdigest(),
         policy,
-        {name: tuple(told) for name, told in needs},
+        {name: tuple(features) for name, features in needs},
         dict(tables),
-        {state: tuple(gone) for state, gone in lost},
-        {name: dict(told) for name, told in declared},
+        {state: tuple(names) for state, names in lost},
+        {name: dict(values) for name, values in declared},
     )
 
 
 def lacking(plan: Plan, hardware: str) -> str:
-    """Why this program can't run this class's table; empty: it can."""
+    """Return why this program can't run the table of this class; empty if it can."""
     missing = sorted(set(plan.needs.get(hardware, ())) - set(HAS))
     return f"this program lacks {', '.join(missing)}, which its table needs; upgrade it" if missing else ""
 
 
 def policy_digest(policy: Policy, profiles: Mapping[str, Profile], fleet: Fleet) -> str:
-    """Of what a plan is made from; the same content has the same digest."""
-    # Places are no part of it: the same rule on another line is the same rule.
+    """Return the digest of a compile's input; the same content has the same digest."""
+    # File positions are left out, so that moving a rule to another line does not change the digest.
     rules = [replace(rule, place=NOWHERE, places={}) for rule in policy.rules]
-    told = repr(
+    content = repr(
         (
             rules,
             [replace(pool, place=NOWHERE) for _, pool in sorted(policy.pools.items())],
             sorted(policy.effects.items()),
-            [sorted(as_row(profiles[n]).items()) for n in sorted(profiles)],
+            [sorted(as_row(profiles[name]).items()) for name in sorted(profiles)],
             sorted(fleet.machines.items()),
         )
     )
-    return blake3.blake3(told.encode()).hexdigest()
+    return blake3.blake3(content.encode()).hexdigest()
 
 
 def drafts_of(policy: Policy, profiles: Sequence[Profile]) -> list[list[Draft]]:
-    """By class every rule lowered for it, without regard to room. Classes that a rule does not tell apart
-    have the same draft."""
+    """Return for each class the drafts of all rules, without regard to table size.
+
+    Classes share a draft if no pass lowers the rule differently for them.
+    """
     beside = around(policy)
     found: list[list[Draft]] = [[] for _ in profiles]
     steps: list[tuple[passes.Pass, dict[Places, Parts]]] = []
     every: Places = tuple(range(len(profiles)))
-    alike: list[list[int]] = []  # by step, to each class the first that is alike in what the step reads
+    alike: list[
+        list[int]
+    ] = []  # By step and class: index of the first class with the same values of the fields that the step reads
     for step, reads, _ in passes.ALL:
         kinds = [tuple(getattr(profile, key) for key in reads) for profile in profiles]
         alike.append([kinds.index(kind) for kind in kinds])
-        steps.append((step, {}))  # by classes that had one draft so far: how the step tells them apart
+        steps.append((step, {}))  # By set of classes that share a draft: how the step splits the set
     for rank, rule in enumerate(policy.rules):
         groups: list[tuple[Draft, Places]] = [(passes.first(rule, rank), every)]
         for at, (step, known) in enumerate(steps):
@@ -142,7 +148,9 @@
                 if len(parts) == 1:
                     after.append((step(draft, parts[0][0], beside), places))
                     continue
-                changed: dict[int, tuple[Draft, Places]] = {}  # by draft: one that the step leaves as it was
+                changed: dict[
+                    int, tuple[Draft, Places]
+                ] = {}  # By id of the new draft; a step may return its input unchanged
                 for profile, part in parts:
                     new = step(draft, profile, beside)
                     same = changed.get(id(new))
@@ -160,7 +168,7 @@
 
 
 def _parts(places: Places, alike: Sequence[int], profiles: Sequence[Profile]) -> Parts:
-    """These classes, by what a step reads of them."""
+    """Split the classes into groups that a step treats alike, each with the profile of its first class."""
     parts: dict[int, list[int]] = {}
     for at in places:
         parts.setdefault(alike[at], []).append(at)
@@ -168,7 +176,7 @@
 
 
 def _chains(policy: Policy) -> None:
-    """A subject that very many rules are about would make each lookup long: PolicyError."""
+    """Raise PolicyError if more than MAX_CHAIN rules match the same subject, as lookups would be slow."""
     count: dict[tuple[str | None, str | None, str], int] = {}
     for rule in policy.rules:
         for subject in rule.match.subjects or ("",):
@@ -178,9 +186,9 @@
                 (subject + "*" if rule.match.kind is Kind.PREFIX else subject),
             )
             count[key] = count.get(key, 0) + 1
-            if count[key] > MOST_CHAIN:
+            if count[key] > MAX_CHAIN:
                 raise PolicyError(
-                    f"over {MOST_CHAIN} rules about the same subject {subject!r}",
+                    f"over {MAX_CHAIN} rules about the same subject {subject!r}",
                     where=f"{rule.place}: rules.{rule.name}",
                     do="put some of them together",
                 )
@@ -188,8 +196,11 @@
 
 @contextmanager
 def _uncollected() -> Iterator[None]:
-    """A compile makes some hundred thousand objects and drops few: going through them for circles took a
-    fifth of its time. What there is of them is collected after it."""
+    """Pause the cyclic garbage collector during a compile.
+
+    A compile creates some hundred thousand objects and drops few, and the collector took a fifth of its time.
+    Reference cycles are collected afterwards.
+    """
     was = gc.isenabled()
     gc.disable()
     try:
@@ -209,11 +220,11 @@
     time_s: float = TIME_S,
     judged: bool = True,
 ) -> Compiled:
-    """The plan and what became of each rule.
+    """Return the plan and a report on each rule.
 
-    PolicyError: it can't be; NowhereError where a rule finds no class that keeps its ``must`` (only if
-    ``strict``, else its requests are turned away); WitnessError where the tables are not what the policy
-    says.
+    Raises PolicyError if the input is invalid, NowhereError if no class can keep a rule's ``must`` (only if
+    ``strict``; otherwise its requests are rejected), and WitnessError if the tables differ from the policy's
+    meaning.
     """
     names = fleet.classes()
     for name in names:
@@ -235,26 +246,34 @@
     wants, rooms = assembly.wants(), assembly.rooms()
     placed = place(wants, rooms, time_s)
     assembly.take(wants, placed)
-    if strict and (bad := assembly.nowhere()) is not None:
-        rule, why = bad
+    if strict and (bad := assembly.unplaceable_rule()) is not None:
+        rule, reason = bad
         raise NowhereError(
-            f"no class can run it: {why}",
+            f"no class can run it: {reason}",
             where=f"{rule.place}: rules.{rule.name}",
             wanted="a class that keeps all of its must",
             do="mark less as must, or see `beechrock policy explain` for what a class would need",
         )
     packed = assembly.tables()
     lost = assembly.lost()
-    declared = {n: {"memory_kb": profiles[n].memory_kb, "match_us": profiles[n].match_us} for n in names}
+    declared = {
+        name: {"memory_kb": profiles[name].memory_kb, "match_us": profiles[name].match_us} for name in names
+    }
     tables = {name: Table(data) for name, data in packed.items()}
     needs = {name: needs_of(table) for name, table in tables.items()}
     plan = pack_plan(policy_digest(policy, profiles, fleet), needs, packed, lost, declared)
     spare = [name for name in profiles if name not in names] if len(policy.rules) <= 1000 else []
-    mending = dict(zip(spare, drafts_of(policy, [profiles[n] for n in spare]), strict=True)) if spare else {}
+    mending = (
+        dict(zip(spare, drafts_of(policy, [profiles[name] for name in spare]), strict=True)) if spare else {}
+    )
     report = outcome.report(assembly, placed.method, mending)
     if judged:
         judge = Judge(
-            policy, tables, assembly.told(), assembly.refused(), {s: frozenset(g) for s, g in lost.items()}
+            policy,
+            tables,
+            assembly.stated_findings(),
+            assembly.refused(),
+            {state: frozenset(lost_names) for state, lost_names in lost.items()},
         )
         report.witnesses = judge.run()
     return Compiled(plan, report, tables)
--- a/beechrock/lowering/draw.py
+++ b/beechrock/lowering/draw.py
@@ -1,10 +1,10 @@
-"""Policies, profiles and fleets drawn from a seed, for the compile's tests and its benchmark. Pure."""
+"""Random policies, profiles and fleets from a seed, for the tests and the benchmark of the compile. Pure."""
 
 import random
 
 from beechrock.lowering.policy import (
-    MOST_ATTEMPT,
-    MOST_SIZE,
+    MAX_ATTEMPT,
+    MAX_SIZE,
     Affinity,
     Feature,
     Kind,
@@ -22,7 +22,10 @@
 
 
 def policy(seed: int, rules: int | None = None, teams: int = 3, services: int = 3) -> Policy:
-    """Small words, so that matches overlap; ``rules`` None: some."""
+    """Return a random policy with short subjects, so that matches overlap.
+
+    It has ``rules`` rules, or 1 to 12 if ``rules`` is None.
+    """
     draw = random.Random(seed)
     team_names, service_names = [f"t{i}" for i in range(teams)], [f"s{i}" for i in range(services)]
     effect = {s: draw.choice(("safe", "safe", "keyed", "unsafe")) for s in service_names}
@@ -57,7 +60,8 @@
     effect: dict[str, str],
     rules: int | None,
 ) -> Rule:
-    named = rules is not None  # large policies name contracts: 10,000 rules about everything are none
+    # In a large policy each rule names a contract, as 10,000 rules for every contract are unrealistic.
+    named = rules is not None
     team = draw.choice(teams) if named or draw.random() < 0.6 else None
     service = draw.choice(services) if named or draw.random() < 0.6 else None
     kind = draw.choice(tuple(Kind))
@@ -65,8 +69,8 @@
     number = {Kind.ANY: 0, Kind.SET: draw.randint(1, 3)}.get(kind, 1)
     if named and kind is Kind.ANY:
         kind, number = Kind.EXACT, 1
-    size = draw.choice(((0, MOST_SIZE), (0, MOST_SIZE), (0, 999), (1000, MOST_SIZE), (10, 5000)))
-    attempt = draw.choice(((1, MOST_ATTEMPT), (1, MOST_ATTEMPT), (1, 1), (2, MOST_ATTEMPT)))
+    size = draw.choice(((0, MAX_SIZE), (0, MAX_SIZE), (0, 999), (1000, MAX_SIZE), (10, 5000)))
+    attempt = draw.choice(((1, MAX_ATTEMPT), (1, MAX_ATTEMPT), (1, 1), (2, MAX_ATTEMPT)))
     names = draw.sample([p.name for p in pools], draw.randint(1, min(4, len(pools))))
     spare = [p.name for p in pools if p.name not in names]
     safe = effect[service] == "safe" if service is not None else set(effect.values()) == {"safe"}
@@ -87,10 +91,10 @@
         and draw.random() < 0.5
     ]
     by_name = {p.name: p for p in pools}
-    whole = {n: by_name[n] for n in names}
+    named_pools = {name: by_name[name] for name in names}
     survive = 0.0
     if draw.random() < 0.3:
-        survive = min(sum(p.rate_per_s for p in whole.values() if p.hall != hall) for hall in HALLS)
+        survive = min(sum(p.rate_per_s for p in named_pools.values() if p.hall != hall) for hall in HALLS)
     return Rule(
         name,
         Match(team, service, kind, tuple(draw.sample(words, number)), size, attempt),
@@ -113,7 +117,7 @@
 
 
 def profile(draw: random.Random, name: str, able: bool) -> Profile:
-    """``able``: a class that can run anything; else one that lacks some."""
+    """Return the default profile, which runs every rule, if ``able``; else a random, limited one."""
     if able:
         return Profile(name)
     return Profile(
@@ -137,7 +141,10 @@
 
 
 def fleet(seed: int, classes: int = 3) -> tuple[dict[str, Profile], Fleet]:
-    """The first class can run anything; each stands in one hall at least."""
+    """Return random class profiles and a fleet.
+
+    The first class can run every rule; each class has machines in at least one hall.
+    """
     draw = random.Random(seed)
     names = [f"c{at}" for at in range(classes)]
     profiles = {name: profile(draw, name, at == 0) for at, name in enumerate(names)}
--- a/beechrock/lowering/duty.py
+++ b/beechrock/lowering/duty.py
@@ -1,4 +1,4 @@
-"""The publisher's duty: who holds it lets its node take the publisher's steps."""
+"""The publisher duty: its holder compiles and publishes plans for the fleet."""
 
 from typing import TYPE_CHECKING
 
@@ -11,7 +11,7 @@
 
 
 class Publishing:
-    """The duty's worker: while it holds, ``Lowering`` takes the publisher's steps."""
+    """Worker of the publisher duty; ``Lowering`` takes the publisher's steps while its node holds the duty."""
 
     def __init__(self, part: "Lowering") -> None:
         self.part = part
--- a/beechrock/lowering/errors.py
+++ b/beechrock/lowering/errors.py
@@ -1,4 +1,4 @@
-"""What an operator can meet of the lowering; exit codes and log events come from the type."""
+"""Errors of the lowering that operators see; the type determines the exit code and the log event."""
 
 from typing import ClassVar
 
@@ -6,44 +6,44 @@
 
 
 class LoweringError(OperatorError):
-    """The root of this part's errors."""
+    """Base class of this package's errors."""
 
     event: ClassVar[str] = "lowering.error"
 
 
 class PolicyError(LoweringError):
-    """A policy that contradicts itself or names what is not there."""
+    """The policy contradicts itself or names something that does not exist."""
 
     exit_code: ClassVar[int] = 1
     event: ClassVar[str] = "lowering.policy_bad"
 
 
 class NowhereError(LoweringError):
-    """A rule with a ``must`` that no hardware class can keep: the policy is not taken up."""
+    """No hardware class can keep a ``must`` of a rule; the policy is rejected."""
 
     exit_code: ClassVar[int] = 1
     event: ClassVar[str] = "lowering.fits_nowhere"
 
 
 class WitnessError(LoweringError):
-    """The tables and the plain interpreter differ by more than was stated: the compile is thrown away."""
+    """The tables differ from the interpreter by more than the report states; the compile is discarded."""
 
     event: ClassVar[str] = "lowering.witness"
 
 
 class PlanError(LoweringError):
-    """Bytes that are no plan, a damaged one, or one with features that this program does not have."""
+    """The bytes are not a valid plan, or this program does not support its format."""
 
     event: ClassVar[str] = "lowering.plan_bad"
 
 
 class RolloutError(LoweringError):
-    """A step of the rollout that is not allowed now."""
+    """The requested step of the rollout is not possible in its current state."""
 
     event: ClassVar[str] = "lowering.rollout"
 
 
 class BrokenInvariantError(LoweringError):
-    """What can never be, is: this node takes no part in the rollout any more, and goes on serving."""
+    """An invariant is broken; this node leaves the rollout and keeps serving."""
 
     event: ClassVar[str] = "lowering.broken"
--- a/beechrock/lowering/interpret.py
+++ b/beechrock/lowering/interpret.py
@@ -1,7 +1,7 @@
-"""The second opinion: what a policy means for a request, read as plainly as possible.
+"""Reference interpreter: determines what a policy means for a request, as simply as possible.
 
-Shares no code with the passes and the tables, and is never made fast: a fault in both would have to be made
-twice.
+It shares no code with the passes and the tables and is never optimized, so that one mistake can't hide in
+both.
 """
 
 from collections.abc import Collection
@@ -12,8 +12,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Ideal:
-    """What the policy wants for a request, exactly. A tier of pools and weights is asked when those before
-    it have no server, and the fall-backs, one after the other, when no tier has one."""
+    """Exact treatment of a request under the policy.
+
+    A tier of pools and weights is used when the tiers before it have no server, and the fall-backs, in
+    order, when no tier has one.
+    """
 
     rule: str
     tiers: tuple[tuple[tuple[str, int], ...], ...]
@@ -28,7 +31,7 @@
 
 
 class Interpreter:
-    """Goes through the rules in their order; remembers only which are about a contract at all."""
+    """Tests the rules in rank order; caches only which rules can match a contract at all."""
 
     def __init__(self, policy: Policy) -> None:
         self.policy = policy
@@ -51,15 +54,15 @@
         return None
 
     def answer(self, request: Request, lost: Collection[str] = ()) -> Ideal | None:
-        """None: no rule is about it. ``lost`` are halls that are gone."""
+        """Return the treatment of the request with the halls ``lost`` unavailable; None if no rule matches."""
         rule = self.rule(request)
         if rule is None:
             return None
-        again = self.policy.effects.get((request.team, request.service)) == "safe"
-        return self.meaning(rule, again, lost)
+        repeatable = self.policy.effects.get((request.team, request.service)) == "safe"
+        return self.meaning(rule, repeatable, lost)
 
-    def meaning(self, rule: Rule, again: bool, lost: Collection[str] = ()) -> Ideal:
-        """``again``: whether what it is about may run twice."""
+    def meaning(self, rule: Rule, repeatable: bool, lost: Collection[str] = ()) -> Ideal:
+        """Return what the rule means for requests that may run twice (``repeatable``) or must not."""
         hall = {name: self.policy.pools[name].hall for name in self.policy.pools}
         groups: list[list[tuple[str, int]]] = []
         if rule.halls:
@@ -68,14 +71,14 @@
             groups.append([(n, w) for n, w in rule.pools if hall[n] not in rule.halls])
         else:
             groups.append(list(rule.pools))
-        had = {name for name, _ in rule.pools}
+        seen = {name for name, _ in rule.pools}
         row = []
         for name in rule.fall_backs:
-            next_one: str | None = name
-            while next_one is not None and next_one not in had:
-                had.add(next_one)
-                row.append(next_one)
-                next_one = self.policy.pools[next_one].fall_back
+            next_pool: str | None = name
+            while next_pool is not None and next_pool not in seen:
+                seen.add(next_pool)
+                row.append(next_pool)
+                next_pool = self.policy.pools[next_pool].fall_back
         left = [tuple(sorted((n, w) for n, w in group if hall[n] not in lost)) for group in groups]
         return Ideal(
             rule.name,
@@ -84,8 +87,8 @@
             int(rule.affinity),
             rule.rate_per_s,
             rule.at_once,
-            rule.retries if again else 0,
-            rule.hedge_ms if again else None,
+            rule.retries if repeatable else 0,
+            rule.hedge_ms if repeatable else None,
             rule.priority,
-            rule.mirrors if again else (),
+            rule.mirrors if repeatable else (),
         )
--- a/beechrock/lowering/measure.py
+++ b/beechrock/lowering/measure.py
@@ -1,4 +1,4 @@
-"""What this machine really can, measured at a node's start: room for a table, and what a lookup costs."""
+"""Measures at a node's start the memory available for a table and the time of one lookup."""
 
 import time
 from dataclasses import dataclass
@@ -7,8 +7,8 @@
 from beechrock.lowering.policy import Kind, Pool
 from beechrock.lowering.tables import Action, Line, Table, pack
 
-ENTRIES, LOOKUPS, PLAYS = 500, 500, 3
-UNKNOWN_KB = 256 * 1024.0  # where the system does not tell what is free
+ENTRIES, LOOKUPS, ROUNDS = 500, 500, 3  # Size of the measured table, lookups per round, and rounds
+UNKNOWN_KB = 256 * 1024.0  # Free memory in kB to assume if the system doesn't report it
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,7 +28,7 @@
 
 
 def probe(entries: int) -> Table:
-    """A table of so many single subjects, to be asked."""
+    """Return a table with ``entries`` exact subjects, for measuring lookups."""
     lines = [
         Line("t", "s", Kind.EXACT, (f"subject-{at}",), (0, 1 << 40), (1, 100), at, 0) for at in range(entries)
     ]
@@ -36,9 +36,12 @@
 
 
 def measure(memory_kb: float) -> Measures:
-    """The best of some plays, so that a busy moment does not count as a slow machine. Some milliseconds."""
+    """Return the memory and the lookup time of the fastest of ROUNDS rounds.
+
+    The minimum ignores moments in which the machine was busy. Takes a few milliseconds.
+    """
     table, best = probe(ENTRIES), 1e9
-    for _ in range(PLAYS):
+    for _ in range(ROUNDS):
         began = time.perf_counter()
         for at in range(LOOKUPS):
             table.find("t", "s", f"subject-{at}", 10, 1)
--- a/beechrock/lowering/outcome.py
+++ b/beechrock/lowering/outcome.py
@@ -1,4 +1,4 @@
-"""The report of an assembly: a row for each rule and class. Pure."""
+"""Builds the report of an assembly, with one row per rule and class. Pure."""
 
 from collections.abc import Mapping, Sequence
 
@@ -15,14 +15,14 @@
     rows = []
     able: dict[str, Sequence[Draft]] = {**{each.name: each.drafts for each in assembly.classes}, **mending}
     for rank, rule in enumerate(assembly.policy.rules):
-        whole_at = [
-            n
-            for n in sorted(able)
-            if not able[n][rank].stuck
-            and outcome_of(able[n][rank].findings) in (Outcome.EXACT, Outcome.REWRITTEN)
+        exact_at = [
+            name
+            for name in sorted(able)
+            if not able[name][rank].stuck
+            and outcome_of(able[name][rank].findings) in (Outcome.EXACT, Outcome.REWRITTEN)
         ]
         for each in assembly.classes:
-            rows.append(_row(assembly, each, rank, rule, whole_at))
+            rows.append(_row(assembly, each, rank, rule, exact_at))
     used = {}
     for each in assembly.classes:
         costs = [
@@ -42,9 +42,9 @@
     return Report(rows, method, used, refused)
 
 
-def _row(assembly: Assembly, each: Class, rank: int, rule: Rule, whole_at: list[str]) -> Row:
+def _row(assembly: Assembly, each: Class, rank: int, rule: Rule, exact_at: list[str]) -> Row:
     draft = each.drafts[rank]
-    mends = tuple(n for n in whole_at if n != each.name)
+    mends = tuple(name for name in exact_at if name != each.name)
     if rank in each.covered:
         to = "" if each.coarse_to is None else assembly.classes[each.coarse_to].name
         return Row(
@@ -62,8 +62,8 @@
         outcome = outcome_of(findings)
         worse = outcome not in (Outcome.EXACT, Outcome.REWRITTEN)
         return Row(rule.name, rule.place, each.name, outcome, "", findings, mends if worse else ())
-    why = draft.stuck or (
+    reasons = draft.stuck or (
         Finding(Feature.POOLS, Outcome.STEERED, 0.0, "no room in the table, or better run there"),
     )
     outcome = Outcome.STEERED if action.verdict == STEER else Outcome.REFUSED
-    return Row(rule.name, rule.place, each.name, outcome, action.target, why, mends)
+    return Row(rule.name, rule.place, each.name, outcome, action.target, reasons, mends)
--- a/beechrock/lowering/passes/__init__.py
+++ b/beechrock/lowering/passes/__init__.py
@@ -12,7 +12,7 @@
 from beechrock.lowering.passes.spread import fall_backs, halls, slots
 from beechrock.lowering.passes.subjects import exacts_to_prefixes, ranges, sets_to_exacts
 from beechrock.lowering.passes.survive import survive
-from beechrock.lowering.policy import MOST_ATTEMPT, MOST_SIZE, Affinity, Kind, Rule
+from beechrock.lowering.policy import MAX_ATTEMPT, MAX_SIZE, Affinity, Kind, Rule
 
 Asks = Callable[[Rule], bool]
 # Beside each what it reads of a profile: classes alike in that share its drafts, and all that follows; and
@@ -23,7 +23,7 @@
     (
         ranges,
         ("kinds",),
-        lambda rule: rule.match.size != (0, MOST_SIZE) or rule.match.attempt != (1, MOST_ATTEMPT),
+        lambda rule: rule.match.size != (0, MAX_SIZE) or rule.match.attempt != (1, MAX_ATTEMPT),
     ),
     (halls, ("tiers",), lambda rule: bool(rule.halls)),
     (fall_backs, ("tiers",), lambda rule: bool(rule.fall_backs)),
--- a/beechrock/lowering/passes/subjects.py
+++ b/beechrock/lowering/passes/subjects.py
@@ -1,7 +1,7 @@
 """What tells requests apart: a match is kept to the letter, or the class can't run the rule. Pure."""
 
 from beechrock.lowering.passes.draft import Around, Draft, Outcome, noted
-from beechrock.lowering.policy import END, MOST_ATTEMPT, MOST_SIZE, Feature, Kind
+from beechrock.lowering.policy import END, MAX_ATTEMPT, MAX_SIZE, Feature, Kind
 from beechrock.lowering.profile import Profile
 
 
@@ -41,8 +41,8 @@
 
 def ranges(draft: Draft, profile: Profile, _: Around) -> Draft:
     """Sizes and attempts: left out, a rule would take more than is its own."""
-    if draft.size != (0, MOST_SIZE) and not profile.has("size"):
+    if draft.size != (0, MAX_SIZE) and not profile.has("size"):
         draft = noted(draft, Feature.MATCH, Outcome.DROPPED, reason="no sizes", need=("kinds", "size"))
-    if draft.attempt != (1, MOST_ATTEMPT) and not profile.has("attempt"):
+    if draft.attempt != (1, MAX_ATTEMPT) and not profile.has("attempt"):
         draft = noted(draft, Feature.MATCH, Outcome.DROPPED, reason="no attempts", need=("kinds", "attempt"))
     return draft
--- a/beechrock/lowering/place.py
+++ b/beechrock/lowering/place.py
@@ -14,7 +14,7 @@
 
 STEERED = -1
 STEER_COST, REFUSE_COST, FRAGILE_COST, OVER_COST = 20, 100_000, 2_000, 3_000
-MOST_GROUPS, TIME_S, NODES, GAP = 800, 3.0, 50, 0.005
+MAX_GROUPS, TIME_S, NODES, GAP = 800, 3.0, 50, 0.005
 MARGIN = 0.99  # of its room the solver fills this much, as it reckons with the mean of a group
 
 
@@ -205,7 +205,7 @@
 
 
 def groups_of(wants: Sequence[Want], rooms: Sequence[Room]) -> list[_Group]:
-    """As few groups as MOST_GROUPS where coarser figures do that. Rounded up for all, 3,000 steers did not
+    """As few groups as MAX_GROUPS where coarser figures do that. Rounded up for all, 3,000 steers did not
     fit."""
     told = [[at] for at in range(len(wants))]
     for coarse in range(0 if len(wants) < 1000 else 1, 4):
@@ -213,7 +213,7 @@
         for alike in told:  # what is alike stays so where the figures are coarser
             found.setdefault(_alike(wants[alike[0]], coarse), []).extend(alike)
         told = list(found.values())
-        if len(told) <= MOST_GROUPS:
+        if len(told) <= MAX_GROUPS:
             break
     groups, rates = [], rates_of(rooms)
     for members in map(sorted, told):
@@ -380,7 +380,7 @@
     groups = groups_of(wants, rooms)
     # Seen with 10,000 rules, 1,394 groups: the solver was 12 s in its presolve, past its own time limit, and
     # had not looked at one node. So large a model is not asked for; the greedy way counts.
-    asked = time_s > 0 and len(groups) <= MOST_GROUPS
+    asked = time_s > 0 and len(groups) <= MAX_GROUPS
     found = solved(wants, rooms, groups, time_s) if asked else None
     plain = greedy(wants, rooms, groups)
     if found is None or not fits(wants, rooms, found.ways):
--- a/beechrock/lowering/policy.py
+++ b/beechrock/lowering/policy.py
@@ -14,9 +14,9 @@
 from beechrock.inventory.problems import Place
 from beechrock.lowering.errors import PolicyError
 
-MOST_RULES, MOST_POOLS, MOST_SUBJECTS, MOST_SUBJECT = 20_000, 4_000, 1_000, 200
-MOST_CHAIN = 64  # rules that one subject of one contract may meet, so that a lookup stays short
-MOST_SIZE, MOST_ATTEMPT = 1 << 40, 100
+MAX_RULES, MAX_POOLS, MAX_SUBJECTS, MAX_SUBJECT = 20_000, 4_000, 1_000, 200
+MAX_CHAIN = 64  # rules that one subject of one contract may meet, so that a lookup stays short
+MAX_SIZE, MAX_ATTEMPT = 1 << 40, 100
 HIGHEST = 7  # priorities go from 0 to this
 END = "\0"  # stands after a subject's last character; no subject holds it
 NOWHERE = Place("policy")
@@ -89,8 +89,8 @@
     service: str | None = None
     kind: Kind = Kind.ANY
     subjects: tuple[str, ...] = ()
-    size: tuple[int, int] = (0, MOST_SIZE)
-    attempt: tuple[int, int] = (1, MOST_ATTEMPT)
+    size: tuple[int, int] = (0, MAX_SIZE)
+    attempt: tuple[int, int] = (1, MAX_ATTEMPT)
 
     def takes(self, request: Request) -> bool:
         if self.team not in (None, request.team) or self.service not in (None, request.service):
@@ -221,8 +221,8 @@
 def check(policy: Policy) -> list[Fault]:
     """All that can't stand, in the order of rules."""
     faults = []
-    if len(policy.rules) > MOST_RULES or len(policy.pools) > MOST_POOLS:
-        faults.append(Fault(NOWHERE, "rules", "", f"over {MOST_RULES} rules or {MOST_POOLS} pools"))
+    if len(policy.rules) > MAX_RULES or len(policy.pools) > MAX_POOLS:
+        faults.append(Fault(NOWHERE, "rules", "", f"over {MAX_RULES} rules or {MAX_POOLS} pools"))
     for pool in policy.pools.values():
         if pool.fall_back is not None and pool.fall_back not in policy.pools:
             faults.append(
@@ -243,10 +243,10 @@
 
 def _faults(policy: Policy, rule: Rule, by_service: Mapping[str, set[str]]) -> Iterable[tuple[str, str]]:
     match = rule.match
-    if (match.kind is Kind.ANY) != (not match.subjects) or len(match.subjects) > MOST_SUBJECTS:
-        yield "subjects", f"none, or over {MOST_SUBJECTS}, where the kind of match wants another number"
-    if any(not s or END in s or len(s) > MOST_SUBJECT for s in match.subjects):
-        yield "subjects", f"a subject is empty, over {MOST_SUBJECT} characters, or holds a NUL"
+    if (match.kind is Kind.ANY) != (not match.subjects) or len(match.subjects) > MAX_SUBJECTS:
+        yield "subjects", f"none, or over {MAX_SUBJECTS}, where the kind of match wants another number"
+    if any(not s or END in s or len(s) > MAX_SUBJECT for s in match.subjects):
+        yield "subjects", f"a subject is empty, over {MAX_SUBJECT} characters, or holds a NUL"
     if match.size[0] > match.size[1] or match.attempt[0] > match.attempt[1] or match.attempt[0] < 1:
         yield "size", "the least is above the most"
     if not rule.pools or any(weight < 1 for _, weight in rule.pools):
--- a/beechrock/lowering/profile.py
+++ b/beechrock/lowering/profile.py
@@ -1,4 +1,4 @@
-"""What a hardware class can run, as it is declared and as a node measured it. Pure data."""
+"""Declared abilities of a hardware class, and their differences from a node's measurements. Pure data."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field, fields
@@ -7,34 +7,36 @@
 from beechrock.lowering.policy import NOWHERE, Affinity
 
 KINDS = ("exact", "prefix", "set", "size", "attempt")
-# What a node reckons with for a table in memory: an entry with its key, and an action. Measured with CPython
-# 3.11 as the growth of the process a loaded entry (tests/lowering/test_tables.py keeps the estimate above
-# it).
+# Estimated bytes in memory of a table entry with its key, of an action, and of a slot of an action. Based on
+# the growth of a CPython 3.11 process per loaded entry; tests/lowering/test_tables.py checks that the estimate
+# is not below the real size.
 ENTRY_BYTES, ACTION_BYTES, SLOT_BYTES = 420, 700, 16
 
 
 @dataclass(frozen=True, slots=True)
 class Profile:
-    """A hardware class. Counts are of what all rules of a table use together, but for those of one rule's
-    action."""
+    """Abilities of a hardware class.
+
+    Counts are totals over all rules of a table, except those that are marked as per rule.
+    """
 
     name: str
-    memory_kb: float = 65_536.0  # of a table
-    entries: int = 1_000_000
-    kinds: frozenset[str] = frozenset(KINDS)
-    lengths: int = 16  # how many different lengths of prefixes
-    ends: bool = True  # a prefix may reach past a subject's last character
-    slots: int = 64  # in which a tier's weights are told; of one rule
-    tiers: int = 8  # of one rule: halls and fall-backs in a row
-    affinity: frozenset[Affinity] = frozenset(Affinity)
-    timers: int = 1_000_000  # rules that may hedge
-    timer_ms: int = 1  # the least step of a timer
-    counters: int = 1_000_000  # for limits
-    levels: int = 8  # of priority
-    retries: int = 10
-    mirrors: bool = True
-    match_us: float = 5.0  # of one lookup
-    rate_per_s: float = 10_000.0  # requests that a machine of it routes in all
+    memory_kb: float = 65_536.0  # Maximum memory of a table, in kB
+    entries: int = 1_000_000  # Maximum number of entries in a table
+    kinds: frozenset[str] = frozenset(KINDS)  # Supported match conditions
+    lengths: int = 16  # Maximum number of distinct prefix lengths
+    ends: bool = True  # Whether a prefix may include the end mark after a subject's last character
+    slots: int = 64  # Maximum number of slots for a tier's weights, per rule
+    tiers: int = 8  # Maximum number of halls and fall-backs in sequence, per rule
+    affinity: frozenset[Affinity] = frozenset(Affinity)  # Supported kinds of affinity
+    timers: int = 1_000_000  # Maximum number of rules that may hedge
+    timer_ms: int = 1  # Resolution of a timer, in milliseconds
+    counters: int = 1_000_000  # Maximum number of counters for limits
+    levels: int = 8  # Number of priority levels
+    retries: int = 10  # Maximum number of retries, per rule
+    mirrors: bool = True  # Whether mirrors are supported
+    match_us: float = 5.0  # Time of one lookup, in microseconds
+    rate_per_s: float = 10_000.0  # Requests per second that one machine of the class can route
     place: Place = field(default=NOWHERE, compare=False)
 
     def has(self, kind: str) -> bool:
@@ -43,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """A node's measure that is not what its class declares."""
+    """Measured value that differs from the declared value of the node's class."""
 
     key: str
     declared: float
@@ -51,28 +53,28 @@
 
     @property
     def short(self) -> bool:
-        """Whether less than declared is there: the node can't carry what its class can."""
+        """Whether the node has less capacity than its class declares."""
         return self.measured > self.declared if self.key == "match_us" else self.measured < self.declared
 
 
-SLACK = 0.1  # a measure this near to the declared counts as the same
+SLACK = 0.1  # Relative difference up to which a measured value counts as equal to the declared one
 
 
 def differences(declared: Profile, measured: Mapping[str, float]) -> list[Difference]:
-    """Where a node's measures differ from its class, by more than the slack; sorted by key."""
+    """Return the measured values that differ from the declared ones by more than SLACK, sorted by key."""
     found = []
     for key in sorted(measured):
-        told = getattr(declared, key, None)
-        if isinstance(told, (int, float)) and abs(measured[key] - told) > SLACK * abs(told):
-            found.append(Difference(key, float(told), float(measured[key])))
+        value = getattr(declared, key, None)
+        if isinstance(value, (int, float)) and abs(measured[key] - value) > SLACK * abs(value):
+            found.append(Difference(key, float(value), float(measured[key])))
     return found
 
 
 @dataclass(frozen=True, slots=True)
 class Fleet:
-    """How many machines of each class stand in each hall."""
+    """Number of machines of each class in each hall."""
 
-    machines: Mapping[tuple[str, str], int]  # by class and hall
+    machines: Mapping[tuple[str, str], int]  # By class and hall
 
     def classes(self) -> list[str]:
         return sorted({name for (name, _), count in self.machines.items() if count})
@@ -85,7 +87,7 @@
 
 
 def as_row(profile: Profile) -> dict[str, object]:
-    """For a report or a view: plain values."""
+    """Return the profile as plain values, for a report or a view."""
     row: dict[str, object] = {}
     for item in fields(Profile):
         value = getattr(profile, item.name)
--- a/beechrock/lowering/publish.py
+++ b/beechrock/lowering/publish.py
@@ -30,7 +30,7 @@
 
 
 Step = Compile | Activate | Lost | None
-MOST_SEEN = 256  # inventories that come into force while one compile runs; the oldest is forgotten
+MAX_SEEN = 256  # inventories that come into force while one compile runs; the oldest is forgotten
 
 
 class Compiling:
@@ -45,7 +45,7 @@
 
     def saw(self, wanted: str) -> None:
         self.seen[wanted] = None
-        while len(self.seen) > MOST_SEEN:
+        while len(self.seen) > MAX_SEEN:
             del self.seen[next(iter(self.seen))]
 
     def takes(self, made_from: str, wanted: str, machine: Machine) -> bool:
--- a/beechrock/lowering/read.py
+++ b/beechrock/lowering/read.py
@@ -9,8 +9,8 @@
 from beechrock.inventory.problems import Problems
 from beechrock.lowering.policy import (
     KEYS,
-    MOST_ATTEMPT,
-    MOST_SIZE,
+    MAX_ATTEMPT,
+    MAX_SIZE,
     Affinity,
     Feature,
     Kind,
@@ -94,8 +94,8 @@
             v.get("service"),
             KIND_KEYS[told[0]] if told else Kind.ANY,
             subjects,
-            (int(v.get("size_least", 0)), int(v.get("size_most", MOST_SIZE))),
-            (int(v.get("attempt_least", 1)), int(v.get("attempt_most", MOST_ATTEMPT))),
+            (int(v.get("size_least", 0)), int(v.get("size_most", MAX_SIZE))),
+            (int(v.get("attempt_least", 1)), int(v.get("attempt_most", MAX_ATTEMPT))),
         )
         affinity = v.get("affinity", "none")
         if affinity not in AFFINITIES:
--- a/beechrock/lowering/rollout.py
+++ b/beechrock/lowering/rollout.py
@@ -20,7 +20,7 @@
 
 from beechrock.lowering.errors import BrokenInvariantError
 
-MOST_NODES, MOST_CLASSES, MOST_REFUSED, MOST_TEXT = 256, 64, 32, 200
+MAX_NODES, MAX_CLASSES, MAX_REFUSED, MAX_TEXT = 256, 64, 32, 200
 FORMAT = 1
 
 
@@ -146,8 +146,8 @@
     ) -> tuple[bool, Any]:
         """A node began, with what it measured. What an earlier life had prepared is gone with it."""
         known = self.nodes.get(name)
-        if known is None and len(self.nodes) >= MOST_NODES:
-            return False, f"over {MOST_NODES} nodes"
+        if known is None and len(self.nodes) >= MAX_NODES:
+            return False, f"over {MAX_NODES} nodes"
         if known is not None and life < known.life:
             return False, "a later life was here"
         self.nodes[name] = Node(life, hardware, hall, scgi, differs[:20])
@@ -187,7 +187,7 @@
             return True, self.active.number
         if policy in self.refused and not again:
             return False, f"was {self.refused[policy]}"
-        if not 0 < len(classes) <= MOST_CLASSES or not 0 < len(nodes) <= MOST_NODES:
+        if not 0 < len(classes) <= MAX_CLASSES or not 0 < len(nodes) <= MAX_NODES:
             return False, "no class or no node, or too many"
         self.refused.pop(policy, None)
         self.open = Rollout(index, digest, policy, size, by, sorted(classes), dict(lost), sorted(nodes))
@@ -220,7 +220,7 @@
         if rollout is None or name not in rollout.nodes or node is None or node.life != life:
             return False, "no such rollout, node or life"
         rollout.prepared.pop(name, None)
-        rollout.cannot[name] = why[:MOST_TEXT]
+        rollout.cannot[name] = why[:MAX_TEXT]
         self._steer_round(rollout, name)
         self._stage()
         return True, index
@@ -328,9 +328,9 @@
         rollout.stage = stage.value
         self.refused.pop(rollout.policy, None)
         self.refused[rollout.policy] = stage.value
-        while len(self.refused) > MOST_REFUSED:
+        while len(self.refused) > MAX_REFUSED:
             del self.refused[next(iter(self.refused))]
-        self.last = f"{rollout.digest[:12]} {stage.value} by {who}"[:MOST_TEXT]
+        self.last = f"{rollout.digest[:12]} {stage.value} by {who}"[:MAX_TEXT]
 
     # --- what always holds
 
--- a/beechrock/lowering/tables.py
+++ b/beechrock/lowering/tables.py
@@ -20,7 +20,7 @@
 
 from beechrock.lowering.errors import PlanError
 from beechrock.lowering.passes.draft import Draft
-from beechrock.lowering.policy import END, MOST_ATTEMPT, MOST_SIZE, Kind, Pool
+from beechrock.lowering.policy import END, MAX_ATTEMPT, MAX_SIZE, Kind, Pool
 from beechrock.lowering.profile import ACTION_BYTES, ENTRY_BYTES, SLOT_BYTES
 
 FORMAT = 1
@@ -117,7 +117,7 @@
 
 def whole(team: str | None, service: str | None, action: int) -> Line:
     """An entry that takes all of these, before any rule."""
-    return Line(team, service, Kind.ANY, (), (0, MOST_SIZE), (1, MOST_ATTEMPT), COARSE, action)
+    return Line(team, service, Kind.ANY, (), (0, MAX_SIZE), (1, MAX_ATTEMPT), COARSE, action)
 
 
 def line_of(draft: Draft, action: int) -> Line:
--- a/beechrock/lowering/witness.py
+++ b/beechrock/lowering/witness.py
@@ -12,10 +12,10 @@
 from beechrock.lowering.errors import PolicyError, WitnessError
 from beechrock.lowering.interpret import Ideal, Interpreter
 from beechrock.lowering.passes.draft import Finding, Outcome
-from beechrock.lowering.policy import MOST_ATTEMPT, MOST_SIZE, Feature, Kind, Mark, Policy, Request, Rule
+from beechrock.lowering.policy import MAX_ATTEMPT, MAX_SIZE, Feature, Kind, Mark, Policy, Request, Rule
 from beechrock.lowering.tables import COARSE, REFUSE, RUN, STEER, Action, Entry, Table
 
-MOST_WITNESSES = 500_000
+MAX_WITNESSES = 500_000
 AFTER = "~"  # what is put behind a subject to leave the region of the whole subject
 Entries = Mapping[str, Entry | None]  # by class what it finds for one request
 Told = Mapping[tuple[str, int], Sequence[Finding]]  # by class and rank, for what runs there
@@ -62,12 +62,12 @@
                     else subject in r.match.subjects
                 )
             ]
-            for size in _cuts([m.size for m in here], (0, MOST_SIZE)):
-                for attempt in _cuts([m.attempt for m in here], (1, MOST_ATTEMPT)):
+            for size in _cuts([m.size for m in here], (0, MAX_SIZE)):
+                for attempt in _cuts([m.attempt for m in here], (1, MAX_ATTEMPT)):
                     count += 1
-                    if count > MOST_WITNESSES:
+                    if count > MAX_WITNESSES:
                         raise PolicyError(
-                            f"over {MOST_WITNESSES} regions to look at",
+                            f"over {MAX_WITNESSES} regions to look at",
                             where="rules",
                             do="name teams and services in the rules, or fewer sizes and attempts",
                         )
--- a/tests/lowering/test_tables.py
+++ b/tests/lowering/test_tables.py
@@ -3,7 +3,7 @@
 import random
 import tracemalloc
 
-from beechrock.lowering.policy import END, MOST_ATTEMPT, MOST_SIZE, Kind, Pool
+from beechrock.lowering.policy import END, MAX_ATTEMPT, MAX_SIZE, Kind, Pool
 from beechrock.lowering.tables import Action, Line, Table, held_bytes, pack
 
 WORDS = ("a", "ab", "abc", "abd", "b", "img/", "img/x")
@@ -39,8 +39,8 @@
                     pick.choice((None, "s", "v")),
                     kind,
                     tuple(words),
-                    pick.choice(((0, MOST_SIZE), (0, 9), (5, MOST_SIZE))),
-                    pick.choice(((1, MOST_ATTEMPT), (1, 1), (2, MOST_ATTEMPT))),
+                    pick.choice(((0, MAX_SIZE), (0, 9), (5, MAX_SIZE))),
+                    pick.choice(((1, MAX_ATTEMPT), (1, 1), (2, MAX_ATTEMPT))),
                     rank,
                     pick.randrange(2),
                 )
