--- a/beechrock/lowering/apart.py
+++ b/beechrock/lowering/apart.py
@@ -1,4 +1,4 @@
-"""Runs the compile in a child process, because its seconds of CPU and the solver's memory would stall a node."""
+"""Runs the compile in a child process: its CPU time and the solver's memory would burden the node's loop."""
 
 import asyncio
 import os
--- a/beechrock/lowering/assemble.py
+++ b/beechrock/lowering/assemble.py
@@ -32,11 +32,7 @@
 
 
 class Assembly:
-    """Steps of one compile.
-
-    ``wants`` and ``rooms`` are the input of the solver; ``take`` takes its placement; the tables and the
-    report are read afterwards.
-    """
+    """Steps of a compile: input of the solver, ``take`` for its placement, then tables and results."""
 
     def __init__(self, policy: Policy, classes: list[Class], fleet: Fleet) -> None:
         self.policy, self.classes, self.fleet = policy, classes, fleet
@@ -71,10 +67,7 @@
             self._coarse_target(each)
 
     def _lengths(self, each: Class) -> None:
-        """Mark rules as stuck whose prefixes exceed the number of prefix lengths that the class can look up.
-
-        Rules of lower rank are served first.
-        """
+        """Mark rules as stuck, in rank order, once the class can't look up more prefix lengths."""
         held: set[int] = set()
         for rank, draft in enumerate(each.drafts):
             new_lengths = {len(p) for p in draft.prefixes} - held
@@ -147,7 +140,7 @@
                     self.forced[rank].add(each.coarse_to)
 
     def _fits(self, other: Class, met: Sequence[int]) -> bool:
-        """Return whether a class has room for the smallest drafts of ``met`` and steers of all other rules."""
+        """Return whether a class can hold the smallest drafts of ``met`` and steers of all other rules."""
         inside_met = set(met)
         needs = [
             self._choice(other.options[r][-1]) if r in inside_met and other.options[r] else self._steer(d)
@@ -388,10 +381,7 @@
 
 
 class _Places:
-    """Numbers the distinct actions of a table.
-
-    Most lookups pass an object that is already known and found by its id, without comparing its fields.
-    """
+    """Numbers a table's distinct actions; a known object is found by its id, without comparing fields."""
 
     def __init__(self) -> None:
         self.by_value: dict[Action, int] = {}
--- a/beechrock/lowering/compile.py
+++ b/beechrock/lowering/compile.py
@@ -128,9 +128,8 @@
     found: list[list[Draft]] = [[] for _ in profiles]
     steps: list[tuple[passes.Pass, dict[Places, Parts]]] = []
     every: Places = tuple(range(len(profiles)))
-    alike: list[
-        list[int]
-    ] = []  # By step and class: index of the first class with the same values of the fields that the step reads
+    # By step and class: index of the first class with the same values of the fields that the step reads.
+    alike: list[list[int]] = []
     for step, reads, _ in passes.ALL:
         kinds = [tuple(getattr(profile, key) for key in reads) for profile in profiles]
         alike.append([kinds.index(kind) for kind in kinds])
@@ -168,7 +167,7 @@
 
 
 def _parts(places: Places, alike: Sequence[int], profiles: Sequence[Profile]) -> Parts:
-    """Split the classes into groups that a step treats alike, each with the profile of its first class."""
+    """Split the classes into groups that a step treats alike, with the first class's profile."""
     parts: dict[int, list[int]] = {}
     for at in places:
         parts.setdefault(alike[at], []).append(at)
@@ -176,7 +175,7 @@
 
 
 def _chains(policy: Policy) -> None:
-    """Raise PolicyError if more than MAX_CHAIN rules match the same subject, as lookups would be slow."""
+    """Raise PolicyError if over MAX_CHAIN rules match the same subject, as lookups would be slow."""
     count: dict[tuple[str | None, str | None, str], int] = {}
     for rule in policy.rules:
         for subject in rule.match.subjects or ("",):
--- a/beechrock/lowering/duty.py
+++ b/beechrock/lowering/duty.py
@@ -11,7 +11,7 @@
 
 
 class Publishing:
-    """Worker of the publisher duty; ``Lowering`` takes the publisher's steps while its node holds the duty."""
+    """Worker of the publisher duty; ``Lowering`` takes the publisher's steps while it holds the duty."""
 
     def __init__(self, part: "Lowering") -> None:
         self.part = part
--- a/beechrock/lowering/interpret.py
+++ b/beechrock/lowering/interpret.py
@@ -54,7 +54,7 @@
         return None
 
     def answer(self, request: Request, lost: Collection[str] = ()) -> Ideal | None:
-        """Return the treatment of the request with the halls ``lost`` unavailable; None if no rule matches."""
+        """Return the treatment of the request without the halls ``lost``; None if no rule matches."""
         rule = self.rule(request)
         if rule is None:
             return None
--- a/beechrock/lowering/part.py
+++ b/beechrock/lowering/part.py
@@ -304,7 +304,7 @@
         now = clocks.mono()
         heard = {
             self.name,
-            *(n for n, heard_s in self.plans.heard.items() if now - heard_s < self.told.gone_s),
+            *(name for name, at in self.plans.heard.items() if now - at < self.told.gone_s),
         }
         step = self.publisher.step(now, self.machine, self._wanted(), heard)
         self.waits = step is not None
--- a/beechrock/lowering/place.py
+++ b/beechrock/lowering/place.py
@@ -1,10 +1,10 @@
-"""Which class carries which rule: by a solver, or greedily, under room, capacity and the loss of any one
-hall. Pure.
+"""Decides which class runs which rule, by a solver or greedily, within table sizes and request rates. Pure.
 
-Rules that cost the same everywhere are one group, so that 10,000 rules are some hundred whole numbers. A
-column is a pattern: for a group, which classes run it (in full, or bare of what is no ``must``) and that the
-others steer. The solver is bounded by work and not by time, so that the same input has the same plan; the
-time limit is a net, and where it holds, the greedy way counts and the report says so.
+The request rates also have to hold after the loss of any one hall. Rules with similar costs form a group, so
+that 10,000 rules need only some hundred integer variables. Each column of the model is a pattern of a group:
+which classes run its rules (in full, or reduced to the ``must`` features) while all others steer. The solver
+is bounded by work and not by time, so that the same input always gives the same plan. The time limit is only
+a safety net: if it is reached, the greedy placement is used and the report says so.
 """
 
 import math
@@ -12,14 +12,17 @@
 from dataclasses import dataclass, replace
 from typing import Any, NamedTuple
 
-STEERED = -1
+STEERED = -1  # In place of an option: the class steers the rule to another class
+# Penalties in the objective: per class that steers a rule, per refused rule, per rule that has to survive the
+# loss of a hall and does not, and for load above a class's request rate.
 STEER_COST, REFUSE_COST, FRAGILE_COST, OVER_COST = 20, 100_000, 2_000, 3_000
+# Bounds of the solver: groups in the model, seconds, nodes of the search tree, and relative optimality gap.
 MAX_GROUPS, TIME_S, NODES, GAP = 800, 3.0, 50, 0.005
-MARGIN = 0.99  # of its room the solver fills this much, as it reckons with the mean of a group
+MARGIN = 0.99  # Share of a class's capacity that the solver may use, because it works with group means
 
 
 class Choice(NamedTuple):
-    """What it costs a class to hold a rule so. Memory in bytes; ``penalty`` for what is lost of the rule."""
+    """Resources that a class needs for a rule (memory in bytes), and the penalty for its lost features."""
 
     memory: int = 0
     entries: int = 0
@@ -33,19 +36,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Want:
-    """A rule: by class the ways to run it (best first; none: it can't), and what it costs to steer it
-    there."""
+    """Rule to place: by class its options to run it (best first; none: it can't), and the cost to steer."""
 
     options: tuple[tuple[Choice, ...], ...]
     steer: tuple[Choice, ...]
     rate_per_s: float
-    forced: tuple[int, ...] = ()  # classes that have to run it, as others steer more than this rule to them
-    survives: bool = False  # a hall's loss may not leave it without a class
+    # Classes that have to run the rule, because other classes steer whole coarse scopes to them.
+    forced: tuple[int, ...] = ()
+    survives: bool = False  # Whether some class must still run the rule after the loss of any one hall
 
 
 @dataclass(frozen=True, slots=True)
 class Room:
-    """A class: what its table holds, and what its machines route a second, in all and without each hall."""
+    """Capacity of a class: limits of its table, and requests per second with all halls and without each."""
 
     memory: int
     entries: int
@@ -60,12 +63,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Pattern:
-    """By class which option, or STEERED; where nobody runs it, it is refused."""
+    """Assignment of one rule: for each class an option or STEERED; refused if no class runs it."""
 
     way: tuple[int, ...]
     held: tuple[tuple[int, int, int, int], ...]
     penalty: int
-    extra: tuple[float, ...]  # requests a second that are steered to each class, then so without each hall
+    # Requests per second steered to each class with all halls, then the same without each hall in turn.
+    extra: tuple[float, ...]
 
     @property
     def runs(self) -> bool:
@@ -74,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Placement:
-    """By rule and class the option or STEERED; ``cost`` is what was made least, to compare ways."""
+    """Option or STEERED for each rule and class; ``cost`` is the value of the minimized objective."""
 
     ways: tuple[tuple[int, ...], ...]
     cost: float
@@ -82,42 +86,44 @@
 
 
 def target(want: Want, way: Sequence[int], alive: Sequence[bool]) -> int | None:
-    """Where a class that can't run it steers: to that which runs it best, then the first. None: nowhere."""
+    """Return the class to steer to: that with the lowest penalty, then the first; None if none runs it."""
     runs = [(want.options[c][at].penalty, c) for c, at in enumerate(way) if at != STEERED and alive[c]]
     return min(runs)[1] if runs else None
 
 
-Rate = tuple[list[float], float, list[bool]]  # by class, their sum, and whether a class has any
+# Requests per second by class, their sum (1.0 if it is 0), and by class whether its rate is above 0.
+Rate = tuple[list[float], float, list[bool]]
 
 
 def _loads(want: Want, way: Sequence[int], rates: Sequence[Rate]) -> tuple[list[float], bool]:
-    """Steered requests by state and class, and whether it has a class in each state."""
+    """Return the steered requests/s by state and class, and whether a class runs it in each state."""
     extra: list[float] = []
-    whole = True
+    available = True
     for rate, total, alive in rates:
-        more = [0.0] * len(rate)
+        steered = [0.0] * len(rate)
         to = target(want, way, alive)
         if to is None:
-            whole = False
+            available = False
         else:
-            more[to] = sum([want.rate_per_s * r / total for c, r in enumerate(rate) if way[c] == STEERED])
-        extra += more
-    return extra, whole
+            steered[to] = sum([want.rate_per_s * r / total for c, r in enumerate(rate) if way[c] == STEERED])
+        extra += steered
+    return extra, available
 
 
 def _sets(want: Want, can: Sequence[int], forced: Sequence[int]) -> list[frozenset[int]]:
-    """Classes that may run it together: the best ones, all but one, and each alone.
+    """Return the sets of classes to consider: the k best for each k, all but one, and each alone.
 
-    All sets of six classes were 128 patterns a group, and building the model took longer than solving it.
+    With all subsets of six classes a group had 128 patterns, and building the model took longer than solving
+    it.
     """
     best = sorted(can, key=lambda c: (want.options[c][0].penalty, want.options[c][0].memory, c))
-    told = [best[:k] for k in range(len(best) + 1)]
-    told += [[c for c in best if c != out] for out in best] + [[c] for c in best]
-    return list(dict.fromkeys(frozenset((*forced, *there)) for there in told))
+    sets = [best[:k] for k in range(len(best) + 1)]
+    sets += [[c for c in best if c != out] for out in best] + [[c] for c in best]
+    return list(dict.fromkeys(frozenset((*forced, *runners)) for runners in sets))
 
 
 def rates_of(rooms: Sequence[Room]) -> list[Rate]:
-    """With all halls, and without each."""
+    """Return the request rates of all classes: with all halls, then without each hall in turn."""
     found = [
         [room.rate_per_s for room in rooms],
         *([room.without[h] for room in rooms] for h in range(len(rooms[0].without) if rooms else 0)),
@@ -126,25 +132,25 @@
 
 
 def patterns(want: Want, rates: Sequence[Rate]) -> list[Pattern]:
-    """All ways that are worth looking at: each set of classes that run it, in full or bare."""
+    """Return the patterns to consider: each set of classes that runs the rule, in full or reduced."""
     count = len(want.options)
     can = [c for c in range(count) if want.options[c]]
     forced = [c for c in want.forced if want.options[c]]
     found: dict[tuple[int, ...], Pattern] = {}
-    for there in _sets(want, can, forced):
+    for runners in _sets(want, can, forced):
         for bare in (False, True):
             way = tuple(
-                (len(want.options[c]) - 1 if bare else 0) if c in there else STEERED for c in range(count)
+                (len(want.options[c]) - 1 if bare else 0) if c in runners else STEERED for c in range(count)
             )
             if way in found:
                 continue
-            extra, whole = _loads(want, way, rates)
+            extra, available = _loads(want, way, rates)
             penalty = sum(
                 want.options[c][at].penalty if at != STEERED else STEER_COST for c, at in enumerate(way)
             )
-            if not there:
+            if not runners:
                 penalty = REFUSE_COST
-            elif not whole and want.survives:
+            elif not available and want.survives:
                 penalty += FRAGILE_COST
             held = tuple(
                 (want.options[c][at] if at != STEERED else want.steer[c]).held() for c, at in enumerate(way)
@@ -154,13 +160,13 @@
 
 
 def spare(wants: Sequence[Want], rooms: Sequence[Room]) -> list[float]:
-    """By state and class what is left of its rate after the requests that come to it anyway."""
+    """Return by state and class the request rate left after the requests that reach each class directly."""
     total = sum(want.rate_per_s for want in wants)
     found = []
     for h in range(-1, len(rooms[0].without) if rooms else -1):
         rates = [room.rate_per_s if h < 0 else room.without[h] for room in rooms]
-        whole = sum(rates) or 1.0
-        found += [max(0.0, rate - total * rate / whole) for rate in rates]
+        fleet_rate = sum(rates) or 1.0
+        found += [max(0.0, rate - total * rate / fleet_rate) for rate in rates]
     return found
 
 
@@ -172,7 +178,7 @@
 
 
 def _alike(want: Want, coarse: int) -> tuple[object, ...]:
-    """What rules of one group have in common: memory and rates by powers of two, penalties by steps."""
+    """Return a rule's grouping key: its costs, rounded; a higher ``coarse`` rounds more."""
     rate = math.floor(math.log2(max(want.rate_per_s, 1e-3))) >> coarse
     key: list[object] = [rate, want.forced, want.survives]
     step = 4 << 2 * coarse
@@ -185,13 +191,15 @@
 
 
 def _mean(wants: Sequence[Want]) -> Want:
-    """One that stands for all of a group, so that sums over the whole group are right."""
+    """Return the mean of a group's rules, so that a sum over the group is right."""
     count, first = len(wants), wants[0]
 
     def mean(choices: Sequence[Choice]) -> Choice:
         memory, lost = sum(c.memory for c in choices), sum(c.penalty for c in choices)
-        one = choices[0]
-        return Choice(-(-memory // count), one.entries, one.counters, one.timers, round(lost / count))
+        sample = choices[0]
+        return Choice(
+            -(-memory // count), sample.entries, sample.counters, sample.timers, round(lost / count)
+        )
 
     return replace(
         first,
@@ -205,29 +213,31 @@
 
 
 def groups_of(wants: Sequence[Want], rooms: Sequence[Room]) -> list[_Group]:
-    """As few groups as MAX_GROUPS where coarser figures do that. Rounded up for all, 3,000 steers did not
-    fit."""
-    told = [[at] for at in range(len(wants))]
+    """Group similar rules, with coarser keys until there are at most MAX_GROUPS groups, if possible.
+
+    A group's cost is the mean of its rules: with costs rounded up, 3,000 steers did not fit.
+    """
+    member_lists = [[at] for at in range(len(wants))]
     for coarse in range(0 if len(wants) < 1000 else 1, 4):
         found: dict[tuple[object, ...], list[int]] = {}
-        for alike in told:  # what is alike stays so where the figures are coarser
+        for alike in member_lists:  # Rules with the same key keep a common key at every coarser level
             found.setdefault(_alike(wants[alike[0]], coarse), []).extend(alike)
-        told = list(found.values())
-        if len(told) <= MAX_GROUPS:
+        member_lists = list(found.values())
+        if len(member_lists) <= MAX_GROUPS:
             break
     groups, rates = [], rates_of(rooms)
-    for members in map(sorted, told):
+    for members in map(sorted, member_lists):
         want = _mean([wants[at] for at in members])
         groups.append(_Group(want, members, patterns(want, rates)))
     return groups
 
 
 def greedy(wants: Sequence[Want], rooms: Sequence[Room], groups: Sequence[_Group]) -> Placement:
-    """Each rule in turn takes the least costly way that still has room; refused where none has."""
+    """Give each rule in turn the cheapest pattern that still has room; refuse it if none has."""
     left = [list(room.held()) for room in rooms]
     free = spare(wants, rooms)
     offered = {member: group.patterns for group in groups for member in group.members}
-    # What steering needs is kept for all, so that early rules can't leave later ones without an entry.
+    # Space for steering is reserved for all rules, so that early rules can't take the entries of later ones.
     for want in wants:
         for c, choice in enumerate(want.steer):
             for k, value in enumerate(choice.held()):
@@ -245,8 +255,8 @@
             price = pattern.penalty + over * OVER_COST / 100
             if best is None or price < best[0]:
                 best = price, pattern
-        nothing = Pattern((STEERED,) * len(rooms), tuple(base), REFUSE_COST, (0.0,) * len(free))
-        price, chosen = best if best is not None else (float(REFUSE_COST), nothing)
+        refusal = Pattern((STEERED,) * len(rooms), tuple(base), REFUSE_COST, (0.0,) * len(free))
+        price, chosen = best if best is not None else (float(REFUSE_COST), refusal)
         cost += price
         ways.append(chosen.way)
         for c, option in enumerate(chosen.way):
@@ -261,7 +271,7 @@
 def _has_room(
     want: Want, pattern: Pattern, base: Sequence[Sequence[int]], left: Sequence[Sequence[int]]
 ) -> bool:
-    """By the rule's own figures; those of its group's pattern are a mean."""
+    """Return whether the pattern fits, by the rule's own costs; the pattern holds the means of its group."""
     return all(
         left[c][k] + base[c][k] >= value
         for c, option in enumerate(pattern.way)
@@ -273,7 +283,7 @@
 def solved(
     wants: Sequence[Want], rooms: Sequence[Room], groups: Sequence[_Group], time_s: float = TIME_S
 ) -> Placement | None:
-    """The solver's way; None where it has none within its bounds."""
+    """Return the solver's placement; None if it finds none within its bounds."""
     import highspy
     import numpy as np
 
@@ -281,7 +291,7 @@
     columns = [(g, pattern) for g, group in enumerate(groups) for pattern in group.patterns]
     rows = len(groups) + 4 * len(rooms) + len(free)
     starts, index, value, costs = [0], list[int](), list[float](), list[float]()
-    # Rows are scaled to about one, as bytes beside single timers cost the solver its digits.
+    # Rows are scaled to about 1, because mixing byte counts with counts of timers costs numerical precision.
     limits = [max(1, room.held()[k]) for room in rooms for k in range(4)]
     for g, pattern in columns:
         index.append(g)
@@ -290,20 +300,20 @@
             if need := pattern.held[at // 4][at % 4]:
                 index.append(len(groups) + at)
                 value.append(need / limit)
-        for at, more in enumerate(pattern.extra):
-            if more:
+        for at, rate in enumerate(pattern.extra):
+            if rate:
                 index.append(len(groups) + len(limits) + at)
-                value.append(more / max(1.0, free[at]))
+                value.append(rate / max(1.0, free[at]))
         starts.append(len(index))
         costs.append(float(pattern.penalty))
-    for at in range(len(free)):  # what goes beyond a class's rate is possible, and dear
+    for at in range(len(free)):  # Load above a class's rate is allowed, at a high cost
         index.append(len(groups) + len(limits) + at)
         value.append(-1.0)
         starts.append(len(index))
         costs.append(float(OVER_COST))
-    whole = len(columns)
+    column_count = len(columns)
     model = highspy.HighsLp()
-    model.num_col_, model.num_row_ = whole + len(free), rows
+    model.num_col_, model.num_row_ = column_count + len(free), rows
     model.col_cost_ = np.array(costs)
     model.col_lower_ = np.zeros(model.num_col_)
     model.col_upper_ = np.array([float(len(groups[g].members)) for g, _ in columns] + [1e6] * len(free))
@@ -315,13 +325,13 @@
     model.a_matrix_.format_ = highspy.MatrixFormat.kColwise
     model.a_matrix_.start_, model.a_matrix_.index_ = np.array(starts), np.array(index)
     model.a_matrix_.value_ = np.array(value)
-    model.integrality_ = [highspy.HighsVarType.kInteger] * whole + [highspy.HighsVarType.kContinuous] * len(
-        free
-    )
-    # The outer class writes a banner on standard output as it is made, where a command's JSON goes.
+    model.integrality_ = [highspy.HighsVarType.kInteger] * column_count + [
+        highspy.HighsVarType.kContinuous
+    ] * len(free)
+    # The public class ``Highs`` prints a banner on standard output, which would corrupt a command's JSON.
     solver: Any = highspy._core._Highs()
     options = highspy.HighsOptions()
-    for name, told in (
+    for name, setting in (
         ("output_flag", False),
         ("log_to_console", False),
         ("threads", 1),
@@ -331,14 +341,14 @@
         ("mip_max_nodes", NODES),
         ("time_limit", time_s),
     ):
-        setattr(options, name, told)
+        setattr(options, name, setting)
     solver.passOptions(options)
     solver.passModel(model)
     solver.run()
     status = solver.getModelStatus()
     if status not in (highspy.HighsModelStatus.kOptimal, highspy.HighsModelStatus.kSolutionLimit):
         return None
-    counts = [round(x) for x in solver.getSolution().col_value[:whole]]
+    counts = [round(x) for x in solver.getSolution().col_value[:column_count]]
     ways: list[tuple[int, ...]] = [()] * len(wants)
     taken = [0] * len(groups)
     for (g, pattern), number in zip(columns, counts, strict=True):
@@ -351,8 +361,7 @@
 
 
 def fits(wants: Sequence[Want], rooms: Sequence[Room], ways: Sequence[Sequence[int]]) -> bool:
-    """Whether every class holds what was placed on it; looked at again after the solver, whose numbers are
-    rounded."""
+    """Return whether every class has room for its rules; the solver's numbers are scaled and averaged."""
     used = [[0] * 4 for _ in rooms]
     for want, way in zip(wants, ways, strict=True):
         for c, at in enumerate(way):
@@ -363,7 +372,7 @@
 
 
 def price(wants: Sequence[Want], ways: Sequence[Sequence[int]]) -> int:
-    """What is lost in all, by each rule's own figures."""
+    """Return the total penalty of a placement, by each rule's own costs."""
     lost = 0
     for want, way in zip(wants, ways, strict=True):
         if all(at == STEERED for at in way):
@@ -374,17 +383,16 @@
 
 
 def place(wants: Sequence[Want], rooms: Sequence[Room], time_s: float = TIME_S) -> Placement:
-    """The solver's way where it has one that fits, else the greedy one."""
+    """Return the solver's placement if it fits and is not worse than the greedy one, else the greedy one."""
     if not wants or not rooms:
         return Placement(((STEERED,) * len(rooms),) * len(wants), 0.0, "none")
     groups = groups_of(wants, rooms)
-    # Seen with 10,000 rules, 1,394 groups: the solver was 12 s in its presolve, past its own time limit, and
-    # had not looked at one node. So large a model is not asked for; the greedy way counts.
+    # With 10,000 rules in 1,394 groups the solver spent 12 s in presolve, past its own time limit, without
+    # examining one node. For such a large model the solver is skipped and the greedy placement is used.
     asked = time_s > 0 and len(groups) <= MAX_GROUPS
     found = solved(wants, rooms, groups, time_s) if asked else None
     plain = greedy(wants, rooms, groups)
     if found is None or not fits(wants, rooms, found.ways):
         return plain
-    # The solver reckons with means and a margin: where it is not better by the rules' own figures, it does
-    # not count.
+    # The solver works with means and a margin, so the two placements are compared by each rule's own costs.
     return min((found, plain), key=lambda way: price(wants, way.ways))
--- a/beechrock/lowering/plans.py
+++ b/beechrock/lowering/plans.py
@@ -1,4 +1,4 @@
-"""Plans at this node: on disk, in memory, and on their way from who holds one, piece by piece."""
+"""Stores plans on disk and in memory, and fetches them in chunks from other nodes."""
 
 from collections.abc import Callable, Collection
 from pathlib import Path
@@ -13,24 +13,27 @@
 from beechrock.store.folder import open_folder
 
 CHANNEL = "lowering"
-CHUNK = 256 << 10  # of a plan, a message
-KEPT = 4  # plans in memory, on disk, and on their way
+CHUNK = 256 << 10  # Maximum number of bytes of a plan in one message
+KEPT = 4  # Number of plans kept in memory and on disk, and maximum number being fetched
 PREFIX = "plan."
-TURN_S = 2.0  # so long one holder is asked before the next
+TURN_S = 2.0  # Seconds for which one holder is asked before switching to the next
 
 
 class Plans:
-    """``got`` is called when one has come whole; ``bad`` with an error where it can't be run here."""
+    """Plans that this node holds or fetches.
+
+    ``got`` is called when a plan is complete, ``bad`` with the error text if a plan can't be read.
+    """
 
     def __init__(self, talk: Any, folder: Path, got: Callable[[], None], bad: Callable[[str], None]) -> None:
         self.talk, self.folder, self.got, self.bad = talk, folder, got, bad
-        self.held: dict[str, Plan] = {}  # by digest, the newest last
-        self.coming: dict[str, bytearray] = {}
-        self.heard: dict[str, float] = {}  # by peer: when anything came last
+        self.held: dict[str, Plan] = {}  # By digest; the plan stored last is last
+        self.coming: dict[str, bytearray] = {}  # By digest: bytes received so far
+        self.heard: dict[str, float] = {}  # By peer: time of its last message, in monotonic seconds
         self.files: Files | None = None
 
     def open(self) -> None:
-        """Read what an earlier process kept. OSError where the folder can't be had."""
+        """Load the plans that an earlier process stored. Raises OSError if the folder can't be used."""
         self.files = open_folder(self.folder)
         for name in self.files.names():
             if name.startswith(PREFIX):
@@ -41,7 +44,7 @@
             self.files.close()
 
     def ask(self, digest: str, holders: Collection[str]) -> None:
-        """One of those who hold it, another one after a while."""
+        """Ask one of the holders for the next chunk of a plan; change the holder every TURN_S seconds."""
         coming = self.coming.setdefault(digest, bytearray())
         while len(self.coming) > KEPT:
             del self.coming[next(iter(self.coming))]
@@ -76,7 +79,10 @@
             self.got()
 
     def keep(self, data: bytes, wanted: Collection[str]) -> str:
-        """Its digest; empty where these bytes are no plan that this program can run, which is told."""
+        """Store a plan and return its digest; log and return "" if this program can't read the bytes.
+
+        The oldest plans beyond KEPT are deleted, except those in ``wanted``.
+        """
         try:
             plan = read_plan(data)
         except OperatorError as error:
--- a/beechrock/lowering/policy.py
+++ b/beechrock/lowering/policy.py
@@ -1,9 +1,9 @@
-"""The model of a routing policy: rules, what they match, what they ask for, and how badly. Pure data.
+"""Model of a routing policy: rules, their matches, the features they request and their importance. Pure data.
 
-One order holds for all who look: by ``order``, then the narrower match, then the name. The first rule that
-matches a request has it. What may not run twice (keyed and unsafe contracts) is never hedged, mirrored or
-tried again, whatever a rule says; a pool of one team serves no other; ``survive_per_s`` holds with any one
-hall lost.
+All rules have one order: by ``order``, then the more specific match first, then the name. A request belongs
+to the first rule that matches it. Requests that must not run twice (those of keyed and unsafe contracts) are
+never hedged, mirrored or retried, whatever a rule says; a pool of one team serves no other team;
+``survive_per_s`` holds with any one hall lost.
 """
 
 from collections.abc import Iterable, Mapping
@@ -14,23 +14,25 @@
 from beechrock.inventory.problems import Place
 from beechrock.lowering.errors import PolicyError
 
+# Maximum numbers of rules, of pools, of subjects per rule, and of characters per subject.
 MAX_RULES, MAX_POOLS, MAX_SUBJECTS, MAX_SUBJECT = 20_000, 4_000, 1_000, 200
-MAX_CHAIN = 64  # rules that one subject of one contract may meet, so that a lookup stays short
-MAX_SIZE, MAX_ATTEMPT = 1 << 40, 100
-HIGHEST = 7  # priorities go from 0 to this
-END = "\0"  # stands after a subject's last character; no subject holds it
+MAX_CHAIN = 64  # Maximum number of rules with the same subject and contract, so that a lookup stays short
+MAX_SIZE, MAX_ATTEMPT = 1 << 40, 100  # Largest body size, in bytes, and highest attempt number
+HIGHEST = 7  # Highest priority; the lowest is 0
+END = "\0"  # End mark after a subject's last character; no subject contains it
 NOWHERE = Place("policy")
 
 
 class Mark(Enum):
-    __hash__ = object.__hash__  # one object each; the names' hashes were a tenth of a large compile
-    MUST = "must"  # kept, or the rule is not run there
-    SHOULD = "should"  # kept as near as the class can
-    MAY = "may"  # left out first where it does not fit
+    # Members are singletons, so the hash by identity is valid; hashing names took a tenth of a large compile.
+    __hash__ = object.__hash__
+    MUST = "must"  # A class that can't keep the feature does not run the rule
+    SHOULD = "should"  # Kept as closely as the class can
+    MAY = "may"  # Left out first if the table is too small
 
 
 class Feature(Enum):
-    """What a rule asks for. The last four are no wish of a rule: they are always ``must``."""
+    """Features that a rule can request. The last four are not optional: they are always ``must``."""
 
     __hash__ = object.__hash__
     POOLS = "pools"
@@ -54,7 +56,7 @@
 
 
 class Kind(IntEnum):
-    """How a rule tells subjects, the narrowest highest."""
+    """Ways to match subjects; a more specific one has a higher value."""
 
     ANY = 0
     PREFIX = 1
@@ -63,8 +65,11 @@
 
 
 class Affinity(IntEnum):
-    """Whether one subject keeps its server: not, by its hash over the slots, or with few moves when
-    servers change."""
+    """Ways to keep a subject on the same server.
+
+    NONE does not; MODULO picks a slot by the subject's hash; RENDEZVOUS moves few subjects when servers
+    change.
+    """
 
     NONE = 0
     MODULO = 1
@@ -72,7 +77,7 @@
 
 
 class Request(NamedTuple):
-    """What routing sees of a request; ``attempt`` counts from 1, ``size`` is of the body in bytes."""
+    """Fields of a request that routing uses; ``attempt`` counts from 1, ``size`` is the body's, in bytes."""
 
     team: str
     service: str
@@ -83,7 +88,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Match:
-    """None: any. Sizes in bytes and attempts are told as the least and the most, both of them in it."""
+    """Conditions of a rule; None matches any team or service.
+
+    Sizes (in bytes) and attempts are inclusive ranges.
+    """
 
     team: str | None = None
     service: str | None = None
@@ -110,21 +118,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Rule:
-    """``within``: how far the weights of a ``must`` may be off, as a part of all requests of a tier."""
+    """One rule of the policy.
+
+    ``within`` is the share of a tier's requests that may go to other pools than the weights say, if pools are
+    a ``must``.
+    """
 
     name: str
     match: Match
-    pools: tuple[tuple[str, int], ...]  # name and weight; weights count against each other
+    pools: tuple[tuple[str, int], ...]  # Name and relative weight
     order: int = 100
-    halls: tuple[str, ...] = ()  # pools of an earlier hall before those of a later one
+    halls: tuple[str, ...] = ()  # Order of halls; pools of an earlier hall are preferred
     fall_backs: tuple[str, ...] = ()
     affinity: Affinity = Affinity.NONE
-    rate_per_s: float | None = None  # of each team, where the rule is for several
-    at_once: int | None = None  # the same
+    rate_per_s: float | None = None  # Requests per second, per team if the rule matches several
+    at_once: int | None = None  # Maximum number of concurrent requests, per team likewise
     retries: int = 0
     hedge_ms: int | None = None
     priority: int = 3
-    mirrors: tuple[tuple[str, int], ...] = ()  # pool and percent
+    mirrors: tuple[tuple[str, int], ...] = ()  # Pool and percentage of the requests
     survive_per_s: float = 0.0
     expect_per_s: float = 1.0
     within: float = 0.02
@@ -135,13 +147,13 @@
     def mark(self, feature: Feature) -> Mark:
         if feature in ALWAYS:
             return Mark.MUST
-        for told, mark in self.marks:
-            if told is feature:
+        for marked, mark in self.marks:
+            if marked is feature:
                 return mark
         return Mark.SHOULD
 
     def at(self, key: str) -> Place:
-        """Where the rule says this."""
+        """Return the position in the policy's files at which the rule sets ``key``."""
         return self.places.get(key, self.place)
 
     def sorts(self) -> tuple[int, int, int, int, str]:
@@ -151,30 +163,30 @@
         return self.order, -int(m.kind), -longest, -named, self.name
 
     def names(self) -> tuple[str, ...]:
-        """All pools that the rule itself names."""
+        """Return the names of all pools that the rule itself lists."""
         return (*(n for n, _ in self.pools), *self.fall_backs, *(n for n, _ in self.mirrors))
 
 
 @dataclass(frozen=True, slots=True)
 class Pool:
-    """Servers that count as one; ``rate_per_s`` is what they can take together."""
+    """Group of servers; ``rate_per_s`` is the rate in requests per second that they can serve together."""
 
     name: str
     hall: str
     rate_per_s: float = 1000.0
     servers: tuple[tuple[str, int], ...] = ()
-    team: str | None = None  # serves this team alone
-    fall_back: str | None = None  # asked after this one, wherever it stands among fall-backs
+    team: str | None = None  # If set, the pool serves only this team
+    fall_back: str | None = None  # Tried after this pool wherever it is used as a fall-back
     place: Place = field(default=NOWHERE, compare=False)
 
 
 @dataclass(frozen=True, slots=True)
 class Policy:
-    """``rules`` in the one order that holds; a rule's rank is its place there."""
+    """Complete policy; ``rules`` are in rank order, and a rule's rank is its index."""
 
     rules: tuple[Rule, ...]
     pools: Mapping[str, Pool]
-    effects: Mapping[tuple[str, str], str]  # by team and service: safe, keyed or unsafe
+    effects: Mapping[tuple[str, str], str]  # By team and service: safe, keyed or unsafe
 
     def halls(self) -> tuple[str, ...]:
         return tuple(sorted({pool.hall for pool in self.pools.values()}))
@@ -190,7 +202,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """Something in the policy that can't stand, as ``inventory.problems`` tells it."""
+    """Error in the policy, in the form of ``inventory.problems``."""
 
     place: Place
     entry: str
@@ -199,7 +211,7 @@
 
 
 def made(rules: Iterable[Rule], pools: Iterable[Pool], effects: Mapping[tuple[str, str], str]) -> Policy:
-    """A policy that holds together; PolicyError names the first thing that does not."""
+    """Return a consistent policy. Raises PolicyError with the first fault."""
     policy = Policy(
         tuple(sorted(rules, key=Rule.sorts)),
         {p.name: p for p in sorted(pools, key=lambda p: p.name)},
@@ -208,9 +220,9 @@
     faults = check(policy)
     if faults:
         first = faults[0]
-        more = f" (and {len(faults) - 1} more)" if len(faults) > 1 else ""
+        suffix = f" (and {len(faults) - 1} more)" if len(faults) > 1 else ""
         raise PolicyError(
-            first.text + more,
+            first.text + suffix,
             where=f"{first.place}: {first.entry}: {first.key}",
             wanted="a policy that holds together",
             do="mend it; beechrock policy check names all",
@@ -219,7 +231,7 @@
 
 
 def check(policy: Policy) -> list[Fault]:
-    """All that can't stand, in the order of rules."""
+    """Return all faults of the policy, those of rules in rank order."""
     faults = []
     if len(policy.rules) > MAX_RULES or len(policy.pools) > MAX_POOLS:
         faults.append(Fault(NOWHERE, "rules", "", f"over {MAX_RULES} rules or {MAX_POOLS} pools"))
@@ -264,29 +276,29 @@
     for name in _reached(policy, rule):
         owner = policy.pools[name].team
         if owner is not None and owner != match.team:
-            # Isolation: also by a fall-back of a fall-back, where nobody looks.
+            # Team isolation must also hold for fall-backs of fall-backs, which the rule does not list.
             yield "pools", f"{name} serves the team {owner} alone, and the rule is for {match.team or 'all'}"
-    twice = [
-        f
-        for f, told in (
+    repeating = [
+        feature
+        for feature, setting in (
             (Feature.RETRIES, rule.retries),
             (Feature.HEDGE, rule.hedge_ms),
             (Feature.MIRRORS, rule.mirrors),
         )
-        if told and rule.mark(f) is Mark.MUST
+        if setting and rule.mark(feature) is Mark.MUST
     ]
-    if twice:
+    if repeating:
         effects = (
             by_service.get(match.service, set())
             if match.service is not None
             else set().union(*by_service.values())
         )
         if effects - {"safe"}:
-            yield twice[0].value, "is must, but some of what matches may not run twice"
+            yield repeating[0].value, "is must, but some of what matches may not run twice"
 
 
 def _reached(policy: Policy, rule: Rule) -> list[str]:
-    """Each pool that a request of the rule can come to."""
+    """Return every pool that a request of the rule can reach, including fall-backs of fall-backs."""
     seen = dict.fromkeys(name for name in rule.names() if name in policy.pools)
     for name in rule.fall_backs:
         pool = policy.pools.get(name)
--- a/beechrock/lowering/profile.py
+++ b/beechrock/lowering/profile.py
@@ -8,8 +8,8 @@
 
 KINDS = ("exact", "prefix", "set", "size", "attempt")
 # Estimated bytes in memory of a table entry with its key, of an action, and of a slot of an action. Based on
-# the growth of a CPython 3.11 process per loaded entry; tests/lowering/test_tables.py checks that the estimate
-# is not below the real size.
+# the growth of a CPython 3.11 process per loaded entry; tests/lowering/test_tables.py checks that the
+# estimate is not below the real size.
 ENTRY_BYTES, ACTION_BYTES, SLOT_BYTES = 420, 700, 16
 
 
--- a/beechrock/lowering/publish.py
+++ b/beechrock/lowering/publish.py
@@ -1,15 +1,15 @@
-"""What the holder of the publisher's duty does next: compile, propose, wait, activate, or tell of a loss.
-Pure."""
+"""Decides the publisher's next step: compile, activate a plan, report a loss, or wait. Pure."""
 
 from collections.abc import Collection
 from dataclasses import dataclass
 
 from beechrock.lowering.rollout import Machine, Rollout
 
-PREPARE_S = 10.0  # so long a node may take to prepare before it is steered round
-GONE_S = 3.0  # silent for so long, a node counts as gone; advice, the log has the word
-RETRY_S = 5.0  # after a compile or a proposal that came to nothing
-PAUSE_S = 1.0  # a longer gap between two steps: who was heard before it says nothing of who is there now
+PREPARE_S = 10.0  # Seconds that a node may take to prepare a plan; afterwards requests are steered around it
+GONE_S = 3.0  # Seconds of silence after which a node counts as lost; only a hint, the agreed log decides
+RETRY_S = 5.0  # Seconds until the next attempt after a failed compile or proposal
+# A gap in seconds between two steps after which earlier messages don't show which nodes are up now.
+PAUSE_S = 1.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,14 +30,14 @@
 
 
 Step = Compile | Activate | Lost | None
-MAX_SEEN = 256  # inventories that come into force while one compile runs; the oldest is forgotten
+MAX_SEEN = 256  # Maximum number of inventories remembered during one compile; the oldest is dropped first
 
 
 class Compiling:
-    """A compile under way, and the inventories that were in force here since it began.
+    """A running compile, and the inventories that were in force at this node since it began.
 
-    What it was made from is proposed if it was one of them. Only the newest one would do otherwise: seen in
-    the run of all parts, a policy that changed faster than a compile takes was never published.
+    Its plan is proposed if it was compiled from any of them. When only the newest inventory was accepted, a
+    policy that changed faster than a compile takes was never published.
     """
 
     def __init__(self, wanted: str) -> None:
@@ -49,24 +49,31 @@
             del self.seen[next(iter(self.seen))]
 
     def takes(self, made_from: str, wanted: str, machine: Machine) -> bool:
-        """Not what was withdrawn: a change that is taken back to what is in force needs no new plan."""
+        """Return whether to propose the plan.
+
+        A plan is not proposed after its change was withdrawn: if the inventory is the one in force again, no
+        new plan is needed.
+        """
         if not wanted or made_from not in self.seen:
             return False
         return made_from == wanted or machine.active is None or machine.active.policy != wanted
 
 
 class Publisher:
-    """Volatile: a new holder begins anew, and finds in the log what its predecessor left."""
+    """State of the publisher, in memory only; a new holder finds its predecessor's progress in the log."""
 
     def __init__(self, prepare_s: float = PREPARE_S, gone_s: float = GONE_S) -> None:
         self.prepare_s, self.gone_s = prepare_s, gone_s
         self.stepped_s, self.losses_from_s = float("-inf"), float("-inf")
-        self.since: dict[int, float] = {}  # by rollout: when this holder saw it first
-        self.tried: tuple[str, float] = ("", 0.0)
+        self.since: dict[int, float] = {}  # By rollout number: time at which this holder saw it first
+        self.tried: tuple[str, float] = ("", 0.0)  # Inventory digest and time of the last compile
+
+    def step(self, now: float, machine: Machine, wanted: str, responsive: Collection[str]) -> Step:
+        """Return the next step.
 
-    def step(self, now: float, machine: Machine, wanted: str, heard: Collection[str]) -> Step:
-        """``wanted`` is the digest of the inventory to go by, empty: none; ``heard`` are nodes that are
-        not silent."""
+        ``wanted`` is the digest of the inventory to publish, or empty; ``responsive`` are the nodes from
+        which a message came recently.
+        """
         if now - self.stepped_s > PAUSE_S:
             self.losses_from_s = now + self.gone_s
         self.stepped_s = now
@@ -74,8 +81,9 @@
             return self._carry(now, machine, machine.open)
         self.since.clear()
         if machine.active is not None:
-            state = self._state(machine, machine.active, heard)
-            # Seen in the run of all parts: back from a cut, it told a class lost whose nodes were all up.
+            state = self._state(machine, machine.active, responsive)
+            # After a gap between steps, wait ``gone_s`` before reporting a loss: a publisher that had just
+            # come back from a network cut reported a class as lost although all its nodes were up.
             if (
                 state is not None
                 and state != machine.active.state
@@ -95,25 +103,25 @@
 
     def _carry(self, now: float, machine: Machine, rollout: Rollout) -> Step:
         began = self.since.setdefault(rollout.number, now)
-        left = [n for n in rollout.nodes if n not in rollout.prepared and n not in rollout.cannot]
-        if left and now - began < self.prepare_s:
+        pending = [
+            name for name in rollout.nodes if name not in rollout.prepared and name not in rollout.cannot
+        ]
+        if pending and now - began < self.prepare_s:
             return None
         if not rollout.prepared or machine.state_for(rollout, machine.missing(rollout)) is None:
-            return (
-                None  # nobody can, or a class is missing that no plan does without: it stays open and is told
-            )
-        return Activate(rollout.number, tuple(n for n in rollout.nodes if n not in rollout.prepared))
-
-    def _state(self, machine: Machine, rollout: Rollout, heard: Collection[str]) -> str | None:
-        """The plan that fits who is there; None: leave it."""
-        there = [n for n in rollout.prepared if n in heard and n in machine.nodes]
-        if not there:
-            return None  # a publisher that hears nobody is the one that is cut off
-        halls = {machine.nodes[n].hall for n in rollout.prepared if n in machine.nodes}
-        gone_halls = sorted(halls - {machine.nodes[n].hall for n in there})
-        gone = sorted(set(rollout.classes) - {machine.nodes[n].hardware for n in there})
-        for hall in gone_halls:
+            return None  # No node is prepared, or no loss state covers a missing class: keep waiting
+        return Activate(rollout.number, tuple(name for name in rollout.nodes if name not in rollout.prepared))
+
+    def _state(self, machine: Machine, rollout: Rollout, responsive: Collection[str]) -> str | None:
+        """Return the loss state that fits the responsive nodes; None to keep the present one."""
+        present = [name for name in rollout.prepared if name in responsive and name in machine.nodes]
+        if not present:
+            return None  # If no node responds, it is the publisher that is cut off
+        halls = {machine.nodes[name].hall for name in rollout.prepared if name in machine.nodes}
+        lost_halls = sorted(halls - {machine.nodes[name].hall for name in present})
+        missing = sorted(set(rollout.classes) - {machine.nodes[name].hardware for name in present})
+        for hall in lost_halls:
             state = f"hall:{hall}"
-            if state in rollout.lost and set(gone) <= set(rollout.lost[state]):
+            if state in rollout.lost and set(missing) <= set(rollout.lost[state]):
                 return state
-        return machine.state_for(rollout, gone)
+        return machine.state_for(rollout, missing)
--- a/beechrock/lowering/read.py
+++ b/beechrock/lowering/read.py
@@ -1,6 +1,6 @@
-"""From the checked entries of an inventory to a policy, the classes' profiles and where machines stand. Pure.
+"""Converts the checked entries of an inventory into a policy, class profiles and machine counts. Pure.
 
-Each fault is among the inventory's problems, with file, line, entry and key.
+Each fault is added to the inventory's problems, with file, line, entry and key.
 """
 
 from typing import Any
@@ -25,8 +25,9 @@
 
 AFFINITIES = {affinity.name.lower(): affinity for affinity in Affinity}
 KIND_KEYS = {"subject": Kind.EXACT, "prefix": Kind.PREFIX, "subjects": Kind.SET}
-HALL, HARDWARE = "hall", "common"  # of a machine that does not tell; as [fleet] takes it too
-# A key of the inventory that is called otherwise in the model.
+# Hall and hardware class of a machine without these keys; the table [fleet] has the same defaults.
+HALL, HARDWARE = "hall", "common"
+# Keys of the inventory that have another name in the model.
 NAMES = {"rate": "rate_per_s", "survive": "survive_per_s", "expect": "expect_per_s"}
 WHOLE = ("order", "at_once", "retries", "hedge_ms", "priority")
 PROFILE_WHOLE = (
@@ -50,17 +51,19 @@
         self.problems.add(entry.origins.get(key, entry.place), f"{kind}.{entry.name}", key, text)
 
     def profile(self, entry: Entry) -> Profile:
-        v, told = entry.values, dict[str, Any]()
+        v, fields = entry.values, dict[str, Any]()
         for key, value in v.items():
-            told[NAMES.get(key, key)] = int(value) if key in PROFILE_WHOLE else value
+            fields[NAMES.get(key, key)] = int(value) if key in PROFILE_WHOLE else value
         for key, known in (("kinds", set(KINDS)), ("affinity", set(AFFINITIES))):
             if key in v:
                 unknown = sorted(set(v[key]) - known)
                 if unknown:
                     self.bad("hardware", entry, key, f"{unknown[0]} is none of {', '.join(sorted(known))}")
-        told["kinds"] = frozenset(v.get("kinds", KINDS))
-        told["affinity"] = frozenset(AFFINITIES[a] for a in v.get("affinity", AFFINITIES) if a in AFFINITIES)
-        return Profile(entry.name, place=entry.place, **told)
+        fields["kinds"] = frozenset(v.get("kinds", KINDS))
+        fields["affinity"] = frozenset(
+            AFFINITIES[a] for a in v.get("affinity", AFFINITIES) if a in AFFINITIES
+        )
+        return Profile(entry.name, place=entry.place, **fields)
 
     def pool(self, entry: Entry) -> Pool:
         v, machines = entry.values, self.checked.kinds["machines"]
@@ -85,14 +88,14 @@
         for key, kind in (("team", "teams"), ("service", "services")):
             if key in v and v[key] not in self.checked.kinds[kind]:
                 self.bad("rules", entry, key, f"{v[key]} is not in the inventory")
-        told = [key for key in KIND_KEYS if key in v]
-        if len(told) > 1:
-            self.bad("rules", entry, told[1], f"stands beside {told[0]}; one of them is wanted")
-        subjects = tuple(dict.fromkeys(v[told[0]] if told[0] == "subjects" else [v[told[0]]])) if told else ()
+        keys = [key for key in KIND_KEYS if key in v]
+        if len(keys) > 1:
+            self.bad("rules", entry, keys[1], f"stands beside {keys[0]}; one of them is wanted")
+        subjects = tuple(dict.fromkeys(v[keys[0]] if keys[0] == "subjects" else [v[keys[0]]])) if keys else ()
         match = Match(
             v.get("team"),
             v.get("service"),
-            KIND_KEYS[told[0]] if told else Kind.ANY,
+            KIND_KEYS[keys[0]] if keys else Kind.ANY,
             subjects,
             (int(v.get("size_least", 0)), int(v.get("size_most", MAX_SIZE))),
             (int(v.get("attempt_least", 1)), int(v.get("attempt_most", MAX_ATTEMPT))),
@@ -100,7 +103,7 @@
         affinity = v.get("affinity", "none")
         if affinity not in AFFINITIES:
             self.bad("rules", entry, "affinity", f"{affinity} is none of {', '.join(AFFINITIES)}")
-        more = {
+        optional = {
             NAMES.get(key, key): int(v[key]) if key in WHOLE else v[key]
             for key in (*WHOLE, "rate", "survive", "expect", "within")
             if key in v
@@ -116,7 +119,7 @@
             marks=self.marks(entry),
             place=entry.place,
             places=entry.origins,
-            **more,
+            **optional,
         )
 
     def marks(self, entry: Entry) -> tuple[tuple[Feature, Mark], ...]:
@@ -133,14 +136,16 @@
         return tuple(sorted(found.items(), key=lambda item: item[0].value))
 
 
-def _weights(told: list[str]) -> tuple[tuple[str, int], ...]:
-    parts = [part.rpartition("=") for part in told]
+def _weights(items: list[str]) -> tuple[tuple[str, int], ...]:
+    parts = [item.rpartition("=") for item in items]
     return tuple((name, int(number)) for name, _, number in parts)
 
 
 def policy_of(checked: Checked, problems: Problems) -> tuple[Policy, dict[str, Profile], Fleet]:
-    """What counts is what is among the problems afterwards: with an error there, the rest is not to be
-    used."""
+    """Return the policy, the class profiles and the fleet.
+
+    Faults are added to ``problems``; after an error the returned values must not be used.
+    """
     reader = _Reader(checked, problems)
     kinds = checked.kinds
     profiles = {name: reader.profile(entry) for name, entry in kinds["hardware"].items()}
--- a/beechrock/lowering/report.py
+++ b/beechrock/lowering/report.py
@@ -1,5 +1,4 @@
-"""What became of each rule in each class: how far off, by which line, why, and which machine would mend
-it. Pure."""
+"""Report of a compile: for each rule and class its outcome, deviations, reasons and better classes. Pure."""
 
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass, field
@@ -9,7 +8,7 @@
 from beechrock.lowering.passes.draft import Finding, Outcome
 from beechrock.lowering.policy import Feature
 
-# In which unit an error is told.
+# Unit of the error of each feature, as shown in a row.
 UNITS = {
     Feature.POOLS: "of the requests elsewhere",
     Feature.HALLS: "halls out of order",
@@ -26,8 +25,11 @@
 
 
 class Row(NamedTuple):
-    """One rule at one class. ``target`` is where it is steered; ``mends`` classes that run it as it
-    stands."""
+    """Outcome of one rule at one class.
+
+    ``target`` is the class to which it is steered; ``mends`` are the classes that run the rule exactly as
+    written.
+    """
 
     rule: str
     place: Place
@@ -41,9 +43,9 @@
         return max((f.error for f in self.findings if f.feature is feature), default=0.0)
 
     def line(self) -> str:
-        said = f"{self.place}: {self.rule}: {self.hardware}: {self.outcome.value}"
+        text = f"{self.place}: {self.rule}: {self.hardware}: {self.outcome.value}"
         if self.target:
-            said += f" to {self.target}"
+            text += f" to {self.target}"
         parts = [
             f"{f.feature.value} {f.outcome.value}"
             + (f" ({f.error:.3g} {UNITS.get(f.feature, '')})".rstrip() if f.error else "")
@@ -52,8 +54,8 @@
             if f.outcome is not Outcome.EXACT
         ]
         if parts:
-            said += "; " + "; ".join(parts)
-        return said + (f"; as it stands on {', '.join(self.mends)}" if self.mends else "")
+            text += "; " + "; ".join(parts)
+        return text + (f"; as it stands on {', '.join(self.mends)}" if self.mends else "")
 
     def as_json(self) -> dict[str, object]:
         return {
@@ -79,16 +81,15 @@
 
 @dataclass(slots=True)
 class Report:
-    """All rows, and what holds for the compile as a whole."""
+    """All rows, and figures of the compile as a whole."""
 
     rows: list[Row]
-    method: str  # how the rules were placed
-    used: Mapping[str, Mapping[str, float]]  # by class: what its table takes of what it has
-    states: Mapping[str, int] = field(
-        default_factory=dict
-    )  # by lost hall or class: rules then refused somewhere
+    method: str  # Algorithm that placed the rules: solver, greedy or none
+    used: Mapping[str, Mapping[str, float]]  # By class and resource: used share of the capacity
+    # By lost hall or class: number of refusals that its loss adds, counted per rule and class.
+    states: Mapping[str, int] = field(default_factory=dict)
     notes: Sequence[str] = ()
-    witnesses: int = 0
+    witnesses: int = 0  # Number of sample requests that the judge checked
 
     def counts(self) -> dict[str, int]:
         found = {outcome.value: 0 for outcome in Outcome}
@@ -105,9 +106,9 @@
 
 
 def outcome_of(findings: Sequence[Finding]) -> Outcome:
-    """Of a rule that runs: the worst of its features."""
-    had = [f.outcome for f in findings]
+    """Return the outcome of a rule that runs, which is the worst outcome of its features."""
+    outcomes = [f.outcome for f in findings]
     for outcome in (Outcome.DROPPED, Outcome.APPROXIMATED, Outcome.REWRITTEN):
-        if outcome in had:
+        if outcome in outcomes:
             return outcome
     return Outcome.EXACT
--- a/beechrock/lowering/rollout.py
+++ b/beechrock/lowering/rollout.py
@@ -1,14 +1,14 @@
-"""How a plan comes into force: the machine in the agreed log, the same at every node. Pure.
+"""State machine of a plan's rollout, replicated through the agreed log to every node. Pure.
 
-States of a rollout: PROPOSED (known, nobody has it), PREPARING (some have it), PREPARED (all have it, or are
-steered round), ACTIVE (in force at one generation), HALTED (an operator stopped it), BACK (the one before is
-in force again). Events are commands: here, propose, prepared, cannot, activate, lost, halt, back. Times are
-no part of them.
+States of a rollout: PROPOSED (no node has answered), PREPARING (some nodes have prepared it or can't),
+PREPARED (every node has prepared it or can't), ACTIVE (in force under a generation), HALTED (stopped by an
+operator), BACK (replaced by the previous rollout). Events are the commands here, propose, prepared, cannot,
+activate, lost, halt and back; none of them contains a time.
 
-Invariants (looked at after each command): at most one rollout is open and one is in force; generations grow
-by one; each node of the one in force has prepared it in its present life or is steered round; a class that
-carries has a node, or the plan made ahead for its loss counts; what was halted or taken back does not come
-again by itself.
+Invariants (after each command ``check`` tests all but the one on classes): at most one rollout is open and
+at most one is in force; generations grow by one; each node of the rollout in force has prepared it in its
+current life or is steered around; each class of the plan has a prepared node, or a loss state without that
+class applies if the plan has one; a policy that was halted or taken back is not proposed again automatically.
 """
 
 from collections.abc import Callable, Mapping
@@ -20,6 +20,7 @@
 
 from beechrock.lowering.errors import BrokenInvariantError
 
+# Maximum numbers of nodes, of classes, of refused policies, and of characters in a stored text.
 MAX_NODES, MAX_CLASSES, MAX_REFUSED, MAX_TEXT = 256, 64, 32, 200
 FORMAT = 1
 
@@ -35,7 +36,10 @@
 
 @dataclass(slots=True)
 class Node:
-    """What a node told of itself. ``differs``: where its measures are not what its class declares."""
+    """Facts that a node announced about itself.
+
+    ``differs`` lists each measured value that falls short of its class: key, declared and measured value.
+    """
 
     life: int
     hardware: str
@@ -46,8 +50,10 @@
 
 @dataclass(slots=True)
 class Rollout:
-    """``number`` is the index of its proposal in the log. ``lost``: by state the classes that are gone in
-    it."""
+    """Rollout of one plan.
+
+    ``number`` is the log index of its proposal; ``lost`` holds the lost classes of each loss state.
+    """
 
     number: int
     digest: str
@@ -58,16 +64,18 @@
     lost: dict[str, list[str]]
     nodes: list[str]
     stage: str = Stage.PROPOSED.value
-    prepared: dict[str, int] = field(default_factory=dict)  # by node the life in which it did
-    cannot: dict[str, str] = field(default_factory=dict)  # by node why
-    round: list[str] = field(default_factory=list)  # steered round, by name
+    prepared: dict[str, int] = field(default_factory=dict)  # By node: the life in which it prepared the plan
+    cannot: dict[str, str] = field(default_factory=dict)  # By node: why it can't run the plan
+    round: list[str] = field(default_factory=list)  # Names of the nodes that requests are steered around
     generation: int = 0
-    state: str = ""  # the plan made ahead that counts
+    state: str = ""  # Loss state in force; empty: no loss
 
 
 class Machine:
-    """In the log under the name ``lowering``; ``changed`` is called after each command that was applied
-    here."""
+    """State of all rollouts, registered in the agreed log as ``lowering``.
+
+    ``changed`` is called after each applied command and after a restore.
+    """
 
     def __init__(self) -> None:
         self.nodes: dict[str, Node] = {}
@@ -75,20 +83,20 @@
         self.active: Rollout | None = None
         self.before: Rollout | None = None
         self.generation = self.fence = 0
-        self.refused: dict[str, str] = {}  # by policy's digest: halted, or taken back
-        self.last = ""  # how the last rollout that did not come into force ended
-        self.broken = ""  # an invariant that did not hold: nothing is taken any more
+        self.refused: dict[str, str] = {}  # By policy digest: "halted" or "back"
+        self.last = ""  # Text on the last rollout that was halted or taken back
+        self.broken = ""  # Broken invariant; if not empty, every command is rejected
         self.changed: Any = lambda: None
 
-    # --- the log's interface
+    # --- Interface of the agreed log
 
     def apply(self, index: int, command: bytes) -> Any:
-        """(True, what came of it), or (False, why nothing did); never an exception."""
+        """Apply a command; return (True, result) or (False, reason). Never raises an exception."""
         if self.broken:
             return False, self.broken
         try:
-            told = msgpack.unpackb(command)
-            verb, rest = str(told[0]), list(told[1:])
+            decoded = msgpack.unpackb(command)
+            verb, rest = str(decoded[0]), list(decoded[1:])
             step: Callable[..., tuple[bool, Any]] = {
                 "here": self._here,
                 "propose": self._propose,
@@ -108,7 +116,7 @@
             AttributeError,
             msgpack.UnpackException,
         ) as error:
-            return False, f"a command that is none: {type(error).__name__}"
+            return False, f"an invalid command: {type(error).__name__}"
         self._restate()
         try:
             self.check()
@@ -121,7 +129,7 @@
         packed: bytes = msgpack.packb(
             [
                 FORMAT,
-                {n: asdict(node) for n, node in sorted(self.nodes.items())},
+                {name: asdict(node) for name, node in sorted(self.nodes.items())},
                 *(asdict(r) if r is not None else None for r in (self.open, self.active, self.before)),
                 self.generation,
                 self.fence,
@@ -133,18 +141,18 @@
 
     def restore(self, data: bytes) -> None:
         _, nodes, *rollouts, self.generation, self.fence, refused, self.last = msgpack.unpackb(data)
-        self.nodes = {name: Node(**told) for name, told in nodes.items()}
+        self.nodes = {name: Node(**fields) for name, fields in nodes.items()}
         self.open, self.active, self.before = (Rollout(**r) if r is not None else None for r in rollouts)
         self.refused = dict(refused)
         self.check()
         self.changed()
 
-    # --- commands
+    # --- Commands
 
     def _here(
         self, index: int, name: str, life: int, hardware: str, hall: str, scgi: str, differs: list[list[Any]]
     ) -> tuple[bool, Any]:
-        """A node began, with what it measured. What an earlier life had prepared is gone with it."""
+        """Record a started node and its measurements; plans prepared by an earlier life of it don't count."""
         known = self.nodes.get(name)
         if known is None and len(self.nodes) >= MAX_NODES:
             return False, f"over {MAX_NODES} nodes"
@@ -154,7 +162,7 @@
         for rollout in (self.open, self.active, self.before):
             if rollout is not None and rollout.prepared.get(name, life) != life:
                 del rollout.prepared[name]
-                self._steer_round(rollout, name)
+                self._bypass(rollout, name)
         self._stage()
         return True, index
 
@@ -175,17 +183,17 @@
         classes: list[str],
         lost: Mapping[str, list[str]],
         nodes: list[str],
-        again: bool = False,
+        allow_refused: bool = False,
     ) -> tuple[bool, Any]:
-        if why := self._fenced(fence):
-            return False, why
+        if reason := self._fenced(fence):
+            return False, reason
         if self.open is not None:
-            # Of two at once the first in the log has it; the other's proposer hears whose it is.
+            # Of two concurrent proposals the first in the log wins; the other proposer is told who won.
             return False, f"{self.open.digest} of {self.open.by} is under way"
         if self.active is not None and self.active.digest == digest:
-            self.active.policy = policy  # another inventory that comes to the same plan
+            self.active.policy = policy  # Another inventory compiles to the same plan
             return True, self.active.number
-        if policy in self.refused and not again:
+        if policy in self.refused and not allow_refused:
             return False, f"was {self.refused[policy]}"
         if not 0 < len(classes) <= MAX_CLASSES or not 0 < len(nodes) <= MAX_NODES:
             return False, "no class or no node, or too many"
@@ -193,13 +201,13 @@
         self.open = Rollout(index, digest, policy, size, by, sorted(classes), dict(lost), sorted(nodes))
         return True, index
 
-    def _of(self, number: int) -> Rollout | None:
+    def _rollout(self, number: int) -> Rollout | None:
         return next(
             (r for r in (self.open, self.active, self.before) if r is not None and r.number == number), None
         )
 
     def _prepared(self, index: int, number: int, name: str, life: int, digest: str) -> tuple[bool, Any]:
-        rollout = self._of(number)
+        rollout = self._rollout(number)
         if rollout is None or name not in rollout.nodes:
             return False, "no such rollout, or no such node in it"
         if digest != rollout.digest:
@@ -214,33 +222,33 @@
         self._stage()
         return True, index
 
-    def _cannot(self, index: int, number: int, name: str, life: int, why: str) -> tuple[bool, Any]:
-        """It can't prepare it, or has lost what it had."""
-        rollout, node = self._of(number), self.nodes.get(name)
+    def _cannot(self, index: int, number: int, name: str, life: int, reason: str) -> tuple[bool, Any]:
+        """Record that a node can't prepare the plan, or no longer has the resources to run it."""
+        rollout, node = self._rollout(number), self.nodes.get(name)
         if rollout is None or name not in rollout.nodes or node is None or node.life != life:
             return False, "no such rollout, node or life"
         rollout.prepared.pop(name, None)
-        rollout.cannot[name] = why[:MAX_TEXT]
-        self._steer_round(rollout, name)
+        rollout.cannot[name] = reason[:MAX_TEXT]
+        self._bypass(rollout, name)
         self._stage()
         return True, index
 
-    def _steer_round(self, rollout: Rollout, name: str) -> None:
+    def _bypass(self, rollout: Rollout, name: str) -> None:
         if rollout.generation and name not in rollout.round:
             rollout.round = sorted([*rollout.round, name])
 
     def _restate(self) -> None:
-        """The last node of a class goes, or another comes: the plan that was made for it counts from this
-        entry on.
+        """Switch to the loss state that fits if the present one does not cover all missing classes.
 
-        Seen in a random history: both classes were gone, one came back, and the other's loss was not gone by.
+        This also has to run when a node comes back: in a random history both classes were lost, one of them
+        came back, and the loss state of the other did not come into force.
         """
         rollout = self.active
         if rollout is None:
             return
-        gone = self.missing(rollout)
-        if not set(gone) <= set(rollout.lost.get(rollout.state, [])):
-            state = self.state_for(rollout, gone)
+        missing = self.missing(rollout)
+        if not set(missing) <= set(rollout.lost.get(rollout.state, [])):
+            state = self.state_for(rollout, missing)
             rollout.state = rollout.state if state is None else state
 
     def _stage(self) -> None:
@@ -256,43 +264,46 @@
             ).value
 
     def missing(self, rollout: Rollout) -> list[str]:
-        """Classes that carry and have no node that prepared it."""
-        there = {self.nodes[name].hardware for name in rollout.prepared if name in self.nodes}
-        return sorted(set(rollout.classes) - there)
+        """Return the classes of the plan without a node that has prepared it, sorted by name."""
+        present = {self.nodes[name].hardware for name in rollout.prepared if name in self.nodes}
+        return sorted(set(rollout.classes) - present)
 
-    def state_for(self, rollout: Rollout, gone: list[str]) -> str | None:
-        """The plan made ahead that does without these; the one that gives up least. None: there is none."""
-        if not gone:
+    def state_for(self, rollout: Rollout, missing: list[str]) -> str | None:
+        """Return the loss state that covers the missing classes and loses the fewest; None if none does."""
+        if not missing:
             return ""
-        fit = [(len(lost), name) for name, lost in rollout.lost.items() if set(gone) <= set(lost)]
+        fit = [(len(lost), name) for name, lost in rollout.lost.items() if set(missing) <= set(lost)]
         return min(fit)[1] if fit else None
 
-    def _activate(self, index: int, fence: int, number: int, going_round: list[str]) -> tuple[bool, Any]:
-        """Only with each node prepared or steered round, and each class there or its loss planned."""
-        if why := self._fenced(fence):
-            return False, why
+    def _activate(self, index: int, fence: int, number: int, bypassed: list[str]) -> tuple[bool, Any]:
+        """Put the open rollout into force.
+
+        Each node must have prepared it or be steered around, and a loss state must cover missing classes.
+        """
+        if reason := self._fenced(fence):
+            return False, reason
         rollout = self.open
         if rollout is None or rollout.number != number:
             return False, "no such rollout is under way"
-        left = [n for n in rollout.nodes if n not in rollout.prepared and n not in going_round]
-        if left:
-            return False, f"{', '.join(left)} neither prepared nor steered round"
+        pending = [name for name in rollout.nodes if name not in rollout.prepared and name not in bypassed]
+        if pending:
+            return False, f"{', '.join(pending)} neither prepared nor steered round"
         if not rollout.prepared:
             return False, "no node has prepared it"
-        gone = self.missing(rollout)
-        state = self.state_for(rollout, gone)
+        missing = self.missing(rollout)
+        state = self.state_for(rollout, missing)
         if state is None:
-            return False, f"no plan is without {', '.join(gone)}"
+            return False, f"no plan is without {', '.join(missing)}"
         self.generation += 1
         rollout.generation, rollout.stage, rollout.state = self.generation, Stage.ACTIVE.value, state
-        rollout.round = [n for n in rollout.nodes if n not in rollout.prepared]
+        rollout.round = [name for name in rollout.nodes if name not in rollout.prepared]
         self.before, self.active, self.open = self.active, rollout, None
         return True, self.generation
 
     def _lost(self, index: int, fence: int, number: int, state: str) -> tuple[bool, Any]:
-        """A hall or a class is gone, or all are back (empty): by the plan made ahead."""
-        if why := self._fenced(fence):
-            return False, why
+        """Switch to the loss state of a lost hall or class; an empty state means that nothing is lost."""
+        if reason := self._fenced(fence):
+            return False, reason
         rollout = self.active
         if rollout is None or rollout.number != number or (state and state not in rollout.lost):
             return False, "not in force, or no plan for it"
@@ -309,8 +320,10 @@
         return True, index
 
     def _back(self, index: int, who: str) -> tuple[bool, Any]:
-        """The one before is in force again, as a new generation; nodes that lost it meanwhile are steered
-        round."""
+        """Put the previous rollout into force again, under a new generation.
+
+        Nodes that have not prepared it any more are steered around.
+        """
         if self.before is None or self.active is None:
             return False, "there is none before"
         state = self.state_for(self.before, self.missing(self.before))
@@ -318,10 +331,10 @@
             return False, "nobody has prepared the one before any more, or a class of it is gone"
         self._refuse(self.active, Stage.BACK, who)
         self.generation += 1
-        back = self.before
-        back.generation, back.state = self.generation, state
-        back.round = [n for n in back.nodes if n not in back.prepared]
-        self.active, self.before = back, self.active
+        previous = self.before
+        previous.generation, previous.state = self.generation, state
+        previous.round = [name for name in previous.nodes if name not in previous.prepared]
+        self.active, self.before = previous, self.active
         return True, self.generation
 
     def _refuse(self, rollout: Rollout, stage: Stage, who: str) -> None:
@@ -332,25 +345,28 @@
             del self.refused[next(iter(self.refused))]
         self.last = f"{rollout.digest[:12]} {stage.value} by {who}"[:MAX_TEXT]
 
-    # --- what always holds
+    # --- Invariants
 
     def check(self) -> None:
-        """BrokenInvariantError; looked at after every command."""
+        """Check the invariants, after every command. Raises BrokenInvariantError."""
         active = self.active
         if active is not None:
-            self._holds(active.generation == self.generation, "the one in force is not the last generation")
             self._holds(
-                all(n in active.prepared or n in active.round for n in active.nodes),
-                "a node of the one in force is neither prepared nor steered round",
+                active.generation == self.generation,
+                "the generation of the rollout in force is not the last one",
+            )
+            self._holds(
+                all(name in active.prepared or name in active.round for name in active.nodes),
+                "a node of the rollout in force is neither prepared nor steered around",
             )
             self._holds(
-                all(self.nodes[n].life == life for n, life in active.prepared.items()),
-                "a life that is gone counts as prepared",
+                all(self.nodes[name].life == life for name, life in active.prepared.items()),
+                "a plan counts as prepared by an earlier life of a node",
             )
         if self.open is not None:
-            self._holds(self.open.generation == 0, "what is under way has a generation")
+            self._holds(self.open.generation == 0, "the open rollout already has a generation")
             self._holds(
-                self.open.policy not in self.refused, "what was halted or taken back is under way again"
+                self.open.policy not in self.refused, "a policy that was halted or taken back is open again"
             )
 
     def _holds(self, good: bool, what: str) -> None:
--- a/beechrock/lowering/sending.py
+++ b/beechrock/lowering/sending.py
@@ -1,4 +1,4 @@
-"""Thin: carries out what ``acts.Tries`` says of one request."""
+"""Carries out the sends, copies and waits that ``acts.Tries`` decides for one request."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Coroutine
@@ -19,12 +19,12 @@
     Wait,
 )
 
-COPY_S = 5.0  # so long a mirror's answer is read before its connection is dropped
+COPY_S = 5.0  # Timeout in seconds for the answer of a mirror
 
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """``status`` 0: the connection ended without a whole reply."""
+    """Reply of a server; ``status`` 0 means that the connection ended before the reply was complete."""
 
     status: int
     media: str = ""
@@ -32,18 +32,19 @@
 
     @property
     def final(self) -> bool:
-        """No other server would say it otherwise."""
+        """Return whether the reply is final; a server error (status 500 and above) may be retried."""
         return 0 < self.status < 500
 
 
-Sender = Callable[[Address, bool], Awaitable[Reply | None]]  # whether it is a copy; None: not connected
+# The flag says whether the send is a mirror copy; None means that no connection was made.
+Sender = Callable[[Address, bool], Awaitable[Reply | None]]
 Spawn = Callable[[Coroutine[Any, Any, None], str], Any]
 
 
 async def sent(
     acts: Acts, asked: Asked, send: Sender, clock: Callable[[], float], spawn: Spawn
 ) -> Reply | TurnAway | None:
-    """The one answer of a request; None: no server was reached. What is open at the end is dropped."""
+    """Return the only answer of a request; None if no server was reached. Cancels the sends left open."""
     tries = Tries(acts, asked)
     open_: dict[asyncio.Future[Reply | None], int] = {}
     replies: dict[int, Reply] = {}
@@ -52,8 +53,8 @@
     try:
         todo: list[Act] = tries.begin(clock())
         while True:
-            for what in todo:
-                match what:
+            for act in todo:
+                match act:
                     case Send(number, address):
                         open_[asyncio.ensure_future(send(address, False))] = number
                     case Copy(address):
@@ -63,7 +64,7 @@
                     case Done(number):
                         return replies[number]
                     case TurnAway():
-                        return what
+                        return act
                     case Nowhere():
                         return None
             todo = []
@@ -92,7 +93,7 @@
 
 
 async def _copy(acts: Acts, send: Sender, address: Address) -> None:
-    """To a mirror: what it says is read and dropped."""
+    """Send a copy to a mirror; its answer is read and discarded."""
     try:
         async with asyncio.timeout(COPY_S):
             await send(address, True)
--- a/beechrock/lowering/show.py
+++ b/beechrock/lowering/show.py
@@ -1,4 +1,4 @@
-"""What an operator sees of the rollout at the second address. Pure."""
+"""Builds the view of the rollout that operators read at the admin address. Pure."""
 
 from typing import Any
 
@@ -7,9 +7,9 @@
 
 
 def view(machine: Machine, name: str, measures: Measures) -> dict[str, Any]:
-    """This node's copy of the log, in plain values."""
+    """Return this node's copy of the rollout state, as plain values."""
 
-    def told(rollout: Rollout | None) -> dict[str, Any] | None:
+    def row(rollout: Rollout | None) -> dict[str, Any] | None:
         if rollout is None:
             return None
         return {
@@ -26,15 +26,15 @@
         }
 
     nodes = {
-        n: {"hardware": node.hardware, "hall": node.hall, "differs": node.differs}
-        for n, node in sorted(machine.nodes.items())
+        node_name: {"hardware": node.hardware, "hall": node.hall, "differs": node.differs}
+        for node_name, node in sorted(machine.nodes.items())
     }
     return {
         "node": name,
         "generation": machine.generation,
-        "under_way": told(machine.open),
-        "in_force": told(machine.active),
-        "before": told(machine.before),
+        "under_way": row(machine.open),
+        "in_force": row(machine.active),
+        "before": row(machine.before),
         "refused": machine.refused,
         "last": machine.last,
         "broken": machine.broken,
--- a/beechrock/lowering/told.py
+++ b/beechrock/lowering/told.py
@@ -1,4 +1,4 @@
-"""The table ``[lowering]`` of the operator's file."""
+"""The table ``[lowering]`` of the operator's settings file."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -14,19 +14,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Told:
-    """``memory_file`` holds what a table may take in kB, and is looked at again: what else runs here may
-    want more."""
+    """Settings of the lowering.
+
+    ``memory_file`` names a file with the memory that a table may take, in kB. It is read again before each
+    check, because other programs on the machine may need more memory.
+    """
 
     prepare_s: float = PREPARE_S
     gone_s: float = GONE_S
-    memory_kb: float = 0.0  # 0: a quarter of what is free at the start
+    memory_kb: float = 0.0  # 0: a quarter of the memory free at the start
     memory_file: Path | None = None
-    publish: bool = True  # whether this node may hold the publisher's duty
-    ways: bool = False  # an event for each request, for the laboratory's checkers; a line a request
+    publish: bool = True  # Whether this node may hold the publisher's duty
+    ways: bool = False  # Whether to log one event per request, for the laboratory's checkers
 
 
 def read(table: Mapping[str, Any], where: str, root: Path) -> Told:
-    """ConfigError names file, table and key."""
+    """Return the checked table. Raises ConfigError, which names file, table and key."""
     file, flags = table.get("memory_file"), {"publish": True, "ways": False}
     flags.update({key: table[key] for key in flags if key in table})
     if file is not None and (not isinstance(file, str) or not file):
