--- a/beechrock/lowering/duty.py
+++ b/beechrock/lowering/duty.py
@@ -17,7 +17,7 @@
         self.part = part
 
     async def take_over(self, fence: int) -> None:
-        self.part.publisher = Publisher(self.part.told.prepare_s, self.part.told.gone_s)
+        self.part.publisher = Publisher(self.part.settings.prepare_s, self.part.settings.gone_s)
 
     async def give_up(self) -> None:
         self.part.compiling = None
--- a/beechrock/lowering/part.py
+++ b/beechrock/lowering/part.py
@@ -1,5 +1,4 @@
-"""The thin actor: brings plans to this node, tells the log what it can, and publishes where it holds the
-duty."""
+"""Actor that fetches plans, announces this node in the agreed log, and publishes if it holds the duty."""
 
 import asyncio
 from typing import Any
@@ -22,51 +21,52 @@
 from beechrock.lowering.route import Address, Held, Router, Way
 from beechrock.lowering.show import view
 from beechrock.lowering.tables import Table, held_bytes
-from beechrock.lowering.told import Told
+from beechrock.lowering.told import LoweringSettings
 from beechrock.parts import Context
 
+# Seconds between steps, between messages to peers, and between requests for a plan; timeout of a proposal.
 TICK_S, HERE_S, ASK_S, PROPOSE_S = 0.1, 0.5, 1.0, 3.0
-READ_S = 3.0  # so long a node that began may take to read the log; who is cut off goes by what it knows
-TAKE_S = 5.0  # so long what was compiled may take to come into force here: files are read before they settle
+READ_S = 3.0  # Seconds to wait for the log at the start; a node that is cut off then uses what it has
+TAKE_S = 5.0  # Seconds for a compiled inventory to come into force here, as the compile may read it earlier
 
 
 class Lowering:
-    """This node of the rollout."""
+    """Part of the rollout that runs at this node."""
 
-    def __init__(self, told: Told, context: Context) -> None:
-        self.told, self.context, self.counters = told, context, context.counters
+    def __init__(self, settings: LoweringSettings, context: Context) -> None:
+        self.settings, self.context, self.counters = settings, context, context.counters
         self.talk, self.agree = context.parts["fleet"], context.parts["agree"]
         self.duties = context.parts.get("duties")
         self.name, self.life, self.hardware = self.talk.name, self.talk.life, self.talk.hardware
-        self.machine, self.publisher = Machine(), Publisher(told.prepare_s, told.gone_s)
+        self.machine, self.publisher = Machine(), Publisher(settings.prepare_s, settings.gone_s)
         self.machine.changed = self._changed
         self.agree.host("lowering", self.machine)
         self.router = Router(unread=True)
-        self.plans = Plans(self.talk, self.talk.settings.state / "lowering", self._came, self._bad_plan)
-        self.tables: dict[str, Table | None] = {}  # by digest, of this node's class
+        self.plans = Plans(self.talk, self.talk.settings.state / "lowering", self._got_plan, self._bad_plan)
+        self.tables: dict[str, Table | None] = {}  # By plan digest: table of this node's class
         self.tried: dict[tuple[int, str], float] = {}
         self.wake = asyncio.Event()
         self.measures = Measures(0.0, 0.0)
         self.compiling: asyncio.Task[None] | None = None
         self.made = Compiling("")
-        self.refused = ""  # what the last compile or proposal said
+        self.refused = ""  # Error text of the last compile or proposal; empty after success
         self.steps, self.waits = 0, False
         self.active = (0, "", False)
-        self._publishes = told.publish and not LACKS  # what it does not know it can't judge for others
+        self._publishes = settings.publish and not LACKS  # Can't check tables with features it lacks
         servers = context.program.servers
         if servers is not None:
             servers.router = self.router
             self.router.load = servers.servers.weight
-        if told.ways:
+        if settings.ways:
             self.router.note = self._note
 
-    # --- as a part of its node
+    # --- Interface of a part
 
     async def listen(self) -> None:
-        """OSError where the folder of plans can't be had."""
+        """Load stored plans and measure this machine. Raises OSError if the folder of plans can't be used."""
         await asyncio.to_thread(self.plans.open)
         self.talk.on(CHANNEL, self.plans.take)
-        kb = self.told.memory_kb or free_kb() / 4
+        kb = self.settings.memory_kb or free_kb() / 4
         self.measures = await asyncio.to_thread(measure, self._memory_kb(kb))
         if self.duties is not None and self._publishes:
             from beechrock.duties.model import Duty
@@ -88,16 +88,16 @@
                 for peer in self.talk.peers:
                     self.talk.send(peer, CHANNEL, msgpack.packb(["up"]))
             try:
-                await self._tell()
+                await self._announce()
                 await self._publish()
-            except OperatorError as error:  # no quorum, or no end within time: comes again
+            except OperatorError as error:  # No quorum or a timeout: retry at the next step
                 self.counters.add("lowering.not_told")
                 self.refused = str(error)
                 await asyncio.sleep(TICK_S)
         logs.event("lowering.broken", "error", what=self.machine.broken)
 
     async def _read(self) -> None:
-        """Until the log is read to where it stood at this node's start, no plan of it counts."""
+        """Wait until the log is read up to its end at this node's start; before that no plan is used."""
         try:
             await self.agree.settled(READ_S)
         except OperatorError:
@@ -106,26 +106,26 @@
         self._changed()
 
     async def leave(self) -> None:
-        """Nothing is owed: who is silent is steered round, and the duty is given back by its own part."""
+        """Do nothing: a silent node is steered around, and the duty's own part gives back the duty."""
 
     def close(self) -> None:
         if self.compiling is not None:
             self.compiling.cancel()
         self.plans.close()
 
-    # --- what the log says
+    # --- Changes in the log
 
     def _changed(self) -> None:
-        """After each command, in the same turn: what begins from here on goes by what is in force."""
+        """Put the active rollout into force for new requests, right after each command of the log."""
         self.wake.set()
         active = self.machine.active
         if active is None or self.machine.broken or self.router.unread:
             return
-        stands = active.prepared.get(self.name) == self.life
-        table = self.tables.get(active.digest) if stands else None
-        if active.digest not in self.tables and stands:
-            return  # a restart within one life: comes again when it is loaded
-        self.router.go_by(active.generation, Held(table, active.state, self._peers(active)))
+        prepared = active.prepared.get(self.name) == self.life
+        table = self.tables.get(active.digest) if prepared else None
+        if active.digest not in self.tables and prepared:
+            return  # Restart within one life: called again after the table is loaded
+        self.router.put_in_force(active.generation, Held(table, active.state, self._peers(active)))
         key = active.generation, active.state, table is not None
         if key != self.active:
             self.active = key
@@ -158,7 +158,7 @@
             if node is not None and node.scgi and name != self.name:
                 host, _, port = node.scgi.rpartition(":")
                 found.setdefault(node.hardware, []).append((host, int(port)))
-        return {hardware: tuple(told) for hardware, told in found.items()}
+        return {hardware: tuple(addresses) for hardware, addresses in found.items()}
 
     async def _propose(self, verb: str, *rest: Any) -> tuple[bool, Any]:
         done: tuple[bool, Any] = await self.agree.propose("lowering", command(verb, *rest), PROPOSE_S)
@@ -167,13 +167,13 @@
         return done
 
     def _digests(self) -> set[str]:
-        """Plans that are under way, in force or before."""
+        """Return the digests of the open, the active and the previous rollout."""
         machine = self.machine
         return {r.digest for r in (machine.open, machine.active, machine.before) if r is not None}
 
-    # --- this node
+    # --- Announcements of this node
 
-    async def _tell(self) -> None:
+    async def _announce(self) -> None:
         mine = self.machine.nodes.get(self.name)
         scgi = self._scgi()
         differs = self._differs()
@@ -189,14 +189,13 @@
             if self.machine.nodes[self.name].life != self.life:
                 continue
             if rollout.prepared.get(self.name) == self.life and rollout.digest in self.tables:
-                await self._still_fits(rollout)
+                await self._recheck_memory(rollout)
             else:
                 await self._prepare(rollout)
 
     def _scgi(self) -> str:
         front = self.context.program.scgi
-        # As it leaves, its front has no socket any more. Seen in the run of all parts at notices to leave: an
-        # IndexError ended this part before its process.
+        # A leaving node's front end has no socket; an IndexError here ended this part before its process.
         if front is None or front.server is None or not front.server.sockets:
             return ""
         return "{}:{}".format(*front.server.sockets[0].getsockname()[:2])
@@ -214,13 +213,13 @@
         )
         return [[d.key, d.declared, d.measured] for d in found if d.short]
 
-    def _memory_kb(self, otherwise: float) -> float:
-        if self.told.memory_file is None:
-            return otherwise
+    def _memory_kb(self, default: float) -> float:
+        if self.settings.memory_file is None:
+            return default
         try:
-            return float(self.told.memory_file.read_text())
+            return float(self.settings.memory_file.read_text())
         except (OSError, ValueError):
-            return otherwise
+            return default
 
     async def _prepare(self, rollout: Rollout) -> None:
         key = rollout.number, rollout.digest
@@ -231,25 +230,25 @@
         if plan is None:
             self.plans.ask(rollout.digest, (rollout.by, *sorted(rollout.prepared)))
             return
-        why = ""
+        reason = ""
         if rollout.digest not in self.tables:
             packed = plan.tables.get(self.hardware)
-            why = lacking(plan, self.hardware)
+            reason = lacking(plan, self.hardware)
             if packed is None:
-                why = f"the plan has no class {self.hardware}"
-            elif not why:
+                reason = f"the plan has no class {self.hardware}"
+            elif not reason:
                 try:
                     self.tables[rollout.digest] = await asyncio.to_thread(Table, packed)
                 except OperatorError as error:
-                    why = str(error)
+                    reason = str(error)
         table = self.tables.get(rollout.digest)
         if table is not None:
-            why = self._too_much(table)
-        if not why:
+            reason = self._too_much(table)
+        if not reason:
             logs.event("lowering.prepared", node=self.name, number=rollout.number, digest=rollout.digest)
             await self._propose("prepared", rollout.number, self.name, self.life, rollout.digest)
-        elif rollout.cannot.get(self.name) != why[:200]:
-            await self._cannot(rollout, why)
+        elif rollout.cannot.get(self.name) != reason[:200]:
+            await self._cannot(rollout, reason)
 
     def _too_much(self, table: Table) -> str:
         self.measures = Measures(self._memory_kb(self.measures.memory_kb), self.measures.match_us)
@@ -260,34 +259,34 @@
             else (f"the table takes {kb:.0f} kB of {self.measures.memory_kb:.0f} kB here")
         )
 
-    async def _still_fits(self, rollout: Rollout) -> None:
-        """Memory that is taken by others after it was prepared: better steered round than out of memory."""
+    async def _recheck_memory(self, rollout: Rollout) -> None:
+        """Give up a prepared plan whose memory others now use; being steered around beats running out."""
         table = self.tables[rollout.digest]
-        why = self._too_much(table) if table is not None else ""
-        if why:
-            await self._cannot(rollout, why)
+        reason = self._too_much(table) if table is not None else ""
+        if reason:
+            await self._cannot(rollout, reason)
             del self.tables[rollout.digest]
 
-    def _came(self) -> None:
+    def _got_plan(self) -> None:
         self.tried.clear()
         self.wake.set()
 
-    def _bad_plan(self, why: str) -> None:
+    def _bad_plan(self, reason: str) -> None:
         rollout = self.machine.open
         if rollout is not None and self.name in self.machine.nodes:
-            self.counters.spawn(self._cannot(rollout, why), "lowering.cannot")
+            self.counters.spawn(self._cannot(rollout, reason), "lowering.cannot")
 
-    async def _cannot(self, rollout: Rollout, why: str) -> None:
-        logs.event("lowering.cannot", "warning", node=self.name, number=rollout.number, why=why)
+    async def _cannot(self, rollout: Rollout, reason: str) -> None:
+        logs.event("lowering.cannot", "warning", node=self.name, number=rollout.number, why=reason)
         try:
-            await self._propose("cannot", rollout.number, self.name, self.life, why)
+            await self._propose("cannot", rollout.number, self.name, self.life, reason)
         except OperatorError:
             self.counters.add("lowering.not_told")
 
-    # --- the publisher
+    # --- Publisher
 
     def _fence(self) -> int | None:
-        """What this node may publish under now; without the table [duties] the log's leader does."""
+        """Return the fence for publishing, or None; without [duties] the log's leader publishes."""
         if not self._publishes:
             return None
         if self.duties is not None:
@@ -302,18 +301,18 @@
             self.waits = False
             return
         now = clocks.mono()
-        heard = {
+        responsive = {
             self.name,
-            *(name for name, at in self.plans.heard.items() if now - at < self.told.gone_s),
+            *(name for name, at in self.plans.heard.items() if now - at < self.settings.gone_s),
         }
-        step = self.publisher.step(now, self.machine, self._wanted(), heard)
+        step = self.publisher.step(now, self.machine, self._wanted(), responsive)
         self.waits = step is not None
         match step:
             case Compile():
                 self.made = Compiling(self._wanted())
                 self.compiling = self.counters.spawn(self._compile(), "lowering.compile")
-            case Activate(number, going_round):
-                await self._propose("activate", fence, number, list(going_round))
+            case Activate(number, bypassed):
+                await self._propose("activate", fence, number, list(bypassed))
             case Lost(number, state):
                 await self._propose("lost", fence, number, state)
         self.steps += step is not None
@@ -326,7 +325,7 @@
         return str(running.digest) if running.meaning.counts.get("rules") else ""
 
     async def _compile(self) -> None:
-        """In a process of its own: seconds of work, and a solver's memory, are not this loop's."""
+        """Compile the policy in a child process, and propose its plan."""
         wanted, path = self._wanted(), self.context.program.configuration.scgi.path
         target = self.talk.settings.state / "lowering" / "compiled"
         try:
@@ -339,11 +338,11 @@
             while said not in self.made.seen and clocks.mono() < end:
                 await asyncio.sleep(TICK_S)
             digest = self.plans.keep(data, self._digests())
-            fence = self._fence()  # asked anew after each wait: the right may have gone meanwhile
+            fence = self._fence()  # Checked again after each wait, as the duty may be lost meanwhile
             if not digest or fence is None or not self.made.takes(said, self._wanted(), self.machine):
                 return
             plan = self.plans.held[digest]
-            lost = {state: list(gone) for state, gone in plan.lost.items()}
+            lost = {state: list(names) for state, names in plan.lost.items()}
             done = await self._propose(
                 "propose",
                 fence,
@@ -362,19 +361,19 @@
         finally:
             self.compiling = None
 
-    # --- operators
+    # --- Operators
 
     def view(self) -> dict[str, Any]:
-        told = view(self.machine, self.name, self.measures)
+        rollout_view = view(self.machine, self.name, self.measures)
         return {
-            **told,
+            **rollout_view,
             "hardware": self.hardware,
             "publishes": self._fence() is not None,
             "said": self.refused,
         }
 
     def ask(self, verb: str) -> Any:
-        """``halt`` and ``back``: RolloutError where there is nothing to stop, or to go back to."""
+        """Start ``halt`` or ``back``. Raises RolloutError if there is nothing to halt or to go back to."""
         machine = self.machine
         if verb == "halt" and machine.open is None:
             raise RolloutError("nothing is under way", where="lowering", do="`back` goes to the plan before")
@@ -391,9 +390,9 @@
         return {"asked": verb, "see": "/lowering"}
 
 
-def begin(told: object, context: Context) -> Lowering:
-    assert isinstance(told, Told)
-    part = Lowering(told, context)
+def begin(settings: object, context: Context) -> Lowering:
+    assert isinstance(settings, LoweringSettings)
+    part = Lowering(settings, context)
     context.views["/lowering"] = part.view
     for verb in ("halt", "back"):
         context.calls[f"/lowering/{verb}"] = lambda _, verb=verb: part.ask(verb)  # type: ignore[misc]
--- a/beechrock/lowering/passes/__init__.py
+++ b/beechrock/lowering/passes/__init__.py
@@ -1,7 +1,7 @@
-"""The passes: each takes a draft of one rule for one class and gives the next one, and says what it did.
+"""The compiler passes: each turns the draft of one rule for one class into the next and records findings.
 
-Pure; none knows another. ``ALL`` is their order: what tells requests apart first, what a rule asks for next,
-and the check of what has to survive last, when nothing changes any more.
+The passes are pure and independent of each other. ``ALL`` has them in order: the match conditions first, then
+the features of the rule, and last the check of the survivable rate, after the last change.
 """
 
 from collections.abc import Callable
@@ -15,8 +15,8 @@
 from beechrock.lowering.policy import MAX_ATTEMPT, MAX_SIZE, Affinity, Kind, Rule
 
 Asks = Callable[[Rule], bool]
-# Beside each what it reads of a profile: classes alike in that share its drafts, and all that follows; and
-# whether a rule asks for any of it: where not, each class's draft stays as it is.
+# By pass: the fields of the profile that it reads, and a test whether a rule needs the pass. Classes with
+# equal values of these fields share drafts; if a rule doesn't need a pass, its drafts stay unchanged.
 ALL: tuple[tuple[Pass, tuple[str, ...], Asks], ...] = (
     (sets_to_exacts, ("kinds",), lambda rule: rule.match.kind is Kind.SET),
     (exacts_to_prefixes, ("kinds", "ends"), lambda rule: rule.match.kind is not Kind.ANY),
--- a/beechrock/lowering/passes/again.py
+++ b/beechrock/lowering/passes/again.py
@@ -1,4 +1,7 @@
-"""What sends a request more than once: retries, hedges, mirrors. Only of what may run twice. Pure."""
+"""Passes for retries, hedges and mirrors, which send a request more than once. Pure.
+
+``tables.Action.once`` removes them for requests that must not run twice.
+"""
 
 from beechrock.lowering.passes.draft import Around, Draft, Outcome, noted
 from beechrock.lowering.policy import Feature
@@ -22,7 +25,7 @@
 
 
 def hedges(draft: Draft, profile: Profile, _: Around) -> Draft:
-    """A hedge's wait is rounded up to the timer's step: sooner would send more than the policy lets."""
+    """Round a hedge's delay up to the timer resolution; an earlier hedge would exceed the policy."""
     if draft.hedge_ms is None:
         return draft
     if profile.timers < 1:
--- a/beechrock/lowering/passes/draft.py
+++ b/beechrock/lowering/passes/draft.py
@@ -1,5 +1,4 @@
-"""One rule on its way to one class: what is left of it, what became of each feature, and what it failed
-at."""
+"""Draft of one rule for one class: its remaining features, the findings, and reasons why it can't run."""
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
@@ -9,22 +8,25 @@
 from beechrock.lowering.policy import Affinity, Feature, Kind, Mark, Policy, Pool, Rule
 from beechrock.lowering.profile import Profile
 
-Tier = tuple[tuple[str, int], ...]  # pool and weight; after ``slots``, pool and number of slots
+Tier = tuple[tuple[str, int], ...]  # Pool and weight; after the pass ``slots``, pool and number of slots
 
 
 class Outcome(Enum):
-    __hash__ = object.__hash__  # as of policy.Mark
+    __hash__ = object.__hash__  # Hash by identity, for speed; see policy.Mark
     EXACT = "exact"
-    REWRITTEN = "rewritten"  # another form with the same meaning
-    APPROXIMATED = "approximated"  # off by the stated error
-    STEERED = "steered"  # another class runs it
+    REWRITTEN = "rewritten"  # Another form with the same meaning
+    APPROXIMATED = "approximated"  # Differs by the stated error
+    STEERED = "steered"  # Another class runs the rule
     DROPPED = "dropped"
-    REFUSED = "refused"  # nobody runs it: its requests are turned away
+    REFUSED = "refused"  # No class runs the rule: its requests are rejected
 
 
 class Finding(NamedTuple):
-    """What became of a feature. ``error`` is in the feature's own unit (docs/lowering.md), 0 where nothing
-    is off; ``need`` is what a class would have to have, by key of its profile."""
+    """Outcome of one feature.
+
+    ``error`` is in the feature's own unit (docs/lowering.md), 0 if nothing differs. ``need`` is the key and
+    value of the profile that a class would need to keep the feature.
+    """
 
     feature: Feature
     outcome: Outcome
@@ -35,10 +37,11 @@
 
 @dataclass(slots=True)
 class Draft:
-    """Never changed once made (not frozen, as a frozen one takes three times as long to make).
+    """Draft of a rule for one class; never changed after its creation.
 
-    ``stuck``: why this class can't run the rule; with a feature MATCH among it, it can't even tell its
-    requests."""
+    The class is not frozen, because creating a frozen instance takes three times as long. ``stuck`` holds the
+    reasons why the class can't run the rule; a finding on MATCH means that it can't even match the requests.
+    """
 
     rule: Rule
     rank: int
@@ -57,11 +60,13 @@
     mirrors: tuple[tuple[str, int], ...]
     findings: tuple[Finding, ...] = ()
     stuck: tuple[Finding, ...] = ()
-    own: int = 0  # so many tiers are the rule's own pools; those after them are fall-backs. 0: all
+    own: int = 0  # Number of leading tiers of the rule's own pools; later ones are fall-backs. 0: all tiers
 
     def but(self, **changes: Any) -> "Draft":
-        """A copy with these changed; a compile makes hundreds of thousands, and ``replace`` takes six times
-        as long."""
+        """Return a copy with these fields changed.
+
+        A compile makes hundreds of thousands of copies, and ``dataclasses.replace`` takes six times as long.
+        """
         new = Draft(
             self.rule,
             self.rank,
@@ -91,14 +96,17 @@
         return all(finding.feature is not Feature.MATCH for finding in self.stuck)
 
     def counters(self, teams: int) -> int:
-        """Of each team its own: one that is shared would let a team use up what is another's."""
+        """Return the number of counters needed.
+
+        Each team has its own, because with a shared counter one team could use up the limit of another.
+        """
         each = (self.rate_per_s is not None) + (self.at_once is not None)
         return each * (1 if self.rule.match.team is not None else teams)
 
 
 @dataclass(frozen=True, slots=True)
 class Around:
-    """What passes may look at beside the draft."""
+    """Facts of the policy that passes may read besides the draft."""
 
     pools: Mapping[str, Pool]
     teams: int
@@ -113,7 +121,7 @@
 
 
 def first(rule: Rule, rank: int) -> Draft:
-    """The rule as it stands, before any pass."""
+    """Return the draft of a rule before any pass."""
     match = rule.match
     return Draft(
         rule,
@@ -144,10 +152,10 @@
     tolerance: float = 0.0,
     **changes: Any,
 ) -> Draft:
-    """Write down what became of a feature, with the changes that it made; exact is what is not written down.
+    """Return the draft with a finding on a feature and the changes made; an exact outcome adds no finding.
 
-    A ``must`` that would be lost makes the class unable to run the rule. Without this a rule marked so ran
-    on with the feature gone, and only the report told.
+    If a ``must`` would be lost, the class can't run the rule. Without this check the class ran the rule
+    without the feature, and only the report showed it.
     """
     if outcome is Outcome.EXACT:
         return draft.but(**changes) if changes else draft
--- a/beechrock/lowering/passes/keep.py
+++ b/beechrock/lowering/passes/keep.py
@@ -1,4 +1,4 @@
-"""What a request keeps to: its server, its team's limits, its priority. Pure."""
+"""Passes for the affinity to a server, the limits per team, and the priority. Pure."""
 
 from beechrock.lowering.passes.draft import Around, Draft, Outcome, noted
 from beechrock.lowering.policy import HIGHEST, Affinity, Feature
@@ -6,7 +6,7 @@
 
 
 def affinity(draft: Draft, profile: Profile, _: Around) -> Draft:
-    """The nearest kind that the class has, never more than was asked; the error counts steps down."""
+    """Use the strongest affinity of the class up to the requested one; the error counts the steps down."""
     wanted = draft.affinity
     if wanted is Affinity.NONE:
         return draft
@@ -26,8 +26,10 @@
 
 
 def limits(draft: Draft, profile: Profile, around: Around) -> Draft:
-    """A limit needs a counter, of each team its own; where there are too few, the rate is kept before the
-    other."""
+    """Drop limits for which the class has too few counters, the limit of concurrent requests first.
+
+    Each limit needs one counter per team.
+    """
     each = 1 if draft.rule.match.team is not None else around.teams
     left = profile.counters
     for feature, key in ((Feature.RATE, "rate_per_s"), (Feature.AT_ONCE, "at_once")):
@@ -37,7 +39,7 @@
             left -= each
             draft = noted(draft, feature, Outcome.EXACT)
             continue
-        # A counter for several teams would do, but let one team use up another's: isolation is always must.
+        # With one counter for several teams a team could use up another's limit; isolation is always must.
         changed = draft.but(rate_per_s=None) if key == "rate_per_s" else draft.but(at_once=None)
         draft = noted(
             changed,
@@ -51,11 +53,11 @@
 
 
 def priority(draft: Draft, profile: Profile, _: Around) -> Draft:
-    """From 0 to 7 onto the class's levels, in order; the error is a part of the whole range."""
+    """Map the priorities 0 to 7 to the class's levels, in order; the error is a share of the whole range."""
     if profile.levels > HIGHEST:
         return noted(draft, Feature.PRIORITY, Outcome.EXACT)
     level = draft.level * profile.levels // (HIGHEST + 1)
-    lowest = -(-level * (HIGHEST + 1) // max(1, profile.levels))  # what this level stands for again
+    lowest = -(-level * (HIGHEST + 1) // max(1, profile.levels))  # Lowest priority that maps to this level
     off = abs(draft.level - lowest) / HIGHEST
     outcome = Outcome.APPROXIMATED if off else Outcome.REWRITTEN
     return noted(
--- a/beechrock/lowering/passes/lean.py
+++ b/beechrock/lowering/passes/lean.py
@@ -1,12 +1,12 @@
-"""Where a table is too small for all wishes: the same draft without those that are marked lower. Pure."""
+"""Reduces a draft by features that are not ``must``, for tables that are too small for all. Pure."""
 
 from collections.abc import Collection
 
 from beechrock.lowering.passes.draft import Draft, Finding, Outcome
 from beechrock.lowering.policy import Affinity, Feature, Mark
 
-# What costs room, counters or timers, and what is left when it is gone. Pools, halls, fall-backs and
-# priority stay: they cost nothing that others wait for, or are what a rule is for.
+# Features that cost memory, counters or timers, with their draft field and its value without the feature.
+# Pools, halls, fall-backs and priority are kept: they are the purpose of a rule or use nothing scarce.
 BARE: tuple[tuple[Feature, str, object], ...] = (
     (Feature.AFFINITY, "affinity", Affinity.NONE),
     (Feature.RATE, "rate_per_s", None),
@@ -21,7 +21,7 @@
 
 
 def wishes(draft: Draft) -> list[Wish]:
-    """What could be left out of it."""
+    """Return the features of the draft that may be left out."""
     found: list[Wish] = []
     for feature, key, bare in BARE:
         if getattr(draft, key) != bare:
@@ -31,22 +31,22 @@
     return found
 
 
-def lean(draft: Draft, without: Collection[Wish], why: str) -> Draft:
-    """The draft itself where there are none of these wishes."""
+def lean(draft: Draft, without: Collection[Wish], reason: str) -> Draft:
+    """Return the draft without these features; the same object if ``without`` is empty."""
     changes = {key: bare for _, key, bare, _ in without}
-    gone = [feature for feature, *_ in without]
-    if not gone:
+    dropped = [feature for feature, *_ in without]
+    if not dropped:
         return draft
-    findings = [f for f in draft.findings if f.feature not in gone]
+    findings = [f for f in draft.findings if f.feature not in dropped]
     findings += [
-        Finding(feature, Outcome.DROPPED, _all_of(draft, feature), why, ("memory_kb", "more"))
-        for feature in gone
+        Finding(feature, Outcome.DROPPED, _full_error(draft, feature), reason, ("memory_kb", "more"))
+        for feature in dropped
     ]
     return draft.but(findings=tuple(findings), **changes)
 
 
-def _all_of(draft: Draft, feature: Feature) -> float:
-    """How far off a feature is that is gone altogether, in its unit."""
+def _full_error(draft: Draft, feature: Feature) -> float:
+    """Return the error of a feature that is dropped entirely, in its unit."""
     rule = draft.rule
     match feature:
         case Feature.AFFINITY:
--- a/beechrock/lowering/passes/spread.py
+++ b/beechrock/lowering/passes/spread.py
@@ -1,4 +1,4 @@
-"""Where requests go: halls in order, fall-backs flattened, weights in slots. Pure."""
+"""Passes for the order of halls, the flattening of fall-backs, and weights in slots. Pure."""
 
 import math
 from functools import lru_cache
@@ -9,7 +9,7 @@
 
 
 def halls(draft: Draft, profile: Profile, around: Around) -> Draft:
-    """A tier for each hall in the rule's order, those of no named hall last."""
+    """Make a tier of each hall in the rule's order; pools in other halls form the last tier."""
     rule = draft.rule
     if not rule.halls:
         return draft
@@ -26,7 +26,7 @@
             Outcome.REWRITTEN if len(tiers) > 1 else Outcome.EXACT,
             reason="a tier for each hall",
         )
-    # The last ones together: left out, the rule would have fewer servers than it names.
+    # The last halls share one tier; without them the rule would have fewer servers than it names.
     last: Tier = tuple(part for tier in tiers[profile.tiers - 1 :] for part in tier)
     return noted(
         draft.but(tiers=(*tiers[: profile.tiers - 1], last)),
@@ -39,14 +39,14 @@
 
 
 def fall_backs(draft: Draft, profile: Profile, around: Around) -> Draft:
-    """Fall-backs, and those of the pools they name, as a flat row; each pool once."""
+    """Append the fall-backs and their own fall-backs as single-pool tiers, each pool once."""
     if not draft.rule.fall_backs:
         return draft
     row: dict[str, None] = {}
-    there = {name for name, _ in draft.rule.pools}
+    own_pools = {name for name, _ in draft.rule.pools}
     for name in draft.rule.fall_backs:
         at: str | None = name
-        while at is not None and at not in there and at not in row:
+        while at is not None and at not in own_pools and at not in row:
             row[at] = None
             at = around.pools[at].fall_back
     room = max(0, profile.tiers - len(draft.tiers))
@@ -80,9 +80,9 @@
 
 
 def shares(tier: Tier, slots: int) -> Tier:
-    """Largest remainder, a slot at least for each of the heaviest.
+    """Convert weights to slots by largest remainder, with at least one slot for each of the heaviest pools.
 
-    Where weights fit the slots to the letter, as few slots are used as do.
+    If the weights fit the slots exactly, the fewest slots possible are used.
     """
     total = sum(weight for _, weight in tier)
     ordered = sorted(tier)
@@ -90,9 +90,9 @@
     if total // parts <= slots:
         return tuple((name, weight // parts) for name, weight in ordered)
     heaviest = sorted(ordered, key=lambda part: (-part[1], part[0]))[:slots]
-    want = {name: weight * slots for name, weight in heaviest}  # in parts of a slot, ``total`` of them
-    given = {name: max(1, most // total) for name, most in want.items()}
-    while sum(given.values()) > slots:  # those with more than one slot make up for the gifts
+    want = {name: weight * slots for name, weight in heaviest}  # In units of 1 / ``total`` slot
+    given = {name: max(1, parts_wanted // total) for name, parts_wanted in want.items()}
+    while sum(given.values()) > slots:  # Take back slots from pools that have more than one
         given[max(given, key=lambda n: (given[n] > 1, given[n] * total - want[n], n))] -= 1
     while sum(given.values()) < slots:
         given[min(given, key=lambda n: (given[n] * total - want[n], n))] += 1
@@ -100,9 +100,11 @@
 
 
 def apart(tier: Tier, laid: Tier, without: frozenset[str] = frozenset()) -> float:
-    """Half the sum of how far each pool's part is off, never told too low; 1 where nothing is left of the
-    wanted."""
-    given = {name: n for name, n in laid if name not in without}
+    """Return half the sum of the deviations of the pools' shares, rounded up.
+
+    The result is 1 if only one of the two tiers has pools left.
+    """
+    given = {name: count for name, count in laid if name not in without}
     wanted = [(name, weight) for name, weight in tier if name not in without]
     total, slots = sum(weight for _, weight in wanted), sum(given.values())
     if not slots or not total:
@@ -111,21 +113,21 @@
     return off / (2 * total * slots) * (1 + 1e-12)
 
 
-@lru_cache(maxsize=4096)  # rules repeat tiers, and classes numbers of slots
+@lru_cache(maxsize=4096)  # Rules often have the same tiers, and classes the same numbers of slots
 def _laid(tier: Tier, halls: tuple[str, ...], slots: int) -> tuple[Tier, float]:
-    """The tier in slots, and the most that this is off; ``halls`` are its pools', in its order."""
+    """Return the tier in slots and its largest error; ``halls`` are those of its pools, in their order."""
     laid = shares(tier, slots)
     worst = apart(tier, laid)
     for hall in sorted(set(halls)) if worst else ():
-        gone = frozenset(name for (name, _), at in zip(tier, halls, strict=True) if at == hall)
-        worst = max(worst, apart(tier, laid, gone))
+        lost = frozenset(name for (name, _), at in zip(tier, halls, strict=True) if at == hall)
+        worst = max(worst, apart(tier, laid, lost))
     return laid, worst
 
 
 def slots(draft: Draft, profile: Profile, around: Around) -> Draft:
-    """Weights as whole numbers of slots, with the most that this is off, also with any one hall lost.
+    """Convert weights to whole slots and record the largest error, also for the loss of any one hall.
 
-    Seen in the drawn policies: 0.02 off with all halls was 0.11 off with one of them gone.
+    In random policies an error of 0.02 with all halls became 0.11 after the loss of one.
     """
     found, worst = list[Tier](), 0.0
     for tier in draft.tiers:
--- a/beechrock/lowering/passes/subjects.py
+++ b/beechrock/lowering/passes/subjects.py
@@ -1,4 +1,4 @@
-"""What tells requests apart: a match is kept to the letter, or the class can't run the rule. Pure."""
+"""Passes for the match conditions: a match is kept exactly, or the class can't run the rule. Pure."""
 
 from beechrock.lowering.passes.draft import Around, Draft, Outcome, noted
 from beechrock.lowering.policy import END, MAX_ATTEMPT, MAX_SIZE, Feature, Kind
@@ -6,7 +6,7 @@
 
 
 def sets_to_exacts(draft: Draft, profile: Profile, _: Around) -> Draft:
-    """A set where the class has no sets: each of its subjects alone."""
+    """Convert a set into exact subjects if the class does not support sets."""
     if draft.kind is not Kind.SET or profile.has("set"):
         return draft
     return noted(
@@ -18,7 +18,10 @@
 
 
 def exacts_to_prefixes(draft: Draft, profile: Profile, _: Around) -> Draft:
-    """A subject as a prefix that reaches past its end. Without the end in it, "ab" would also take "abc"."""
+    """Convert exact subjects into prefixes with an end mark if the class supports only prefixes.
+
+    Without the end mark the prefix "ab" would also match "abc".
+    """
     if draft.kind is Kind.PREFIX and not profile.has("prefix"):
         return noted(draft, Feature.MATCH, Outcome.DROPPED, reason="no prefixes", need=("kinds", "prefix"))
     if draft.kind is not Kind.EXACT or profile.has("exact"):
@@ -40,7 +43,10 @@
 
 
 def ranges(draft: Draft, profile: Profile, _: Around) -> Draft:
-    """Sizes and attempts: left out, a rule would take more than is its own."""
+    """Reject rules with size or attempt ranges that the class does not support.
+
+    Without its ranges a rule would match requests that are not its own.
+    """
     if draft.size != (0, MAX_SIZE) and not profile.has("size"):
         draft = noted(draft, Feature.MATCH, Outcome.DROPPED, reason="no sizes", need=("kinds", "size"))
     if draft.attempt != (1, MAX_ATTEMPT) and not profile.has("attempt"):
--- a/beechrock/lowering/passes/survive.py
+++ b/beechrock/lowering/passes/survive.py
@@ -1,4 +1,4 @@
-"""The last pass of all: what is left has to carry the survivable rate with any one hall lost. Pure."""
+"""Last pass: checks that the remaining pools can serve the survivable rate with any one hall lost. Pure."""
 
 from beechrock.lowering.passes.draft import Around, Draft, Outcome, noted
 from beechrock.lowering.policy import Feature
@@ -6,7 +6,7 @@
 
 
 def carried(draft: Draft, around: Around) -> tuple[float, str]:
-    """The least that all pools left can take with one hall lost, and which hall that is."""
+    """Return the lowest rate of the remaining pools with one hall lost, and that hall."""
     names = {name for tier in draft.tiers for name, _ in tier}
     return min(
         (
@@ -18,18 +18,18 @@
 
 
 def survive(draft: Draft, _: Profile, around: Around) -> Draft:
-    """Fall-backs and light pools that were left out may be those that had to carry it."""
+    """Record a lost survivable rate; left-out fall-backs and light pools may have been needed for it."""
     wanted = draft.rule.survive_per_s
     if not wanted:
         return draft
-    least, hall = carried(draft, around)
-    if least >= wanted:
+    rate, hall = carried(draft, around)
+    if rate >= wanted:
         return noted(draft, Feature.SURVIVE, Outcome.EXACT)
     return noted(
         draft,
         Feature.SURVIVE,
         Outcome.DROPPED,
-        wanted - least,
-        f"without {hall} its pools take {least:g} a second of {wanted:g}",
+        wanted - rate,
+        f"without {hall} its pools take {rate:g} a second of {wanted:g}",
         ("tiers", "more"),
     )
--- a/beechrock/lowering/tables.py
+++ b/beechrock/lowering/tables.py
@@ -1,14 +1,13 @@
-"""Packed tables and their lookup: by contract, then by subject, then by prefix; the lowest rank that matches
-counts. Pure.
+"""Packed tables and their lookup: the matching entry with the lowest rank applies. Pure.
 
-A lookup looks into up to four scopes (team or all, service or all), and asks in each for the whole subject,
-for its first characters as many as the scope's shortest prefix has, and where prefixes begin with them, for
-each of their lengths; it makes no object but those keys, however many rules there are.
+A lookup searches up to four scopes (team or all, service or all). In each it looks up the whole subject, and
+its start with the length of the scope's shortest prefix; if longer prefixes have that start, it looks up each
+of their lengths. It creates no objects but these keys, however many rules there are.
 
-What grew with the rules was less the work than the memory that it went through: with a dict for each scope
-and length, some twenty places that lie apart, and of 10,000 rules they are no more in the processor's cache.
-So one dict holds all keys, what scopes and entries have alike is one object, and an entry holds no more than
-is looked at.
+With more rules the lookup slowed down because of memory accesses rather than work: a dict per scope and
+length meant some twenty separate locations, which at 10,000 rules are no longer in the processor's cache.
+Therefore one dict holds all keys, equal parts of scopes and entries share one object, and an entry holds only
+what a lookup reads.
 """
 
 import sys
@@ -25,28 +24,31 @@
 
 FORMAT = 1
 RUN, STEER, REFUSE = 0, 1, 2
-COARSE = -1  # rank of an entry that stands before all rules: the class can't tell them apart
+# Rank of a coarse entry, which precedes all rules: the class can't match the requests of its scope exactly.
+COARSE = -1
 
 
 @dataclass(frozen=True, slots=True)
 class Action:
-    """What a node does with a request. Pools by their place in the table; ``target`` is a class, where it
-    steers."""
+    """Treatment of a request by a node; pools are indices into the table's pools.
+
+    ``target`` is the class to which a STEER action sends the request.
+    """
 
     verdict: int
-    tiers: tuple[tuple[tuple[int, int], ...], ...] = ()  # pool and slots
+    tiers: tuple[tuple[tuple[int, int], ...], ...] = ()  # Pool and number of slots
     affinity: int = 0
     rate_per_s: float | None = None
     at_once: int | None = None
-    level: int = 0
+    level: int = 0  # Priority
     retries: int = 0
     hedge_ms: int | None = None
-    mirrors: tuple[tuple[int, int], ...] = ()  # pool and percent
+    mirrors: tuple[tuple[int, int], ...] = ()  # Pool and percentage of the requests
     target: str = ""
-    own: int = 0  # so many tiers are under the rule's limits; those after them are fall-backs. 0: all
+    own: int = 0  # Number of leading tiers under the rule's limits; later ones are fall-backs. 0: all tiers
 
     def once(self) -> "Action":
-        """The same for what may not run twice, whatever the rule says."""
+        """Return the action for requests that must not run twice: without retries, hedge and mirrors."""
         if not (self.retries or self.hedge_ms is not None or self.mirrors):
             return self
         return Action(
@@ -61,19 +63,19 @@
         )
 
     def over(self, place: Mapping[int, int]) -> "Action":
-        """With pools counted otherwise."""
+        """Return the action with pool indices mapped by ``place``."""
         if not self.tiers and not self.mirrors:
             return self
         return Action(
             self.verdict,
-            tuple([tuple([(place[p], n) for p, n in tier]) for tier in self.tiers]),
+            tuple([tuple([(place[p], slots) for p, slots in tier]) for tier in self.tiers]),
             self.affinity,
             self.rate_per_s,
             self.at_once,
             self.level,
             self.retries,
             self.hedge_ms,
-            tuple([(place[p], n) for p, n in self.mirrors]),
+            tuple([(place[p], percent) for p, percent in self.mirrors]),
             self.target,
             self.own,
         )
@@ -97,13 +99,15 @@
 def action_from(row: list[Any]) -> Action:
     tiers = tuple(tuple((int(p), int(n)) for p, n in tier) for tier in row[1])
     mirrors = tuple((int(p), int(n)) for p, n in row[8])
-    own = row[10] if len(row) > 10 else 0  # plans of before fall-backs were told apart
+    own = row[10] if len(row) > 10 else 0  # Plans of older programs lack this field
     return Action(row[0], tiers, row[2], row[3], row[4], row[5], row[6], row[7], mirrors, row[9], own)
 
 
 class Line(NamedTuple):
-    """One entry of a table; ``subjects`` of kind PREFIX may end in END. ``action`` is a place in the
-    table's list."""
+    """One entry of a table; ``action`` is an index into the table's actions.
+
+    ``subjects`` of kind PREFIX may end in END, which makes them match the whole subject only.
+    """
 
     team: str | None
     service: str | None
@@ -116,7 +120,7 @@
 
 
 def whole(team: str | None, service: str | None, action: int) -> Line:
-    """An entry that takes all of these, before any rule."""
+    """Return a coarse entry, which matches all requests of the scope before any rule."""
     return Line(team, service, Kind.ANY, (), (0, MAX_SIZE), (1, MAX_ATTEMPT), COARSE, action)
 
 
@@ -135,12 +139,12 @@
 
 
 def entries_of(draft: Draft) -> int:
-    """How many entries the draft is: a set that the class has is one, as its subjects share it."""
+    """Return the number of table entries of the draft; all subjects of a set share one entry."""
     return 1 if draft.kind is Kind.SET else max(1, len(draft.exacts) + len(draft.prefixes))
 
 
 def bytes_of(draft: Draft, steered: bool) -> int:
-    """What it will hold in memory, from above."""
+    """Return an upper estimate of the draft's memory in a loaded table, in bytes."""
     count = len(draft.exacts) + len(draft.prefixes)
     keys = 60 * count + 4 * (sum(map(len, draft.exacts)) + sum(map(len, draft.prefixes)))
     action = 0 if steered else ACTION_BYTES + SLOT_BYTES * 8 * sum(map(len, draft.tiers))
@@ -153,34 +157,49 @@
     lines: Iterable[Line],
     states: Mapping[str, Mapping[int, int]],
 ) -> bytes:
-    """The written form; the same content has the same bytes. ``states``: by lost hall or class, rank to
-    action."""
+    """Return the packed table; the same content has the same bytes.
+
+    ``states`` maps each loss state to its changed actions by rank.
+    """
     rows = [
-        [n.team, n.service, int(n.kind), list(n.subjects), *n.size, *n.attempt, n.rank, n.action]
-        for n in sorted(lines, key=lambda n: (n.rank, n.team or "", n.service or "", n.subjects))
+        [
+            line.team,
+            line.service,
+            int(line.kind),
+            list(line.subjects),
+            *line.size,
+            *line.attempt,
+            line.rank,
+            line.action,
+        ]
+        for line in sorted(
+            lines, key=lambda line: (line.rank, line.team or "", line.service or "", line.subjects)
+        )
+    ]
+    changes = [
+        [name, [[rank, states[name][rank]] for rank in sorted(states[name])]] for name in sorted(states)
     ]
-    told = [[name, [[rank, states[name][rank]] for rank in sorted(states[name])]] for name in sorted(states)]
     packed: bytes = msgpack.packb(
         [
             FORMAT,
             [[p.name, p.hall, [list(a) for a in p.servers]] for p in pools],
             [a.row() for a in actions],
             rows,
-            told,
+            changes,
         ]
     )
     return packed
 
 
-Bounds = tuple[int, int, int, int]  # sizes and attempts, the least and the most
-Entry = tuple[int, int, Bounds, Any]  # rank, action, and the entry of the same key that comes next, or None
-# What has no subject, the shortest prefix (0: none; -1: no subjects at all), whether others are longer,
-# whether it is of one team, and of one service.
+Bounds = tuple[int, int, int, int]  # Minimum and maximum size, minimum and maximum attempt
+Entry = tuple[int, int, Bounds, Any]  # Rank, action, bounds, and the next entry of the same key or None
+# First entry without subjects, length of the shortest prefix (0: no prefixes; -1: no subjects at all),
+# whether there are longer prefixes, whether the scope has one team, and whether it has one service.
 Scope = tuple[Entry | None, int, bool, bool, bool]
 
 
 class Table:
-    """A loaded table. ``state`` says which of the plans made ahead counts: "" or a lost hall or class."""
+    """Loaded table; ``state`` is the loss state in force, empty if no hall or class is lost."""
 
     def __init__(self, packed: bytes) -> None:
         try:
@@ -190,18 +209,22 @@
                     f"a table of format {form}", wanted=f"format {FORMAT}", do="upgrade this node"
                 )
             self.pools = [(str(name), str(hall)) for name, hall, _ in pools]
-            self.servers = [tuple((str(host), int(port)) for host, port in told) for *_, told in pools]
+            self.servers = [
+                tuple((str(host), int(port)) for host, port in addresses) for *_, addresses in pools
+            ]
             self.actions = [action_from(row) for row in actions]
             self.states = {str(name): {int(r): int(a) for r, a in found} for name, found in states}
-            self.same: dict[int, int] = {}  # by rank of a rule with limits: what it is called across plans
+            self.same: dict[int, int] = {}  # By rank of a rule with limits: its key, equal in every plan
             self.coarse = any(row[8] == COARSE for row in rows)
-            # Subjects and prefixes behind the names of their scope. Where all keys are words a dict keeps no
-            # hash beside them, and reads each word that lies in the way; one other key prevents that.
+            # Keys are the names of the scope and the subject or prefix. A dict with only str keys stores no
+            # hashes and compares each colliding string; one key of another type prevents that.
             self.keys: dict[str | None, Entry | None] = {None: None}
-            self.starts: dict[str | None, tuple[int, ...]] = {None: ()}  # lengths of prefixes that begin so
+            self.starts: dict[str | None, tuple[int, ...]] = {
+                None: ()
+            }  # By start of a key: lengths of prefixes
             self.scopes: dict[tuple[str | None, str | None], Scope] = {}
-            self.named: dict[str, dict[str, tuple[Scope, ...]]] = {}  # for contracts that are named whole
-            self.held = 0  # keys, and entries without one
+            self.named: dict[str, dict[str, tuple[Scope, ...]]] = {}  # By contract that a rule names in full
+            self.held = 0  # Number of keys, plus entries without a subject
             self._fill(rows)
         except (ValueError, TypeError, IndexError, KeyError, msgpack.UnpackException) as error:
             raise PlanError(
@@ -212,7 +235,7 @@
         self.state = ""
 
     def _fill(self, rows: list[Any]) -> None:
-        alike: dict[Any, Any] = {}  # each of these once
+        alike: dict[Any, Any] = {}  # Shared instance of each equal value
         first: dict[tuple[str | None, str | None], Entry | None] = {}
         prefixes: dict[tuple[str | None, str | None], set[str]] = {}
         for team, service, kind, subjects, *bounds, rank, action in sorted(rows, key=_rank, reverse=True):
@@ -222,12 +245,12 @@
                     wanted="what the compile packed",
                     do="publish again",
                 )
-            told = self.actions[action]
-            if told.rate_per_s is not None or told.at_once is not None:
-                # Ranks change with each plan, and what a rule has used of its limits is not to be forgotten.
+            entry_action = self.actions[action]
+            if entry_action.rate_per_s is not None or entry_action.at_once is not None:
+                # Ranks change with each plan, but a rule's usage of its limits has to carry over.
                 self.same[rank] = hash((team, service, kind, tuple(subjects), *bounds))
-            least, most, from_try, to_try = bounds
-            within: Bounds = (least, most, from_try, to_try)
+            min_size, max_size, min_attempt, max_attempt = bounds
+            within: Bounds = (min_size, max_size, min_attempt, max_attempt)
             within = alike.setdefault(within, within)
             scope = team, service
             if kind == Kind.ANY:
@@ -235,11 +258,11 @@
                 self.held += 1
                 continue
             first.setdefault(scope, None)
-            told_here = prefixes.setdefault(scope, set())
+            scope_prefixes = prefixes.setdefault(scope, set())
             head, end = f"{team or ''}{END}{service or ''}{END}", "" if kind == Kind.PREFIX else END
             for subject in subjects:
                 if not end:
-                    told_here.add(subject)
+                    scope_prefixes.add(subject)
                 key = f"{head}{subject}{end}"
                 self.keys[key] = rank, action, within, self.keys.get(key)
         self.held += len(self.keys) - 1
@@ -252,57 +275,57 @@
             for subject in here if here is not None and longer else ():
                 key = f"{team or ''}{END}{service or ''}{END}{subject[:shortest]}"
                 starts.setdefault(key, set()).add(len(subject))
-            whole = entry, shortest, longer, team is not None, service is not None
-            self.scopes[scope] = alike.setdefault(whole, whole)
+            value = entry, shortest, longer, team is not None, service is not None
+            self.scopes[scope] = alike.setdefault(value, value)
         for key, lengths in starts.items():
-            told_lengths = tuple(sorted(lengths))
-            self.starts[key] = alike.setdefault(told_lengths, told_lengths)
+            sorted_lengths = tuple(sorted(lengths))
+            self.starts[key] = alike.setdefault(sorted_lengths, sorted_lengths)
         for team, service in self.scopes:
             if team is not None and service is not None:
-                about = self._about(team, service)
+                about = self._scopes_of(team, service)
                 services = self.named.setdefault(sys.intern(team), {})
                 services[sys.intern(service)] = alike.setdefault(about, about)
 
-    def _about(self, team: str, service: str) -> tuple[Scope, ...]:
+    def _scopes_of(self, team: str, service: str) -> tuple[Scope, ...]:
         keys = (team, service), (team, None), (None, service), (None, None)
         return tuple(self.scopes[key] for key in keys if key in self.scopes)
 
     def find(self, team: str, service: str, subject: str, size: int, attempt: int) -> Entry | None:
-        """The entry with the lowest rank that matches, or None: no rule is about it."""
+        """Return the matching entry with the lowest rank; None if no rule matches."""
         best: Entry | None = None
-        asked = self.keys.get
+        get_entry = self.keys.get
         services = self.named.get(team)
         scopes = services.get(service) if services is not None else None
         if scopes is None:
-            scopes = self._about(team, service)
+            scopes = self._scopes_of(team, service)
         for entry, shortest, longer, of_team, of_service in scopes:
             if entry is not None:
-                best = _least(entry, size, attempt, best)
+                best = _first_match(entry, size, attempt, best)
             if shortest < 0:
                 continue
             ended = f"{team if of_team else ''}{END}{service if of_service else ''}{END}{subject}{END}"
-            entry = asked(ended)
+            entry = get_entry(ended)
             if entry is not None:
-                best = _least(entry, size, attempt, best)
+                best = _first_match(entry, size, attempt, best)
             if shortest:
-                most = len(ended)
-                start = most - len(subject) - 1
+                ended_length = len(ended)
+                start = ended_length - len(subject) - 1
                 begins = ended[: start + shortest]
                 for length in self.starts.get(begins, ()) if longer else (shortest,):
-                    if start + length > most:
+                    if start + length > ended_length:
                         break
-                    entry = asked(ended[: start + length])
+                    entry = get_entry(ended[: start + length])
                     if entry is not None:
-                        best = _least(entry, size, attempt, best)
+                        best = _first_match(entry, size, attempt, best)
         return best
 
-    def action(self, entry: Entry, again: bool) -> Action:
-        """``again``: whether the request may run twice."""
+    def action(self, entry: Entry, repeatable: bool) -> Action:
+        """Return the action of an entry; ``repeatable`` says whether the request may run twice."""
         at = self.over.get(entry[0], entry[1])
-        return self.actions[at] if again else self.once[at]
+        return self.actions[at] if repeatable else self.once[at]
 
-    def go_by(self, state: str) -> None:
-        """Take the plan that was made ahead for this; the usual one where there is none."""
+    def set_state(self, state: str) -> None:
+        """Use the actions of a loss state; the normal ones if the table has no changes for it."""
         self.state, self.over = state, self.states.get(state, {})
 
 
@@ -310,17 +333,17 @@
     return int(row[8])
 
 
-def _least(entry: Entry | None, size: int, attempt: int, best: Entry | None) -> Entry | None:
-    """The first of these that takes it, where that is before the best."""
+def _first_match(entry: Entry | None, size: int, attempt: int, best: Entry | None) -> Entry | None:
+    """Return the first entry of the chain that matches and ranks before ``best``; else ``best``."""
     while entry is not None and (best is None or entry[0] < best[0]):
-        least, most, from_try, to_try = entry[2]
-        if least <= size <= most and from_try <= attempt <= to_try:
+        min_size, max_size, min_attempt, max_attempt = entry[2]
+        if min_size <= size <= max_size and min_attempt <= attempt <= max_attempt:
             return entry
         entry = entry[3]
     return best
 
 
 def held_bytes(table: Table) -> int:
-    """What a loaded table holds in memory, from above: what its class's memory is compared with."""
+    """Return an upper estimate of a loaded table's memory in bytes, to compare with its class's memory."""
     slots = sum(len(tier) for action in table.actions for tier in action.tiers)
     return table.held * (ENTRY_BYTES + 60) + len(table.actions) * ACTION_BYTES + slots * SLOT_BYTES * 8
--- a/beechrock/lowering/told.py
+++ b/beechrock/lowering/told.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class LoweringSettings:
     """Settings of the lowering.
 
     ``memory_file`` names a file with the memory that a table may take, in kB. It is read again before each
@@ -28,7 +28,7 @@
     ways: bool = False  # Whether to log one event per request, for the laboratory's checkers
 
 
-def read(table: Mapping[str, Any], where: str, root: Path) -> Told:
+def read(table: Mapping[str, Any], where: str, root: Path) -> LoweringSettings:
     """Return the checked table. Raises ConfigError, which names file, table and key."""
     file, flags = table.get("memory_file"), {"publish": True, "ways": False}
     flags.update({key: table[key] for key in flags if key in table})
@@ -37,7 +37,7 @@
     for key, value in flags.items():
         if not isinstance(value, bool):
             raise ConfigError(f"{value!r}", where=f"{where}: {key}", wanted="true or false")
-    return Told(
+    return LoweringSettings(
         number(table, "prepare_s", PREPARE_S, where),
         number(table, "gone_s", GONE_S, where),
         number(table, "memory_kb", 0.0, where) if "memory_kb" in table else 0.0,
--- a/beechrock/lowering/witness.py
+++ b/beechrock/lowering/witness.py
@@ -1,10 +1,9 @@
-"""A request for every region of the match space, and whether the tables answer it as the interpreter does.
-Pure.
+"""Checks the tables against the interpreter with one sample request per region of the match space. Pure.
 
-A region is what no rule tells apart: a contract (those that the same rules are about count once), a subject
-or prefix that a rule names, or none, and the sizes and attempts between all bounds. Compared is what the
-policy wants with what a node would do, within the error that the report states, and for each ``must`` within
-what the rule allows.
+All requests of a region match the same rules. A region is defined by a contract (contracts with the same
+rules count once), a subject or prefix that a rule names, or none of these, and a range of sizes and attempts
+between neighbouring bounds. The check compares the policy's meaning with a node's action. They may differ by
+the error that the report states, and for a ``must`` by no more than the rule allows.
 """
 
 from collections.abc import Iterator, Mapping, Sequence
@@ -15,24 +14,24 @@
 from beechrock.lowering.policy import MAX_ATTEMPT, MAX_SIZE, Feature, Kind, Mark, Policy, Request, Rule
 from beechrock.lowering.tables import COARSE, REFUSE, RUN, STEER, Action, Entry, Table
 
-MAX_WITNESSES = 500_000
-AFTER = "~"  # what is put behind a subject to leave the region of the whole subject
-Entries = Mapping[str, Entry | None]  # by class what it finds for one request
-Told = Mapping[tuple[str, int], Sequence[Finding]]  # by class and rank, for what runs there
+MAX_WITNESSES = 500_000  # Maximum number of sample requests per compile
+AFTER = "~"  # Appended to a subject to get a sample outside the region of exactly that subject
+Entries = Mapping[str, Entry | None]  # By class: the entry that its table has for one request
+StatedFindings = Mapping[tuple[str, int], Sequence[Finding]]  # By class and rank of a rule that runs there
 
 
 def _cuts(bounds: list[tuple[int, int]], whole: tuple[int, int]) -> list[int]:
-    """The first point of each stretch between bounds."""
+    """Return the first value of each interval between neighbouring bounds."""
     points = {whole[0]}
-    for least, most in bounds:
-        points.add(least)
-        if most < whole[1]:
-            points.add(most + 1)
+    for minimum, maximum in bounds:
+        points.add(minimum)
+        if maximum < whole[1]:
+            points.add(maximum + 1)
     return sorted(points)
 
 
 def witnesses(policy: Policy) -> Iterator[Request]:
-    """Each region once; PolicyError where there are more than can be looked at."""
+    """Yield one request per region. Raises PolicyError beyond MAX_WITNESSES regions."""
     by_key: dict[tuple[str | None, str | None], list[int]] = {}
     for rank, rule in enumerate(policy.rules):
         by_key.setdefault((rule.match.team, rule.match.service), []).append(rank)
@@ -83,21 +82,24 @@
 
 
 class Judge:
-    """Holds all classes' tables beside the interpreter."""
+    """Compares the tables of all classes with the interpreter."""
 
     def __init__(
         self,
         policy: Policy,
         tables: Mapping[str, Table],
-        told: Told,
+        stated: StatedFindings,
         refused: Mapping[str, frozenset[int]],
         lost: Mapping[str, frozenset[str]],
     ) -> None:
-        """``refused``: by class the ranks that the report says are turned away there, COARSE for all that it
-        can't tell apart; ``lost``: by state the classes that are gone in it."""
-        self.policy, self.tables, self.told, self.refused, self.lost = policy, tables, told, refused, lost
+        """``refused``: by class, ranks that the report lists as refused; COARSE stands for its coarse scopes.
+
+        ``lost``: by loss state, the classes that are lost in it.
+        """
+        self.policy, self.tables, self.stated, self.refused, self.lost = policy, tables, stated, refused, lost
         self.interpreter = Interpreter(policy)
         self.ranks = {rule.name: rank for rank, rule in enumerate(policy.rules)}
+        # Checked combinations: class, rank, action (or wanted rank), whether the request may run twice.
         self.good: set[tuple[str, int, int, bool]] = set()
         self.finds = [(name, table.find) for name, table in tables.items()]
         self.states = {
@@ -105,11 +107,14 @@
             for name, table in tables.items()
         }
         self.names = {name: tuple(pool for pool, _ in table.pools) for name, table in tables.items()}
-        self.measured: dict[tuple[object, ...], dict[Feature, float]] = {}  # of the rule looked at last
-        self.ideal: tuple[Rule, bool, Ideal] | None = None  # the same
+        self.measured: dict[
+            tuple[object, ...], dict[Feature, float]
+        ] = {}  # Errors of the rule in ``ideal``, as classes often run it alike
+        # Cached meaning of the rule that was checked last.
+        self.ideal: tuple[Rule, bool, Ideal] | None = None
 
     def run(self) -> int:
-        """How many regions were looked at; WitnessError at the first that is answered otherwise."""
+        """Return the number of regions checked. Raises WitnessError at the first one that differs."""
         count = 0
         for request in witnesses(self.policy):
             count += 1
@@ -118,13 +123,13 @@
 
     def look(self, request: Request) -> None:
         rule = self.interpreter.rule(request)
-        again = self.policy.effects.get((request.team, request.service)) == "safe"
+        repeatable = self.policy.effects.get((request.team, request.service)) == "safe"
         wanted = None if rule is None else self.ranks[rule.name]
         entries = {name: find(*request) for name, find in self.finds}
         for name, entry in entries.items():
             found = None if entry is None else entry[0]
             if found == COARSE and entry is not None:
-                key = name, COARSE, -1 if wanted is None else wanted, again
+                key = name, COARSE, -1 if wanted is None else wanted, repeatable
                 if key not in self.good:
                     self._coarse(name, entry, request, wanted, entries)
                     self.good.add(key)
@@ -135,24 +140,26 @@
                     request,
                     f"rule {self._name(found)} has it, and the policy says {self._name(wanted)}",
                 )
-            if entry is None or rule is None or (key := (name, entry[0], entry[1], again)) in self.good:
+            if entry is None or rule is None or (key := (name, entry[0], entry[1], repeatable)) in self.good:
                 continue
-            table, ideal = self.tables[name], self._ideal(rule, again)
-            actions = table.actions if again else table.once
+            table, ideal = self.tables[name], self._ideal(rule, repeatable)
+            actions = table.actions if repeatable else table.once
             usual = actions[entry[1]]
             for state, changes in self.states[name]:
                 changed = changes.get(entry[0])
                 action = usual if changed is None else actions[changed]
                 if action.verdict == STEER:
                     self._steered(name, state, action, request, wanted, entries)
-                elif not state or changed is not None:  # else as without a loss, which was looked at
-                    self._action(name, state, action, request, rule, ideal, again)
+                elif (
+                    not state or changed is not None
+                ):  # Else the action is the one without a loss, checked already
+                    self._action(name, state, action, request, rule, ideal, repeatable)
             self.good.add(key)
 
-    def _ideal(self, rule: Rule, again: bool) -> Ideal:
-        """Witnesses of one rule mostly come one after the other, and classes often run it alike."""
-        if self.ideal is None or self.ideal[0] is not rule or self.ideal[1] is not again:
-            self.ideal = rule, again, self.interpreter.meaning(rule, again)
+    def _ideal(self, rule: Rule, repeatable: bool) -> Ideal:
+        """Return the meaning of a rule, cached because most consecutive requests match the same rule."""
+        if self.ideal is None or self.ideal[0] is not rule or self.ideal[1] is not repeatable:
+            self.ideal = rule, repeatable, self.interpreter.meaning(rule, repeatable)
             self.measured.clear()
         return self.ideal[2]
 
@@ -188,7 +195,7 @@
         wanted: int | None,
         entries: Entries,
     ) -> None:
-        """Where it is sent, it is run: a second steer would send it round for ever."""
+        """Check that the target class runs the request; a second steer could send it in circles forever."""
         other = self.tables.get(action.target)
         if other is None or action.target == name or action.target in self.lost.get(state, frozenset()):
             raise self._off(
@@ -203,7 +210,14 @@
                 raise self._off(name, request, f"steered to {action.target}, which steers it on")
 
     def _action(
-        self, name: str, state: str, action: Action, request: Request, rule: Rule, ideal: Ideal, again: bool
+        self,
+        name: str,
+        state: str,
+        action: Action,
+        request: Request,
+        rule: Rule,
+        ideal: Ideal,
+        repeatable: bool,
     ) -> None:
         rank = self.ranks[rule.name]
         if action.verdict == REFUSE:
@@ -212,7 +226,7 @@
             return None
         assert action.verdict == RUN
         pools = self.names[name]
-        stated = _stated(self.told.get((name, rank), ()))
+        stated = _stated(self.stated.get((name, rank), ()))
         key = action, pools, stated.get(Feature.HALLS, 0), stated.get(Feature.FALL_BACKS, 0)
         measured = self.measured.get(key)
         if measured is None:
@@ -220,16 +234,16 @@
         for feature, error in measured.items():
             if not error:
                 continue
-            most = stated.get(feature, 0.0)
+            allowed = stated.get(feature, 0.0)
             if rule.mark(feature) is Mark.MUST:
-                most = min(most, rule.within if feature is Feature.POOLS else 0.0)
-            if error > most + 1e-9:
+                allowed = min(allowed, rule.within if feature is Feature.POOLS else 0.0)
+            if error > allowed + 1e-9:
                 raise self._off(
                     name,
                     request,
-                    f"{rule.name}: {feature.value} is off by {error:.4g}, and {most:.4g} is allowed",
+                    f"{rule.name}: {feature.value} is off by {error:.4g}, and {allowed:.4g} is allowed",
                 )
-        if not again and (action.retries or action.hedge_ms is not None or action.mirrors):
+        if not repeatable and (action.retries or action.hedge_ms is not None or action.mirrors):
             raise self._off(name, request, f"{rule.name} may run twice what must not")
         return None
 
@@ -250,7 +264,7 @@
     pools: Sequence[str],
     stated: Mapping[Feature, float],
 ) -> dict[Feature, float]:
-    """How far the action is from the ideal, by feature, each in its unit."""
+    """Return the error of the action against the ideal, by feature, in the feature's unit."""
     laid = [{pools[at]: n for at, n in tier} for tier in action.tiers]
     found: dict[Feature, float] = {}
     merged = int(stated.get(Feature.HALLS, 0))
@@ -269,7 +283,7 @@
     if len(wanted) != len(laid):
         found[Feature.FALL_BACKS] = abs(len(wanted) - len(laid)) + len(ideal.fall_backs)
     elif (action.own or len(laid)) != len(wanted) - len(kept):
-        found[Feature.FALL_BACKS] = 99  # under the rule's limits is another part of them
+        found[Feature.FALL_BACKS] = 99  # The rule's limits cover the wrong tiers
     else:
         differ = [(w, g) for w, g in zip(wanted, laid, strict=True) if w != g]
         if differ:
@@ -286,7 +300,7 @@
     found[Feature.RETRIES] = ideal.retries - action.retries if action.retries <= ideal.retries else 99
     if ideal.hedge_ms is None:
         found[Feature.HEDGE] = 0.0 if action.hedge_ms is None else 1e9
-    else:  # sooner is never allowed
+    else:  # A hedge earlier than requested is never allowed
         wait = ideal.hedge_ms if action.hedge_ms is None else action.hedge_ms - ideal.hedge_ms
         found[Feature.HEDGE] = wait if wait >= 0 else 1e9
     found[Feature.PRIORITY] = abs(ideal.priority - action.level) / 7
@@ -295,19 +309,22 @@
         found[Feature.MIRRORS] = len(wants_mirrors - has_mirrors) + 99 * len(has_mirrors - wants_mirrors)
     names = {name for tier in laid for name in tier}
     if rule.survive_per_s:
-        least = min(
+        capacity = min(
             sum(policy.pools[n].rate_per_s for n in sorted(names) if policy.pools[n].hall != hall)
             for hall in policy.halls()
         )
-        found[Feature.SURVIVE] = max(0.0, rule.survive_per_s - least)
+        found[Feature.SURVIVE] = max(0.0, rule.survive_per_s - capacity)
     if any(policy.pools[n].team not in (None, rule.match.team) for n in names):
         found[Feature.ISOLATION] = 1.0
     return found
 
 
 def _apart(policy: Policy, wanted: Mapping[str, int], given: Mapping[str, int], lost: str) -> float:
-    """Half the sum of differences of the parts, with this hall gone (empty: none); whole numbers until the
-    end."""
+    """Return the share of requests that go to another pool than wanted, without the hall ``lost``.
+
+    This is half the sum of the differences of the pools' shares, calculated in integers until the division.
+    An empty ``lost`` means no hall.
+    """
     want, have = wanted, given
     if lost:
         want = {n: w for n, w in wanted.items() if policy.pools[n].hall != lost}
--- a/tests/lowering/test_compile.py
+++ b/tests/lowering/test_compile.py
@@ -195,9 +195,9 @@
     table = compiled(wish).tables["big"]
     entry = table.find("red", "pay", "", 0, 1)
     assert entry is not None
-    action = table.action(entry, again=False)
+    action = table.action(entry, repeatable=False)
     assert (action.retries, action.hedge_ms, action.mirrors) == (0, None, ())
-    assert table.action(entry, again=True).retries == 2
+    assert table.action(entry, repeatable=True).retries == 2
     with pytest.raises(PolicyError, match="may not run twice"):
         made([replace(wish, marks=((Feature.HEDGE, Mark.MUST),))], POOLS, EFFECTS)
 
@@ -239,12 +239,12 @@
     table = done.tables["small"]
     entry = table.find("blue", "get", "", 0, 1)
     assert entry is not None and table.action(entry, True).target == "big"
-    table.go_by("class:big")
+    table.set_state("class:big")
     assert table.action(entry, True).verdict == 2, (
         "a must is refused where its only class is lost, not run wrongly"
     )
     assert table.action(table.find("red", "get", "", 0, 1) or entry, True).verdict == 0
-    table.go_by("")
+    table.set_state("")
     assert table.action(entry, True).target == "big"
 
 
--- a/tests/lowering/test_route.py
+++ b/tests/lowering/test_route.py
@@ -31,7 +31,7 @@
     router = Router()
     assert router.way(asked(), True) is None, "without a plan nothing changes"
     for generation, pool in ((1, 0), (2, 1), (3, 1)):
-        router.go_by(generation, Held(table(Action(RUN, (((pool, 1),),)))))
+        router.put_in_force(generation, Held(table(Action(RUN, (((pool, 1),),)))))
     begins, steered = router.way(asked(), True), router.way(asked(), True, 2)
     assert begins is not None and begins.generation == 3 and begins.addresses == (("b", 1),)
     assert steered is not None and steered.generation == 2
@@ -50,7 +50,7 @@
     assert router.way(asked(), True) is None and not router.unread, "there is no plan"
     router = Router(unread=True)
     router.read()
-    router.go_by(7, Held(table(Action(RUN, (((0, 1),),)))))
+    router.put_in_force(7, Held(table(Action(RUN, (((0, 1),),)))))
     router.read()
     begins = router.way(asked(), True)
     assert router.generation == 7 and begins is not None and begins.generation == 7
@@ -58,13 +58,13 @@
 
 def test_what_was_steered_is_not_steered_on_and_who_runs_no_plan_sends_it_once() -> None:
     router = Router()
-    router.go_by(1, Held(table(Action(STEER, target="big")), peers={"big": (PEER,)}))
+    router.put_in_force(1, Held(table(Action(STEER, target="big")), peers={"big": (PEER,)}))
     way = router.way(asked(), True)
     assert way is not None and way.steered and way.addresses == (PEER,) and way.generation == 1
     on = router.way(asked(), True, 1)
     assert on is not None and on.refused and not on.addresses
     assert router.way(asked(), True, ROUND) == way, "it comes from a node that could not know who runs it"
-    router.go_by(1, Held(None, peers={"big": (PEER,)}))
+    router.put_in_force(1, Held(None, peers={"big": (PEER,)}))
     sent = router.way(asked(), True)
     assert sent is not None and sent.generation == ROUND and sent.steered
     for told in (1, ROUND):
@@ -75,10 +75,10 @@
 def test_the_plan_made_ahead_counts_and_lost_halls_are_passed_over() -> None:
     router = Router()
     both = Action(RUN, (((0, 3), (1, 1)),))
-    router.go_by(1, Held(table(both, {"class:big": {0: 1}}), "class:big"))
+    router.put_in_force(1, Held(table(both, {"class:big": {0: 1}}), "class:big"))
     way = router.way(asked(), True)
     assert way is not None and way.refused
-    router.go_by(1, Held(table(both), "hall:east"))
+    router.put_in_force(1, Held(table(both), "hall:east"))
     way = router.way(asked(), True)
     assert way is not None and way.addresses == (("b", 1),)
 
@@ -88,11 +88,11 @@
         module = SimpleNamespace(counters=Counters(), clock=time.monotonic)
         work, request = ScgiWork(module, {}), SimpleNamespace(generation=2)  # type: ignore[arg-type]
         router = work.router = Router()
-        router.go_by(1, Held(table(Action(RUN, (((0, 1),),)))))
+        router.put_in_force(1, Held(table(Action(RUN, (((0, 1),),)))))
         waits = asyncio.ensure_future(work._caught_up(request))  # type: ignore[arg-type]
         await asyncio.sleep(0)
         assert not waits.done()
-        router.go_by(2, Held(table(Action(RUN, (((1, 1),),)))))
+        router.put_in_force(2, Held(table(Action(RUN, (((1, 1),),)))))
         await waits
         way = router.way(asked(), True, 2)
         assert way is not None and way.generation == 2 and not way.refused
@@ -109,7 +109,7 @@
         module = SimpleNamespace(counters=Counters(), clock=time.monotonic)
         work, closed = ScgiWork(module, {}), list[int]()  # type: ignore[arg-type]
         router = work.router = Router()
-        router.go_by(1, Held(table(Action(RUN, (((0, 1),),)))))
+        router.put_in_force(1, Held(table(Action(RUN, (((0, 1),),)))))
         request = SimpleNamespace(route="get", trace="t", tenant=None, nonce=None, body=b"", replied=0)
         way = router.way(asked(), False)
         assert way is not None and len(way.addresses) == 2
@@ -131,7 +131,7 @@
     keys = set()
     for generation, rank in ((1, 0), (2, 7)):
         line = Line("red", "get", Kind.ANY, (), (0, 1 << 40), (1, 100), rank, 0)
-        router.go_by(generation, Held(Table(pack(POOLS, [limited], [line], {}))))
+        router.put_in_force(generation, Held(Table(pack(POOLS, [limited], [line], {}))))
         way = router.way(asked(), True)
         assert way is not None and way.asked is not None
         assert way.addresses == (("a", 1), ("a", 2), ("b", 1)) and way.asked.own == 2
@@ -142,7 +142,7 @@
 def test_a_server_that_is_out_is_in_no_way_and_where_all_are_it_is_refused() -> None:
     router = Router()
     both = Action(RUN, (((0, 3), (1, 1)),), mirrors=((0, 100), (1, 100)))
-    router.go_by(1, Held(table(both)))
+    router.put_in_force(1, Held(table(both)))
     router.acts.out = frozenset({("a", 1)})
     for _ in range(4):
         way = router.way(asked(), True)
@@ -150,7 +150,7 @@
         assert way.asked.mirrors == (("a", 2), ("b", 1))
     # All of its own pool: the fall-backs, which its limits are not about.
     spilled = Action(RUN, (((0, 1),), ((1, 1),)), rate_per_s=1.0, own=1)
-    router.go_by(2, Held(table(spilled)))
+    router.put_in_force(2, Held(table(spilled)))
     router.acts.out = frozenset({("a", 1), ("a", 2)})
     way = router.way(asked(), True)
     assert way is not None and way.asked is not None and way.addresses == (("b", 1),) and way.asked.own == 0
@@ -158,7 +158,7 @@
     held = table(Action(RUN, (((0, 2), (1, 1)),)))
     assert spread(held, held.actions[0], "x", 0, out=router.acts.out) == [1]
     for affinity in (Affinity.RENDEZVOUS, Affinity.MODULO):
-        router.go_by(3, Held(table(Action(RUN, (((0, 1),),), affinity=int(affinity)))))
+        router.put_in_force(3, Held(table(Action(RUN, (((0, 1),),), affinity=int(affinity)))))
         router.acts.out = frozenset()
         before = {s: router.way(asked(s), True) for s in map(str, range(40))}
         router.acts.out = frozenset({("a", 1)})
@@ -167,7 +167,7 @@
             assert way is not None and told is not None and way.addresses == (("a", 2),)
             assert len(told.addresses) == 2
     # Of all of its rule's pools: refused, and no server named.
-    router.go_by(4, Held(table(spilled)))
+    router.put_in_force(4, Held(table(spilled)))
     router.acts.out = frozenset({("a", 1), ("a", 2), ("b", 1)})
     way = router.way(asked(), True)
     assert way is not None and way.refused and not way.addresses
