--- a/tests/lowering/test_acts_processes.py
+++ b/tests/lowering/test_acts_processes.py
@@ -1,4 +1,4 @@
-"""Real processes that act on limits, retries, a hedge and mirrors, before servers that fail or are silent."""
+"""Real processes apply limits, retries, a hedge and mirrors to servers that fail or don't answer."""
 
 import asyncio
 import time
@@ -13,7 +13,7 @@
 
 NAMES = ["a", "b", "c"]
 RATE = 2.0
-NOT_RUN = reply_to(Answer(Verdict.REFUSED)).body  # of a request that the node itself turns away
+NOT_RUN = reply_to(Answer(Verdict.REFUSED)).body  # Body of a rejection by the node itself
 TEXT = """
 all: {vars: {cores: 2, memory_mb: 64}}
 teams: {hosts: {red: }}
@@ -44,7 +44,7 @@
 
 
 class Server:
-    """Notes when it was asked, and by which headers; answers its name, an error, or nothing."""
+    """Records the time and headers of each request; answers with its name, an error, or not at all."""
 
     def __init__(self, name: str) -> None:
         self.name, self.asked = name, list[tuple[float, dict[bytes, bytes]]]()
@@ -72,8 +72,8 @@
             writer.close()
 
 
-def test_a_node_acts_on_limits_retries_a_hedge_and_mirrors(tmp_path: Path) -> None:
-    async def whole() -> None:
+def test_a_node_applies_limits_retries_a_hedge_and_mirrors(tmp_path: Path) -> None:
+    async def scenario() -> None:
         servers = {name: Server(name) for name in ("quick", "other", "silent", "broken", "mirror")}
         text = TEXT.replace("RATE", str(RATE))
         for name, server in servers.items():
@@ -92,8 +92,11 @@
             await fleet.until(there, what="the plan")
 
             async def get(subject: str, service: str = "get", **more: str) -> tuple[int, Any, bytes]:
-                """What its rule makes of a request. A node whose cores are busy may refuse it before that,
-                unrun, and its caller comes again. Seen beside a load of 27: it did so with 10 of 12."""
+                """Return the response after the rule was applied.
+
+                A node with busy cores may reject a request before routing it, and the caller retries. At a
+                machine load of 27 a node did so with 10 of 12 requests.
+                """
                 async with asyncio.timeout(UNTIL_S):
                     while True:
                         found = await fleet.scgi("a", service, "red", HTTP_X_ENTITY=subject, **more)
@@ -104,11 +107,13 @@
             async def many(subject: str, count: int) -> list[tuple[int, Any, bytes]]:
                 return await asyncio.gather(*(get(f"{subject}{at}") for at in range(count)))
 
-            # Over the limit: turned away, with when to come again; whoever comes then is served.
+            # Over the limit: rejected with a retry delay; after that time a request is served.
             began = time.monotonic()
             found = await many("lim/", 12)
-            away = [fields for status, fields, _ in found if status == 503]
-            assert away and all(0 < int(fields["x-retry-after-ms"]) <= 1000 / RATE + 1 for fields in away)
+            rejections = [fields for status, fields, _ in found if status == 503]
+            assert rejections and all(
+                0 < int(fields["x-retry-after-ms"]) <= 1000 / RATE + 1 for fields in rejections
+            )
             assert {status for status, _, _ in found} == {200, 503}
 
             async def served() -> bool:
@@ -116,22 +121,22 @@
 
             await fleet.until(served, what="room under the limit again")
             times = [at for at, _ in servers["quick"].asked]
-            most = Limits(RATE).burst + RATE * (times[-1] - began)
-            assert len(times) <= most, "more went out than the rule lets"
-            # Over the limit, with a fall-back: all are served, most of them there.
+            limit = Limits(RATE).burst + RATE * (times[-1] - began)
+            assert len(times) <= limit, "more sends than the rule's limit allows"
+            # Over the limit with a fall-back: every request is served, some of them by the fall-back.
             found = await many("spl/", 12)
             assert {status for status, _, _ in found} == {200}
             assert {body for _, _, body in found} == {b"quick", b"other"}
-            # A server that takes and is silent, and one that fails.
+            # A server that accepts a request but doesn't answer, and one that answers with an error.
             assert (await get("hed/1"))[::2] == (200, b"quick")
-            await fleet.until(lambda: servers["silent"].asked, what="the first of the two is there")
+            await fleet.until(lambda: servers["silent"].asked, what="the hedged request at the silent server")
             assert len(servers["silent"].asked) == 1
             assert (await get("try/1"))[::2] == (200, b"quick")
-            # What may not run twice goes out once, whatever the rule says; and no copy of it.
+            # A request that must not run twice is sent once, whatever the rule says, and not mirrored.
             tries = len(servers["broken"].asked)
             assert (await get("x", "put", key="k1"))[0] == 500
             assert len(servers["broken"].asked) == tries + 1 and not servers["mirror"].asked
-            # Copies, as many as its percent says; their answers reach nobody.
+            # The mirror gets its percentage of copies; its answers reach no caller.
             found = await many("mir/", 10)
             assert {body for _, _, body in found} == {b"quick"}
 
@@ -139,10 +144,10 @@
                 return len(servers["mirror"].asked) == 5
 
             await fleet.until(copied, what="copies")
-            assert all(told[b"HTTP_X_MIRROR"] == b"1" for _, told in servers["mirror"].asked)
+            assert all(headers[b"HTTP_X_MIRROR"] == b"1" for _, headers in servers["mirror"].asked)
             assert servers["quick"].asked[-1][1][b"HTTP_X_PRIORITY"] == b"6"
             assert not fleet.troubles()
         for server in servers.values():
             server.server.close()
 
-    asyncio.run(whole())
+    asyncio.run(scenario())
--- a/tests/lowering/test_compile.py
+++ b/tests/lowering/test_compile.py
@@ -1,5 +1,4 @@
-"""Drawn policies against the plain interpreter, the same bytes from the same content, and what each pass
-guards."""
+"""The compile: random policies against the interpreter, deterministic bytes, and the effect of each pass."""
 
 import os
 import random
@@ -30,24 +29,24 @@
 FLEET = Fleet({("big", "east"): 2, ("big", "west"): 2, ("small", "east"): 1, ("small", "west"): 1})
 
 
-def rule(**told: object) -> Rule:
-    return replace(Rule("r", Match("red", "get"), (("a", 1),)), **told)  # type: ignore[arg-type]
+def rule(**fields: object) -> Rule:
+    return replace(Rule("r", Match("red", "get"), (("a", 1),)), **fields)  # type: ignore[arg-type]
 
 
-def compiled(*rules: Rule, small: Profile | None = None, **told: object):
+def compiled(*rules: Rule, small: Profile | None = None, **options: object):
     profiles = {"big": Profile("big"), "small": small or Profile("small")}
-    return compile_policy(made(rules, POOLS, EFFECTS), profiles, FLEET, **told)  # type: ignore[arg-type]
+    return compile_policy(made(rules, POOLS, EFFECTS), profiles, FLEET, **options)  # type: ignore[arg-type]
 
 
 @settings(max_examples=150, deadline=None)
 @given(st.integers(0, 1 << 32), st.booleans())
-def test_drawn_policies_are_run_as_the_interpreter_says(seed: int, solver: bool) -> None:
+def test_random_policies_are_run_as_the_interpreter_says(seed: int, solver: bool) -> None:
     policy, (profiles, fleet) = draw.policy(seed), draw.fleet(seed)
     done = compile_policy(
         policy, profiles, fleet, strict=False, time_s=3.0 if solver else 0.0
-    )  # judges itself
+    )  # Also runs the judge
     assert done.report.witnesses > 0 and len(done.report.rows) == len(policy.rules) * len(fleet.classes())
-    # A request of no region that was looked at: drawn anywhere.
+    # Random requests, beyond the samples that the judge checked.
     pick, plain = random.Random(seed), Interpreter(policy)
     ranks = {r.name: at for at, r in enumerate(policy.rules)}
     for _ in range(50):
@@ -77,7 +76,7 @@
 """
 
 
-def test_the_same_content_has_the_same_bytes_in_any_process_and_order() -> None:
+def test_the_same_content_compiles_to_the_same_bytes_in_any_process_and_order() -> None:
     seen = set()
     for salt in ("0", "1", "77"):
         ran = subprocess.run(
@@ -90,19 +89,19 @@
         seen.add(ran.stdout)
     assert len(seen) == 1 and len(seen.pop().split()) == 3
     rules = [rule(name=f"r{at}", match=Match("red", "get", Kind.EXACT, (f"s{at}",))) for at in range(20)]
-    back = {key: EFFECTS[key] for key in reversed(EFFECTS)}
-    one = compile_policy(
+    reversed_effects = {key: EFFECTS[key] for key in reversed(EFFECTS)}
+    forward = compile_policy(
         made(rules, POOLS, EFFECTS), {"big": Profile("big"), "small": Profile("small")}, FLEET
     )
-    two = compile_policy(
-        made(rules[::-1], POOLS[::-1], back),
+    backward = compile_policy(
+        made(rules[::-1], POOLS[::-1], reversed_effects),
         {"small": Profile("small"), "big": Profile("big")},
         Fleet(dict(reversed(FLEET.machines.items()))),
     )
-    assert one.plan.data == two.plan.data and one.plan.digest == two.plan.digest
+    assert forward.plan.data == backward.plan.data and forward.plan.digest == backward.plan.digest
 
 
-CASES = {  # pass: rule, what the small class has, what it needs the pass for
+CASES = {  # By pass: a rule that needs it, and the limited abilities of the small class
     "sets_to_exacts": (
         rule(match=Match("red", "get", Kind.SET, ("x", "y"))),
         {"kinds": frozenset(("exact",))},
@@ -126,13 +125,13 @@
 
 
 @pytest.mark.parametrize("name", CASES)
-def test_without_a_pass_the_class_would_run_what_it_can_not(name: str) -> None:
-    """With the pass the draft keeps to the profile, or the class is stuck; without it neither is so."""
-    one, able = CASES[name]
-    policy, profile = made([one], POOLS, EFFECTS), replace(Profile("small"), **able)  # type: ignore[arg-type]
+def test_without_a_pass_a_class_would_run_rules_that_it_does_not_support(name: str) -> None:
+    """With the pass the draft fits the profile or the rule is stuck; without it neither holds."""
+    case_rule, abilities = CASES[name]
+    policy, profile = made([case_rule], POOLS, EFFECTS), replace(Profile("small"), **abilities)  # type: ignore[arg-type]
 
     def lowered(without: str):
-        draft = passes.first(one, 0)
+        draft = passes.first(case_rule, 0)
         for step, *_ in passes.ALL:
             if step.__name__ != without:
                 draft = step(draft, profile, around(policy))
@@ -141,21 +140,21 @@
     good, bad = lowered(""), lowered(name)
     assert name in [step.__name__ for step, *_ in passes.ALL]
     assert good != bad, "the case does not need the pass"
-    told = {f.feature for f in (*good.findings, *good.stuck)} - {
+    extra_findings = {f.feature for f in (*good.findings, *good.stuck)} - {
         f.feature for f in (*bad.findings, *bad.stuck)
     }
-    kept = (good.tiers, good.kind, good.prefixes) != (bad.tiers, bad.kind, bad.prefixes)
-    assert told or kept
+    changed = (good.tiers, good.kind, good.prefixes) != (bad.tiers, bad.kind, bad.prefixes)
+    assert extra_findings or changed
 
 
 @pytest.mark.parametrize("name", ("halls", "fall_backs", "survive"))
-def test_the_judge_stops_a_compile_without_a_pass(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Of the other passes the meaning stays; the class lacks what they would need, which the test above
-    shows."""
-    one, able = CASES[name]
+def test_the_judge_rejects_a_compile_without_a_pass(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Leaving out another pass does not change the meaning, only the abilities that the class would need;
+    the test above covers those."""
+    case_rule, abilities = CASES[name]
     monkeypatch.setattr(passes, "ALL", tuple(each for each in passes.ALL if each[0].__name__ != name))
     with pytest.raises(WitnessError):
-        compiled(one, small=replace(Profile("small"), **able))  # type: ignore[arg-type]
+        compiled(case_rule, small=replace(Profile("small"), **abilities))  # type: ignore[arg-type]
 
 
 @pytest.mark.parametrize(
@@ -173,7 +172,7 @@
         ({"fall_backs": ("b",), "survive_per_s": 50.0}, {"tiers": 1}),
     ],
 )
-def test_a_must_is_steered_to_a_class_that_keeps_it_and_refused_where_none_does(
+def test_a_must_is_steered_to_a_class_that_keeps_it_and_refused_if_none_does(
     wish: dict[str, object], lacks: dict[str, object]
 ) -> None:
     small = replace(Profile("small"), **lacks)  # type: ignore[arg-type]
@@ -183,14 +182,14 @@
     policy = made([rule(**wish)], POOLS, EFFECTS)
     with pytest.raises(NowhereError, match=row.findings[0].reason[:8]):
         compile_policy(policy, {"small": small}, Fleet({("small", "east"): 1}))
-    # Marked lower, it runs on, and the report says how far off; what always has to hold has no lower mark.
+    # With a lower mark the class runs the rule, and the report states the error; survive_per_s has no mark.
     if "survive_per_s" not in wish:
         low = rule(**{**wish, "marks": ()})
         done = compile_policy(made([low], POOLS, EFFECTS), {"small": small}, Fleet({("small", "east"): 1}))
         assert done.report.rows[0].outcome in (Outcome.DROPPED, Outcome.APPROXIMATED)
 
 
-def test_what_may_not_run_twice_is_never_sent_twice_whatever_a_rule_for_all_says() -> None:
+def test_a_non_repeatable_request_is_never_sent_twice_whatever_its_rule_says() -> None:
     wish = rule(match=Match("red"), retries=2, hedge_ms=9, mirrors=(("b", 10),))
     table = compiled(wish).tables["big"]
     entry = table.find("red", "pay", "", 0, 1)
@@ -202,14 +201,14 @@
         made([replace(wish, marks=((Feature.HEDGE, Mark.MUST),))], POOLS, EFFECTS)
 
 
-def test_a_pool_of_one_team_is_no_other_s_also_by_a_fall_back_of_a_fall_back() -> None:
+def test_a_pool_of_one_team_serves_no_other_team_even_as_a_fall_back_of_a_fall_back() -> None:
     owned = (Pool("a", "east"), Pool("c", "west", fall_back="d"), Pool("d", "east", team="blue"))
     with pytest.raises(PolicyError, match="blue alone"):
         made([rule(fall_backs=("c",))], owned, EFFECTS)
     made([rule(fall_backs=("c",), match=Match("blue", "get"))], owned, EFFECTS)
 
 
-def test_a_class_that_can_not_tell_requests_apart_steers_all_of_the_contract() -> None:
+def test_a_class_that_can_not_match_a_rule_steers_all_requests_of_its_contract() -> None:
     small = Profile("small", kinds=frozenset())
     rules = [
         rule(match=Match("red", "get", Kind.PREFIX, ("img/",))),
@@ -223,16 +222,18 @@
 
 @given(st.lists(st.integers(1, 100), min_size=1, max_size=8), st.integers(1, 64))
 @example([100, 1, 1], 3)
-def test_largest_remainder_is_as_near_as_any_and_says_how_far_off(weights: list[int], slots: int) -> None:
+def test_slots_by_largest_remainder_fit_and_their_error_is_bounded(weights: list[int], slots: int) -> None:
     tier = tuple((f"p{at}", weight) for at, weight in enumerate(weights))
     laid = shares(tier, slots)
     assert sum(n for _, n in laid) <= slots and all(n >= 1 for _, n in laid)
     if len(tier) <= slots:
-        assert {name for name, _ in laid} == {name for name, _ in tier}  # no pool is lost for want of weight
+        assert {name for name, _ in laid} == {
+            name for name, _ in tier
+        }  # A pool with a low weight still gets a slot
         assert apart(tier, laid) <= len(tier) / slots
 
 
-def test_plans_for_each_lost_class_are_there_before_it_is_lost() -> None:
+def test_a_table_holds_a_loss_state_for_each_class() -> None:
     wish = rule(affinity=Affinity.RENDEZVOUS)
     must = rule(name="must", match=Match("blue", "get"), rate_per_s=5.0, marks=((Feature.RATE, Mark.MUST),))
     done = compiled(wish, must, small=Profile("small", counters=0))
@@ -241,14 +242,14 @@
     assert entry is not None and table.action(entry, True).target == "big"
     table.set_state("class:big")
     assert table.action(entry, True).verdict == 2, (
-        "a must is refused where its only class is lost, not run wrongly"
+        "a must is refused if its only class is lost, not run without the feature"
     )
     assert table.action(table.find("red", "get", "", 0, 1) or entry, True).verdict == 0
     table.set_state("")
     assert table.action(entry, True).target == "big"
 
 
-def test_drafts_know_their_rule_and_the_report_its_line() -> None:
+def test_drafts_keep_their_rule_and_report_rows_name_its_position() -> None:
     done = compiled(rule(retries=3), small=Profile("small", retries=0))
     row = next(r for r in done.report.rows if r.hardware == "small")
     assert (
@@ -259,16 +260,16 @@
     assert drafts_of(made([rule()], POOLS, EFFECTS), [Profile("x")])[0][0].rule.name == "r"
 
 
-def test_classes_that_share_drafts_lower_as_each_does_alone() -> None:
-    """A pass that reads of a profile what it does not name would hand one class another one's draft."""
+def test_classes_that_share_drafts_get_the_same_drafts_as_each_alone() -> None:
+    """A pass that reads an undeclared field of the profile would give one class the draft of another."""
     for seed in range(20):
         policy, (profiles, _) = draw.policy(seed), draw.fleet(seed, 6)
         together = drafts_of(policy, list(profiles.values()))
         assert together == [drafts_of(policy, [profile])[0] for profile in profiles.values()], seed
 
 
-def test_a_pass_leaves_alone_what_a_rule_does_not_ask_it_for() -> None:
-    """A compile does not call it then: a wish that the table of passes forgets would not be lowered."""
+def test_a_pass_leaves_a_draft_unchanged_if_the_rule_does_not_need_it() -> None:
+    """The compile skips such a pass; with a wrong condition in ``ALL`` a feature would not be lowered."""
     spared = set()
     for seed in range(60):
         policy, (profiles, _) = draw.policy(seed), draw.fleet(seed, 6)
@@ -281,26 +282,30 @@
                         spared.add(step.__name__)
                         assert after is draft, (seed, step.__name__, each)
                     draft = after
-    assert len(spared) == len(passes.ALL) - 2  # weights and priority are each rule's
+    assert len(spared) == len(passes.ALL) - 2  # All but ``slots`` and ``priority``, which every rule needs
 
 
-def test_the_judge_knows_a_rule_s_own_pools_from_its_fall_backs(monkeypatch: pytest.MonkeyPatch) -> None:
-    one = rule(fall_backs=("b",), rate_per_s=5.0)
-    done = compiled(one)
+def test_the_judge_distinguishes_a_rule_s_own_pools_from_its_fall_backs(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    limited = rule(fall_backs=("b",), rate_per_s=5.0)
+    done = compiled(limited)
     assert [a.own for t in done.tables.values() for a in t.actions if a.tiers] == [1, 1]
-    whole = Draft.but
+    original_but = Draft.but
 
-    def but(draft: Draft, **told: object) -> Draft:
-        return whole(draft, **{key: value for key, value in told.items() if key != "own"})
+    def but(draft: Draft, **changes: object) -> Draft:
+        return original_but(draft, **{key: value for key, value in changes.items() if key != "own"})
 
     monkeypatch.setattr(Draft, "but", but)
     with pytest.raises(WitnessError):
-        compiled(one)
+        compiled(limited)
 
 
-def test_a_program_says_what_it_lacks_for_its_class_alone(monkeypatch: pytest.MonkeyPatch) -> None:
-    one = rule(mirrors=(("b", 10),), marks=((Feature.MIRRORS, Mark.MUST),))
-    plan = read_plan(compiled(one, small=Profile("small", mirrors=False)).plan.data)
+def test_a_program_names_the_features_that_it_lacks_for_its_own_class_only(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    mirrored = rule(mirrors=(("b", 10),), marks=((Feature.MIRRORS, Mark.MUST),))
+    plan = read_plan(compiled(mirrored, small=Profile("small", mirrors=False)).plan.data)
     assert plan.needs == {"big": ("mirrors",), "small": ("states",)}
     monkeypatch.setattr("beechrock.lowering.compile.HAS", ("states",))
     assert "lacks mirrors" in lacking(plan, "big") and not lacking(plan, "small")
--- a/tests/lowering/test_processes.py
+++ b/tests/lowering/test_processes.py
@@ -1,4 +1,4 @@
-"""Real processes that bring a plan into force, with faults between the steps."""
+"""Real processes put plans into force, with faults between the steps."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -38,7 +38,7 @@
 
 
 class Server:
-    """A stand-in that tells with which generations it was asked."""
+    """Downstream server that records the generation of each request and the number of mirror copies."""
 
     def __init__(self) -> None:
         self.generations: list[str] = []
@@ -51,11 +51,11 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         size = int((await reader.readuntil(b":"))[:-1])
         fields = (await reader.readexactly(size + 1))[:-1].split(b"\0")
-        told = dict(zip(fields[::2], fields[1::2], strict=False))
-        await reader.readexactly(int(told[b"CONTENT_LENGTH"]))
-        generation = told.get(b"HTTP_X_GENERATION", b"none")
+        headers = dict(zip(fields[::2], fields[1::2], strict=False))
+        await reader.readexactly(int(headers[b"CONTENT_LENGTH"]))
+        generation = headers.get(b"HTTP_X_GENERATION", b"none")
         self.generations.append(generation.decode())
-        self.copies += b"HTTP_X_MIRROR" in told
+        self.copies += b"HTTP_X_MIRROR" in headers
         writer.write(b"Status: 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(generation), generation))
         await writer.drain()
         writer.close()
@@ -66,12 +66,12 @@
 
 
 def play(tmp_path: Path, work: Callable[[Fleet, Server], Awaitable[None]], **more: Any) -> None:
-    async def whole() -> None:
+    async def scenario() -> None:
         server = Server()
         port = await server.start()
         tables, lacks = more.pop("tables", {}), more.pop("lacks", {})
 
-        def told(name: str) -> dict[str, Any]:
+        def settings(name: str) -> dict[str, Any]:
             return {
                 "watch_s": 0.1,
                 "settle_s": 0.1,
@@ -81,11 +81,11 @@
             }
 
         async with Fleet(
-            tmp_path, 3, NAMES, tables=told, halls=HALLS, hardware=HARDWARE, inventory=text(port), **more
+            tmp_path, 3, NAMES, tables=settings, halls=HALLS, hardware=HARDWARE, inventory=text(port), **more
         ) as fleet:
             fleet.port = port  # type: ignore[attr-defined]
-            for name, told_to_lack in lacks.items():  # acts as an earlier program, until it is started again
-                fleet.environ[LAB] = told_to_lack
+            for name, lacking in lacks.items():  # The node acts like an older program until its restart
+                fleet.environ[LAB] = lacking
                 await fleet.start(name)
                 del fleet.environ[LAB]
             await fleet.start()
@@ -93,11 +93,11 @@
             await work(fleet, server)
             check(fleet)
 
-    asyncio.run(whole())
+    asyncio.run(scenario())
 
 
 def check(fleet: Fleet) -> None:
-    """Over all that was told: one digest a generation at all nodes, and each node goes forward only."""
+    """Check all logged events: one digest per generation at all nodes, and no node goes back."""
     digests: dict[int, str] = {}
     for name in NAMES:
         last: dict[int, int] = {}
@@ -113,7 +113,7 @@
 async def in_force(
     fleet: Fleet, generation: int, names: list[str] | None = None, **more: Any
 ) -> dict[str, Any]:
-    """Until all of these go by it; the view of the first."""
+    """Wait until all these nodes have the generation in force; return the first node's view."""
 
     async def there() -> Any:
         views = [await fleet.view(name, "/lowering") for name in names or fleet.up]
@@ -130,7 +130,7 @@
 
 
 async def goes(fleet: Fleet, at: str, wanted: bytes) -> None:
-    """A request there is served by this generation. A busy machine may have it turned away first (503)."""
+    """Check that the node serves a request under this generation; a busy node may reject some first (503)."""
 
     async def served() -> bool:
         status, _, body = await fleet.scgi(at, "get", "red", HTTP_X_ENTITY="img/1")
@@ -153,11 +153,11 @@
         fleet.write_inventory(name, text(fleet.port, other.get(name, priority)))  # type: ignore[attr-defined]
 
 
-def test_a_plan_comes_into_force_everywhere_and_requests_go_by_it(tmp_path: Path) -> None:
+def test_a_plan_comes_into_force_at_all_nodes_and_applies_to_requests(tmp_path: Path) -> None:
     async def work(fleet: Fleet, server: Server) -> None:
         view = await in_force(fleet, 1, round=[], state="")
         assert view["in_force"]["prepared"] == NAMES
-        # The small class has no prefixes: what they begin with goes to the big one, with the generation.
+        # The small class does not support prefixes: their requests are steered, with the generation, to big.
         for name in NAMES:
             await goes(fleet, name, b"1")
         write(fleet, 5)
@@ -165,22 +165,22 @@
         await goes(fleet, "c", b"2")
         assert (await fleet.call("a", "POST", "/lowering/back"))[0] == 200
         await in_force(fleet, 3)
-        assert (await fleet.call("a", "POST", "/lowering/halt"))[0] == 409  # nothing is under way
-        # Taken back, it does not come again by itself.
+        assert (await fleet.call("a", "POST", "/lowering/halt"))[0] == 409  # No rollout is open
+        # A plan that was taken back is not proposed again automatically.
         await asyncio.sleep(1.0)
         await in_force(fleet, 3)
 
     play(tmp_path, work)
 
 
-def test_the_publisher_is_stopped_between_prepare_and_activate_and_the_next_one_goes_on(
+def test_after_the_publisher_stops_between_prepare_and_activate_the_next_one_continues(
     tmp_path: Path,
 ) -> None:
     async def work(fleet: Fleet, _: Server) -> None:
         await in_force(fleet, 1)
         first = await publisher(fleet)
         slow = "d" if first != "d" else "c"
-        fleet.stop(slow)  # so that it stays prepared for a while, and not yet active
+        fleet.stop(slow)  # So that the rollout is not prepared by all and not yet active
         write(fleet, 6)
 
         async def prepared() -> bool:
@@ -197,17 +197,17 @@
     play(tmp_path, work, tables={name: {"prepare_s": 20.0} for name in NAMES})
 
 
-def test_who_lies_about_its_class_or_loses_memory_is_steered_round(tmp_path: Path) -> None:
+def test_a_node_with_too_little_memory_for_its_class_is_steered_around(tmp_path: Path) -> None:
     room = tmp_path / "room"
     room.write_text("65536")
 
     async def work(fleet: Fleet, server: Server) -> None:
-        # b says that it is big, and has room for nothing.
+        # b announces the class big, but has no memory for a table.
         view = await in_force(fleet, 1, round=["b"], state="")
         assert "kB" in view["in_force"]["cannot"]["b"]
         assert view["nodes"]["b"]["differs"][0][0] == "memory_kb"
-        await goes(fleet, "b", b"1")  # by a node that runs the plan
-        # a, the last of the only class with prefixes, loses its memory after it has prepared.
+        await goes(fleet, "b", b"1")  # Served by a node that runs the plan
+        # a, the last node of the only class with prefixes, runs out of memory after preparing the plan.
         room.write_text("0.001")
         await in_force(fleet, 1, state="class:big", round=["a", "b"])
         status, _, _ = await fleet.scgi("c", "get", "red", HTTP_X_ENTITY="img/1")
@@ -219,7 +219,7 @@
     play(tmp_path, work, tables={"b": {"memory_kb": 0.001}, "a": {"memory_file": str(room)}})
 
 
-def test_the_last_node_of_a_class_dies_and_a_split_activates_on_one_side_only(tmp_path: Path) -> None:
+def test_after_losing_a_class_and_in_a_split_only_the_quorum_side_activates(tmp_path: Path) -> None:
     async def work(fleet: Fleet, _: Server) -> None:
         await in_force(fleet, 1, round=[])
         await fleet.kill("d")
@@ -237,11 +237,11 @@
     play(tmp_path, work)
 
 
-def test_two_policies_at_once_and_one_that_fits_nowhere(tmp_path: Path) -> None:
+def test_of_two_policies_one_comes_into_force_and_one_that_fits_nowhere_is_refused(tmp_path: Path) -> None:
     async def work(fleet: Fleet, _: Server) -> None:
         await in_force(fleet, 1)
         first = await publisher(fleet)
-        # Its own file says 6, all others say 7: whoever publishes has one plan in force at all.
+        # The publisher's inventory sets priority 6, all others 7: still only one plan comes into force.
         write(fleet, 7, **{first: 6})
         await in_force(fleet, 2)
         nowhere = (
@@ -255,18 +255,18 @@
         for name in NAMES:
             fleet.write_inventory(name, nowhere)
 
-        async def told() -> str:
+        async def refusal() -> str:
             views = [await fleet.view(name, "/lowering") for name in NAMES]
             return next((v["said"] for v in views if "no class can run it" in v["said"]), "")
 
-        said = await fleet.until(told, what="a refusal")
+        said = await fleet.until(refusal, what="a refusal")
         assert "rules.images" in said and "inventory.yaml:" in said
         await in_force(fleet, 2)
 
     play(tmp_path, work)
 
 
-def test_a_node_that_begins_again_goes_by_no_older_plan_and_not_by_none(tmp_path: Path) -> None:
+def test_a_restarted_node_serves_no_request_under_an_older_plan_or_without_one(tmp_path: Path) -> None:
     async def work(fleet: Fleet, _: Server) -> None:
         await in_force(fleet, 1)
         write(fleet, 5)
@@ -283,9 +283,11 @@
     play(tmp_path, work)
 
 
-def test_a_program_that_lacks_abilities_carries_what_it_can_and_is_steered_round_else(tmp_path: Path) -> None:
+def test_a_program_that_lacks_features_runs_what_it_can_and_is_steered_around_otherwise(
+    tmp_path: Path,
+) -> None:
     async def work(fleet: Fleet, server: Server) -> None:
-        await in_force(fleet, 1, round=[], state="")  # no mirrors in it: all carry it
+        await in_force(fleet, 1, round=[], state="")  # The plan has no mirrors: every node runs it
         rule = "    copied: {prefix: mir/, pools: near, mirrors: [far=100], must: [mirrors]}\n"
         for name in NAMES:
             fleet.write_inventory(name, text(fleet.port) + rule)  # type: ignore[attr-defined]
@@ -293,7 +295,7 @@
         assert "lacks mirrors" in view["in_force"]["cannot"]["b"]
 
         async def asked(name: str) -> int:
-            """With a copy each time that it is served: the rule says must."""
+            """Send a request; if it is served, wait for its copy, as mirrors are a ``must`` of the rule."""
             copies = server.copies
             status, _, _ = await fleet.scgi(name, "get", "red", HTTP_X_ENTITY="mir/1")
             if status == 200:
@@ -301,12 +303,12 @@
             return status
 
         assert [await asked(name) for name in NAMES] == [200] * 4
-        await fleet.kill("a")  # the last one that can
+        await fleet.kill("a")  # The last node that supports mirrors
         await in_force(fleet, 2, state="class:big")
         assert [await asked(name) for name in ("b", "c", "d")] == [503] * 3, "refused rather than run wrongly"
         await fleet.start("a")
         await in_force(fleet, 2, state="", round=["b"])
-        await fleet.restart("b")  # by a program that lacks nothing
+        await fleet.restart("b")  # Now with a program that lacks nothing
         await in_force(fleet, 2, state="", round=[])
         assert await asked("b") == 200
 
--- a/tests/lowering/test_read.py
+++ b/tests/lowering/test_read.py
@@ -1,4 +1,4 @@
-"""A policy in the inventory's form: what it means, where a fault stands, and the commands."""
+"""Policies read from an inventory: their meaning, the positions of faults, and the policy commands."""
 
 import asyncio
 from pathlib import Path
@@ -52,7 +52,7 @@
     return path
 
 
-def test_rules_stand_in_the_inventory_s_form_and_keep_their_lines(tmp_path: Path) -> None:
+def test_rules_are_read_from_the_inventory_with_their_line_numbers(tmp_path: Path) -> None:
     problems = Problems()
     found = model.read(written(tmp_path), problems)
     assert found is not None, problems.lines()
@@ -64,9 +64,9 @@
     assert images.mark(Feature.HALLS) is Mark.MUST and rest.mark(Feature.RATE) is Mark.SHOULD
     assert images.at("prefix").line == TEXT.splitlines().index("      prefix: img/") + 1
     assert profiles["small"].slots == 4 and fleet.machines == {("big", "east"): 1, ("small", "west"): 1}
-    # The written form of a generation carries all of it.
-    again = generation.checked_from(generation.content(found[0]))
-    assert policy_of(again, problems) == (policy, profiles, fleet)
+    # The written form of a generation holds the whole policy.
+    reread = generation.checked_from(generation.content(found[0]))
+    assert policy_of(reread, problems) == (policy, profiles, fleet)
     assert compile_policy(policy, profiles, fleet).report.witnesses > 0
 
 
@@ -84,7 +84,7 @@
         ),
     ],
 )
-def test_a_fault_tells_its_line_and_key(tmp_path: Path, old: str, new: str, line: str, key: str) -> None:
+def test_a_fault_names_its_line_and_key(tmp_path: Path, old: str, new: str, line: str, key: str) -> None:
     text = TEXT.replace(old, new)
     path = written(tmp_path, text)
     ran = CliRunner().invoke(main, ["policy", "check", str(path)])
@@ -92,7 +92,7 @@
     assert ran.exit_code == 1 and f"{path}:{at}: " in ran.output and f" {key}: " in ran.output, ran.output
 
 
-def test_commands_check_compile_and_explain(tmp_path: Path) -> None:
+def test_the_policy_commands_check_compile_and_explain(tmp_path: Path) -> None:
     path, run = written(tmp_path), CliRunner()
     checked = run.invoke(main, ["policy", "check", str(path), "--format", "json"])
     assert checked.exit_code == 0, checked.output
@@ -101,8 +101,8 @@
         made = run.invoke(main, ["policy", "compile", str(path), "--to", str(tmp_path / name)])
         assert made.exit_code == 0 and made.output.startswith(digest)
     assert (tmp_path / "one").read_bytes() == (tmp_path / "two").read_bytes()
-    told = run.invoke(main, ["policy", "explain", str(path), "--rule", "images"])
-    assert "images: small: steered to big" in told.output and "as it stands on big" in told.output
+    explained = run.invoke(main, ["policy", "explain", str(path), "--rule", "images"])
+    assert "images: small: steered to big" in explained.output and "as it stands on big" in explained.output
     nowhere = written(
         tmp_path,
         TEXT.replace("hardware: big", "hardware: small")
@@ -117,8 +117,8 @@
     )
 
 
-def test_a_compile_in_a_process_of_its_own_says_of_which_inventory_its_plan_is(tmp_path: Path) -> None:
-    """By that a node knows whether it ever went by it; the files may be newer."""
+def test_a_compile_in_a_child_process_returns_the_digest_of_its_inventory(tmp_path: Path) -> None:
+    """The digest shows a node whether that inventory was in force here; its files may be newer."""
     root = tmp_path / "inventory.yaml"
     root.write_text(TEXT)
     data, made_from = asyncio.run(compiled(root, tmp_path / "plan"))
@@ -126,5 +126,5 @@
     assert found is not None and made_from == generation.from_checked(1, *found).digest
     assert data is not None and read_plan(data).data == data
     root.write_text("rules: {hosts: {r: {pools: none}}}")
-    data, why = asyncio.run(compiled(root, tmp_path / "plan"))
-    assert data is None and "inventory.yaml" in why
+    data, error = asyncio.run(compiled(root, tmp_path / "plan"))
+    assert data is None and "inventory.yaml" in error
--- a/tests/lowering/test_rollout.py
+++ b/tests/lowering/test_rollout.py
@@ -1,5 +1,4 @@
-"""Random histories of the rollout's machine; what its checks look at after each command, and each guard
-alone."""
+"""State machine of the rollout and the publisher: each guard alone, and invariants in random histories."""
 
 import random
 
@@ -38,8 +37,8 @@
         for name in names or NODES:
             assert self.do("prepared", number, name, life, digest)[0]
 
-    def activate(self, *going_round: str, fence: int = 1) -> tuple[bool, object]:
-        return self.do("activate", fence, self.machine.open.number, list(going_round))  # type: ignore[union-attr]
+    def activate(self, *bypassed: str, fence: int = 1) -> tuple[bool, object]:
+        return self.do("activate", fence, self.machine.open.number, list(bypassed))  # type: ignore[union-attr]
 
     def active(self) -> "Log":
         self.here()
@@ -49,7 +48,7 @@
         return self
 
 
-def test_it_is_active_only_with_each_node_prepared_or_steered_round() -> None:
+def test_a_plan_is_activated_only_with_each_node_prepared_or_steered_around() -> None:
     log = Log()
     log.here()
     assert log.propose()[0]
@@ -58,11 +57,11 @@
     assert log.activate("d") == (True, 1)
     active = log.machine.active
     assert active is not None and active.round == ["d"] and active.state == ""
-    log.prepared("d")  # it comes later, and is no longer steered round
+    log.prepared("d")  # A node that prepares later is no longer steered around
     assert active.round == []
 
 
-def test_of_two_at_once_the_first_in_the_log_has_it_and_the_other_is_told() -> None:
+def test_of_two_concurrent_proposals_the_first_in_the_log_wins() -> None:
     log = Log()
     log.here()
     assert log.propose("one", by="a")[0]
@@ -70,7 +69,7 @@
     assert log.machine.open is not None and log.machine.open.digest == "one"
 
 
-def test_an_older_publisher_does_nothing() -> None:
+def test_commands_of_an_older_publisher_are_rejected() -> None:
     log = Log()
     log.here()
     assert log.propose(fence=7)[0]
@@ -79,7 +78,7 @@
     assert log.machine.active is None
 
 
-def test_a_life_that_is_gone_has_prepared_nothing() -> None:
+def test_a_restarted_node_has_to_prepare_the_plan_again() -> None:
     log = Log().active()
     log.here("c", life=2)
     active = log.machine.active
@@ -89,7 +88,7 @@
     assert active.round == []
 
 
-def test_the_last_node_of_a_class_goes_and_the_plan_made_ahead_counts_at_once() -> None:
+def test_losing_the_last_node_of_a_class_puts_its_loss_state_into_force_at_once() -> None:
     log = Log().active()
     active = log.machine.active
     assert active is not None
@@ -103,7 +102,7 @@
     assert log.machine.missing(active) == ["big", "small"]
 
 
-def test_a_class_without_a_node_and_without_a_plan_is_not_activated() -> None:
+def test_a_plan_with_a_missing_class_and_no_loss_state_for_it_is_not_activated() -> None:
     log = Log()
     log.here()
     log.do("propose", 1, "a", "one", "p", 9, ["big", "small"], {}, list(NODES))
@@ -111,7 +110,7 @@
     assert log.activate("c", "d") == (False, "no plan is without small")
 
 
-def test_halt_and_back_and_neither_comes_again_by_itself() -> None:
+def test_a_policy_that_was_halted_or_taken_back_is_not_proposed_again_automatically() -> None:
     log = Log().active()
     log.propose("two")
     assert log.do("halt", "op")[0] and log.machine.open is None
@@ -127,7 +126,7 @@
     assert steps.step(0, log.machine, "policy of four", NODES) == Compile()
 
 
-def test_a_wrong_digest_is_not_prepared() -> None:
+def test_preparing_a_wrong_digest_is_rejected() -> None:
     log = Log()
     log.here()
     log.propose()
@@ -138,13 +137,13 @@
 @pytest.mark.parametrize(
     "bad", [b"", b"\xc1", b"\x01", command("none"), command("propose", 1), command("here", 1, [], {})]
 )
-def test_a_bad_command_gives_a_result(bad: bytes) -> None:
+def test_an_invalid_command_is_rejected_without_an_exception(bad: bytes) -> None:
     assert Machine().apply(1, bad)[0] is False
 
 
 @settings(max_examples=120, deadline=None)
 @given(st.integers(0, 1 << 32))
-def test_random_histories_hold_all_invariants_and_restore_to_the_same(seed: int) -> None:
+def test_random_histories_keep_all_invariants_and_snapshots_restore_the_same_state(seed: int) -> None:
     draw, log, lives = random.Random(seed), Log(), dict.fromkeys(NODES, 1)
     in_force: list[int] = []
     for _ in range(draw.randint(5, 80)):
@@ -175,23 +174,23 @@
         active = log.machine.active
         if active is not None:
             in_force.append(active.generation)
-            gone = log.machine.missing(active)
-            covered = set(gone) <= set(LOST.get(active.state, []))
-            assert covered or log.machine.state_for(active, gone) is None, (
-                "a class is gone, and its plan does not count"
+            missing = log.machine.missing(active)
+            covered = set(missing) <= set(LOST.get(active.state, []))
+            assert covered or log.machine.state_for(active, missing) is None, (
+                "a class is lost, but its loss state is not in force"
             )
             assert not set(active.round) & set(active.prepared)
-        again = Machine()
-        again.restore(log.machine.snapshot())
-        assert again.snapshot() == log.machine.snapshot()
-    assert in_force == sorted(in_force), "a generation came back"
+        restored = Machine()
+        restored.restore(log.machine.snapshot())
+        assert restored.snapshot() == log.machine.snapshot()
+    assert in_force == sorted(in_force), "an earlier generation came into force again"
 
 
-def test_the_publisher_waits_for_all_then_steers_round_and_tells_of_a_loss() -> None:
+def test_the_publisher_waits_for_all_nodes_then_steers_around_one_and_reports_a_loss() -> None:
     log, publisher = Log(), Publisher(prepare_s=10)
     log.here()
     assert publisher.step(0, log.machine, "policy of one", NODES) == Compile()
-    assert publisher.step(1, log.machine, "policy of one", NODES) is None  # not again at once
+    assert publisher.step(1, log.machine, "policy of one", NODES) is None  # No second compile before RETRY_S
     log.propose()
     log.prepared("a", "b", "c")
     number = log.machine.open.number  # type: ignore[union-attr]
@@ -199,7 +198,9 @@
     assert publisher.step(15, log.machine, "policy of one", NODES) == Activate(number, ("d",))
     log.activate("d")
     assert publisher.step(26, log.machine, "policy of one", NODES) is None
-    assert publisher.step(26.5, log.machine, "policy of one", ("a", "b")) is None  # heard before a pause
+    assert (
+        publisher.step(26.5, log.machine, "policy of one", ("a", "b")) is None
+    )  # Messages before a gap between steps don't count
     for n in range(1, 4):
         assert publisher.step(26 + n - 0.1, log.machine, "policy of one", ("a", "b")) is None
     assert publisher.step(29.5, log.machine, "policy of one", ("a", "b")) == Lost(number, "class:small")
@@ -207,50 +208,56 @@
     assert publisher.step(35, log.machine, "policy of one", NODES) == Lost(number, "")
 
 
-def test_a_policy_that_changes_faster_than_a_compile_takes_is_published_again_and_again() -> None:
+def test_a_policy_that_changes_faster_than_a_compile_takes_is_still_published() -> None:
     log, publisher = Log(), Publisher()
     log.here()
     made: Compiling | None = None
-    done_at, read, came = 0.0, "", list[str]()
+    done_at, source, in_force = 0.0, "", list[str]()
     for tenth in range(600):
-        now, wanted = tenth / 10, f"policy {tenth // 10}"  # another one each second; a compile takes three
+        now, wanted = tenth / 10, f"policy {tenth // 10}"  # A new policy each second; a compile takes three
         machine = log.machine
         if made is not None:
             made.saw(wanted)
             if now >= done_at:
-                if made.takes(read, wanted, machine):
-                    log.do("propose", 1, "a", f"plan {read}", read, 9, ["big", "small"], LOST, list(NODES))
-                    log.prepared(digest=f"plan {read}")
+                if made.takes(source, wanted, machine):
+                    log.do(
+                        "propose", 1, "a", f"plan {source}", source, 9, ["big", "small"], LOST, list(NODES)
+                    )
+                    log.prepared(digest=f"plan {source}")
                 made = None
             continue
         match publisher.step(now, machine, wanted, NODES):
             case Compile():
-                made, done_at, read = Compiling(wanted), now + 3.0, wanted
+                made, done_at, source = Compiling(wanted), now + 3.0, wanted
             case Activate():
                 assert log.activate()[0]
-                came.append(machine.active.policy)  # type: ignore[union-attr]
-    assert len(came) > 10 and came == sorted(came, key=lambda policy: int(policy.split()[1]))
+                in_force.append(machine.active.policy)  # type: ignore[union-attr]
+    assert len(in_force) > 10 and in_force == sorted(in_force, key=lambda policy: int(policy.split()[1]))
 
 
-def test_what_was_withdrawn_or_never_stood_here_is_not_proposed() -> None:
+def test_a_plan_of_a_withdrawn_or_never_active_inventory_is_not_proposed() -> None:
     log = Log().active()
     made = Compiling("policy of two")
     assert made.takes("policy of two", "policy of two", log.machine)
-    assert not made.takes("policy of nine", "policy of two", log.machine), "of files that no node goes by"
+    assert not made.takes("policy of nine", "policy of two", log.machine), (
+        "its inventory was never in force here"
+    )
     made.saw("policy of one")
-    assert not made.takes("policy of two", "policy of one", log.machine), "taken back to what is in force"
+    assert not made.takes("policy of two", "policy of one", log.machine), (
+        "the policy in force is wanted again"
+    )
     made.saw("policy of three")
     assert made.takes("policy of two", "policy of three", log.machine)
     assert not made.takes("policy of two", "", log.machine)
 
 
-def test_a_publisher_that_hears_nobody_tells_of_no_loss() -> None:
+def test_a_publisher_without_responsive_nodes_reports_no_loss() -> None:
     log = Log()
     log.here("a")
     log.do("propose", 1, "a", "one", "p", 9, ["big"], {"class:big": ["big"]}, ["a"])
     log.prepared("a")
     assert log.activate() == (True, 1)
     publisher = Publisher()
-    for tenth in range(60):  # longer than what was heard before a pause counts
-        assert publisher.step(tenth / 10, log.machine, "p", ()) is None, "it is cut off itself"
+    for tenth in range(60):  # Longer than GONE_S, so that losses may be reported
+        assert publisher.step(tenth / 10, log.machine, "p", ()) is None, "the publisher itself is cut off"
     assert publisher.step(6.0, log.machine, "p", ("a",)) is None
--- a/tests/lowering/test_route.py
+++ b/tests/lowering/test_route.py
@@ -1,4 +1,4 @@
-"""Where a request goes under the tables in force, and what it may never do."""
+"""Routing of requests by the tables in force, and routes that must never be chosen."""
 
 import asyncio
 import time
@@ -27,52 +27,52 @@
     return Request("red", "get", subject, 0, 1)
 
 
-def test_a_request_keeps_its_generation_and_an_unknown_one_is_turned_away() -> None:
+def test_a_request_keeps_its_generation_and_an_unknown_generation_is_refused() -> None:
     router = Router()
-    assert router.way(asked(), True) is None, "without a plan nothing changes"
+    assert router.way(asked(), True) is None, "without a plan the request is routed without a policy"
     for generation, pool in ((1, 0), (2, 1), (3, 1)):
         router.put_in_force(generation, Held(table(Action(RUN, (((pool, 1),),)))))
-    begins, steered = router.way(asked(), True), router.way(asked(), True, 2)
-    assert begins is not None and begins.generation == 3 and begins.addresses == (("b", 1),)
+    begun_here, steered = router.way(asked(), True), router.way(asked(), True, 2)
+    assert begun_here is not None and begun_here.generation == 3 and begun_here.addresses == (("b", 1),)
     assert steered is not None and steered.generation == 2
     old = router.way(asked(), True, 1)
     assert old is not None and old.refused and not old.addresses
 
 
-def test_a_node_that_began_goes_by_nothing_until_it_has_read_the_log() -> None:
+def test_a_starting_node_refuses_requests_until_it_has_read_the_log() -> None:
     router = Router(unread=True)
-    for came in (0, ROUND, 1):
-        way = router.way(asked(), True, came)
+    for generation in (0, ROUND, 1):
+        way = router.way(asked(), True, generation)
         assert way is not None and way.refused and not way.addresses
-        assert way.generation == (came or ROUND), "none that was never in force"
-        assert came > router.generation, "it is waited for, as any generation that is not here yet"
+        assert way.generation == (generation or ROUND), "no generation that was never in force"
+        assert generation > router.generation, "the request waits, as for any generation not known here yet"
     router.read()
     assert router.way(asked(), True) is None and not router.unread, "there is no plan"
     router = Router(unread=True)
     router.read()
     router.put_in_force(7, Held(table(Action(RUN, (((0, 1),),)))))
     router.read()
-    begins = router.way(asked(), True)
-    assert router.generation == 7 and begins is not None and begins.generation == 7
+    way = router.way(asked(), True)
+    assert router.generation == 7 and way is not None and way.generation == 7
 
 
-def test_what_was_steered_is_not_steered_on_and_who_runs_no_plan_sends_it_once() -> None:
+def test_a_steered_request_is_not_steered_again_and_a_node_without_a_plan_steers_it_once() -> None:
     router = Router()
     router.put_in_force(1, Held(table(Action(STEER, target="big")), peers={"big": (PEER,)}))
     way = router.way(asked(), True)
     assert way is not None and way.steered and way.addresses == (PEER,) and way.generation == 1
-    on = router.way(asked(), True, 1)
-    assert on is not None and on.refused and not on.addresses
-    assert router.way(asked(), True, ROUND) == way, "it comes from a node that could not know who runs it"
+    second = router.way(asked(), True, 1)
+    assert second is not None and second.refused and not second.addresses
+    assert router.way(asked(), True, ROUND) == way, "its sender could not know which class runs the rule"
     router.put_in_force(1, Held(None, peers={"big": (PEER,)}))
     sent = router.way(asked(), True)
     assert sent is not None and sent.generation == ROUND and sent.steered
-    for told in (1, ROUND):
-        back = router.way(asked(), True, told)
+    for generation in (1, ROUND):
+        back = router.way(asked(), True, generation)
         assert back is not None and back.refused and not back.addresses
 
 
-def test_the_plan_made_ahead_counts_and_lost_halls_are_passed_over() -> None:
+def test_a_loss_state_changes_the_action_and_pools_of_a_lost_hall_are_skipped() -> None:
     router = Router()
     both = Action(RUN, (((0, 3), (1, 1)),))
     router.put_in_force(1, Held(table(both, {"class:big": {0: 1}}), "class:big"))
@@ -83,8 +83,8 @@
     assert way is not None and way.addresses == (("b", 1),)
 
 
-def test_a_request_that_came_with_a_newer_generation_waits_for_it_and_not_for_ever() -> None:
-    async def whole() -> None:
+def test_a_request_with_a_newer_generation_waits_for_it_up_to_a_time_limit() -> None:
+    async def scenario() -> None:
         module = SimpleNamespace(counters=Counters(), clock=time.monotonic)
         work, request = ScgiWork(module, {}), SimpleNamespace(generation=2)  # type: ignore[arg-type]
         router = work.router = Router()
@@ -101,11 +101,11 @@
         way = router.way(asked(), True, 3)
         assert way is not None and way.refused
 
-    asyncio.run(whole())
+    asyncio.run(scenario())
 
 
-def test_a_server_taken_out_while_a_node_connects_to_it_gets_nothing() -> None:
-    async def whole() -> None:
+def test_a_server_excluded_while_a_node_connects_to_it_gets_no_request() -> None:
+    async def scenario() -> None:
         module = SimpleNamespace(counters=Counters(), clock=time.monotonic)
         work, closed = ScgiWork(module, {}), list[int]()  # type: ignore[arg-type]
         router = work.router = Router()
@@ -123,10 +123,10 @@
             await work._by_rule(request, way)  # type: ignore[arg-type]
         assert found.value.after_s > 0 and closed == [1] and not work.servers.load
 
-    asyncio.run(whole())
+    asyncio.run(scenario())
 
 
-def test_a_rule_s_limits_go_on_over_a_new_plan_with_other_ranks() -> None:
+def test_a_rule_s_limits_carry_over_to_a_new_plan_with_other_ranks() -> None:
     router, limited = Router(), Action(RUN, (((0, 1),), ((1, 1),)), rate_per_s=1.0, own=1)
     keys = set()
     for generation, rank in ((1, 0), (2, 7)):
@@ -139,7 +139,7 @@
     assert len(keys) == 1
 
 
-def test_a_server_that_is_out_is_in_no_way_and_where_all_are_it_is_refused() -> None:
+def test_an_excluded_server_gets_no_request_and_without_another_the_request_is_refused() -> None:
     router = Router()
     both = Action(RUN, (((0, 3), (1, 1)),), mirrors=((0, 100), (1, 100)))
     router.put_in_force(1, Held(table(both)))
@@ -148,13 +148,13 @@
         way = router.way(asked(), True)
         assert way is not None and way.asked is not None and sorted(way.addresses) == [("a", 2), ("b", 1)]
         assert way.asked.mirrors == (("a", 2), ("b", 1))
-    # All of its own pool: the fall-backs, which its limits are not about.
+    # All servers of the own pool are excluded: the fall-backs are used, to which the limits don't apply.
     spilled = Action(RUN, (((0, 1),), ((1, 1),)), rate_per_s=1.0, own=1)
     router.put_in_force(2, Held(table(spilled)))
     router.acts.out = frozenset({("a", 1), ("a", 2)})
     way = router.way(asked(), True)
     assert way is not None and way.asked is not None and way.addresses == (("b", 1),) and way.asked.own == 0
-    # The rest of a tier keeps its parts, and whom affinity put elsewhere stays there.
+    # The other pools of a tier keep their weights, and subjects at other servers stay there.
     held = table(Action(RUN, (((0, 2), (1, 1)),)))
     assert spread(held, held.actions[0], "x", 0, out=router.acts.out) == [1]
     for affinity in (Affinity.RENDEZVOUS, Affinity.MODULO):
@@ -162,11 +162,11 @@
         router.acts.out = frozenset()
         before = {s: router.way(asked(s), True) for s in map(str, range(40))}
         router.acts.out = frozenset({("a", 1)})
-        for subject, told in before.items():
+        for subject, way_before in before.items():
             way = router.way(asked(subject), True)
-            assert way is not None and told is not None and way.addresses == (("a", 2),)
-            assert len(told.addresses) == 2
-    # Of all of its rule's pools: refused, and no server named.
+            assert way is not None and way_before is not None and way.addresses == (("a", 2),)
+            assert len(way_before.addresses) == 2
+    # All servers of all pools of the rule are excluded: refused, without addresses.
     router.put_in_force(4, Held(table(spilled)))
     router.acts.out = frozenset({("a", 1), ("a", 2), ("b", 1)})
     way = router.way(asked(), True)
@@ -176,7 +176,7 @@
     assert way is not None and len(way.addresses) == 3
 
 
-def test_weights_hold_over_turns_and_affinity_moves_only_who_has_to_move() -> None:
+def test_weights_hold_over_many_requests_and_affinity_moves_only_subjects_of_a_removed_server() -> None:
     held = table(Action(RUN, (((0, 3), (1, 1)),)))
     firsts = [spread(held, held.actions[0], "x", turn)[0] for turn in range(400)]
     assert firsts.count(0) == 300
@@ -191,7 +191,7 @@
     assert len({tuple(spread(held, kept, "one", turn)) for turn in range(9)}) == 1
 
 
-def test_a_node_that_leaves_has_no_address_to_tell() -> None:
-    front = SimpleNamespace(server=SimpleNamespace(sockets=()))  # as asyncio's, once it is closed
+def test_a_leaving_node_announces_no_address() -> None:
+    front = SimpleNamespace(server=SimpleNamespace(sockets=()))  # Like a closed asyncio server
     part = SimpleNamespace(context=SimpleNamespace(program=SimpleNamespace(scgi=front)))
     assert Lowering._scgi(cast(Lowering, part)) == ""
--- a/tests/lowering/test_tables.py
+++ b/tests/lowering/test_tables.py
@@ -1,4 +1,4 @@
-"""A loaded table against a plain reading of its lines, and what it takes of memory."""
+"""Lookups of a loaded table, compared with a linear search of its lines, and the table's memory."""
 
 import random
 import tracemalloc
@@ -24,7 +24,7 @@
     return line.kind is Kind.ANY or subject in line.subjects
 
 
-def test_the_first_line_that_takes_a_request_is_found_whatever_it_is_about() -> None:
+def test_a_lookup_finds_the_first_matching_line() -> None:
     pick, found = random.Random(7), 0
     for _ in range(300):
         lines = []
@@ -32,7 +32,7 @@
             kind = pick.choice(tuple(Kind))
             words = pick.sample(WORDS, 2 if kind is Kind.SET else kind is not Kind.ANY)
             if kind is Kind.PREFIX and pick.random() < 0.4:
-                words = [words[0] + END]  # a whole subject, told as a prefix
+                words = [words[0] + END]  # Prefix with an end mark: matches the whole subject only
             lines.append(
                 Line(
                     pick.choice((None, "t", "u")),
@@ -61,12 +61,15 @@
     assert found > 3000
 
 
-def test_a_loaded_entry_takes_no_more_than_is_reckoned_with() -> None:
+def test_a_loaded_table_takes_no_more_memory_than_estimated() -> None:
     count = 4000
     for kind, subject in (
         (Kind.EXACT, lambda at: f"customer-{at:06d}"),
         (Kind.PREFIX, lambda at: f"{at:06d}/images"),
-        (Kind.PREFIX, lambda at: f"{at:06d}/images/" + "x" * (at // 360 % 4)),  # several lengths in a scope
+        (
+            Kind.PREFIX,
+            lambda at: f"{at:06d}/images/" + "x" * (at // 360 % 4),
+        ),  # Several prefix lengths in one scope
     ):
         lines = [
             Line(
