--- a/beechrock/lowering/acts.py
+++ b/beechrock/lowering/acts.py
@@ -11,10 +11,10 @@
 actions: ``Send``, ``Copy`` (to a mirror, whose answer nobody awaits), ``Wait`` (followed by ``timer``), and
 finally exactly one of ``Done``, ``TurnAway``, ``Nowhere``.
 
-Invariants (checked after each event): a request that must not run twice is sent again only after a send that
-made no connection; the open sends of a rule do not exceed its limit; in any window of w seconds a rule gets
-at most rate * w + burst sends; a request ends once and holds nothing afterwards; nothing is sent to an
-excluded server.
+Invariants (the first, fourth and fifth are checked at run time): a request that must not run twice is sent
+again only after a send that made no connection; the open sends of a rule do not exceed its limit; in any
+window of w seconds a rule gets at most rate * w + burst sends; a request ends once and holds nothing
+afterwards; nothing is sent to an excluded server.
 """
 
 from collections.abc import Hashable, Sequence
--- a/beechrock/lowering/assemble.py
+++ b/beechrock/lowering/assemble.py
@@ -110,9 +110,8 @@
         steers = [self._steer(draft) for draft in each.drafts]
         memory, count = sum(s.memory for s in steers), sum(s.entries for s in steers)
         if memory > each.profile.memory_kb * 1024 or count > each.profile.entries:
-            scopes = {
-                (None, None): None
-            }  # Even the steer entries alone don't fit: one entry steers everything
+            # Even the steer entries alone don't fit: one entry steers everything.
+            scopes = {(None, None): None}
         about = Scopes(scopes)
         each.coarse = about.kept
         # A rule that only partly overlaps the coarse scopes keeps its entry for its other requests, but this
@@ -147,7 +146,7 @@
             for r, d in enumerate(other.drafts)
         ]
         room = self.room(other)
-        return all(sum(n.held()[k] for n in needs) <= room.held()[k] for k in range(4))
+        return all(sum(need.held()[k] for need in needs) <= room.held()[k] for k in range(4))
 
     # --- Input of the solver
 
@@ -230,7 +229,10 @@
         """Return for each loss state the classes that have no machine left in it."""
         names = [each.name for each in self.classes]
         found = {
-            f"hall:{hall}": tuple(n for n in names if not self.fleet.count(n, hall)) for hall in self.halls
+            f"hall:{hall}": tuple(
+                class_name for class_name in names if not self.fleet.count(class_name, hall)
+            )
+            for hall in self.halls
         }
         return {**found, **{f"class:{name}": (name,) for name in names}}
 
@@ -245,7 +247,7 @@
         return found
 
     def _made(self, draft: Draft) -> Action:
-        tiers = tuple(tuple((self.pool_at[n], c) for n, c in tier) for tier in draft.tiers)
+        tiers = tuple(tuple((self.pool_at[pool], c) for pool, c in tier) for tier in draft.tiers)
         return Action(
             RUN,
             tiers,
@@ -255,7 +257,7 @@
             draft.level,
             draft.retries,
             draft.hedge_ms,
-            tuple((self.pool_at[n], p) for n, p in draft.mirrors),
+            tuple((self.pool_at[pool], p) for pool, p in draft.mirrors),
             own=draft.own,
         )
 
@@ -306,10 +308,7 @@
         self.states[state] = changes
 
     def _standby(self, each: Class, rank: int) -> Draft | None:
-        """Return the smallest draft that runs the rule here without counters or timers, if there is one.
-
-        Counters and timers are excluded because other rules may already use all of them.
-        """
+        """Return the smallest draft that runs the rule here and takes no counters or timers from others."""
         for draft in reversed(each.options[rank] if rank not in each.met else ()):
             if not draft.counters(self.teams) and draft.hedge_ms is None:
                 self.standby[each.name, rank] = draft
--- a/beechrock/lowering/compile.py
+++ b/beechrock/lowering/compile.py
@@ -58,7 +58,7 @@
             PLAN_FORMAT,
             policy,
             [[name, list(needs[name])] for name in sorted(needs)],
-            [[name, tables[name]] for name in sorted(tables)],
+            [[hardware, tables[hardware]] for hardware in sorted(tables)],
             [[state, sorted(lost[state])] for state in sorted(lost)],
             [[name, sorted(declared[name].items())] for name in sorted(declared)],
         ]
@@ -112,7 +112,7 @@
             rules,
             [replace(pool, place=NOWHERE) for _, pool in sorted(policy.pools.items())],
             sorted(policy.effects.items()),
-            [sorted(as_row(profiles[name]).items()) for name in sorted(profiles)],
+            [sorted(as_row(profiles[hardware]).items()) for hardware in sorted(profiles)],
             sorted(fleet.machines.items()),
         )
     )
@@ -147,9 +147,8 @@
                 if len(parts) == 1:
                     after.append((step(draft, parts[0][0], beside), places))
                     continue
-                changed: dict[
-                    int, tuple[Draft, Places]
-                ] = {}  # By id of the new draft; a step may return its input unchanged
+                # By id of the new draft, as a step may return its input unchanged for several classes.
+                changed: dict[int, tuple[Draft, Places]] = {}
                 for profile, part in parts:
                     new = step(draft, profile, beside)
                     same = changed.get(id(new))
@@ -187,9 +186,9 @@
             count[key] = count.get(key, 0) + 1
             if count[key] > MAX_CHAIN:
                 raise PolicyError(
-                    f"over {MAX_CHAIN} rules about the same subject {subject!r}",
+                    f"over {MAX_CHAIN} rules for the same subject {subject!r}",
                     where=f"{rule.place}: rules.{rule.name}",
-                    do="put some of them together",
+                    do="merge some of them",
                 )
 
 
@@ -229,14 +228,14 @@
     for name in names:
         if name not in profiles:
             raise PolicyError(
-                f"machines are of the class {name}, which is not told",
+                f"machines are of the class {name}, which is not defined",
                 where="hardware",
                 wanted=", ".join(sorted(profiles)),
                 do="add it to the group hardware",
             )
     if not names:
         raise PolicyError(
-            "no machine has a hardware class", where="machines", do="tell hardware of the machines"
+            "no machine has a hardware class", where="machines", do="set hardware for the machines"
         )
     _chains(policy)
     drafts = drafts_of(policy, [profiles[name] for name in names])
@@ -256,14 +255,17 @@
     packed = assembly.tables()
     lost = assembly.lost()
     declared = {
-        name: {"memory_kb": profiles[name].memory_kb, "match_us": profiles[name].match_us} for name in names
+        hardware: {"memory_kb": profiles[hardware].memory_kb, "match_us": profiles[hardware].match_us}
+        for hardware in names
     }
     tables = {name: Table(data) for name, data in packed.items()}
     needs = {name: needs_of(table) for name, table in tables.items()}
     plan = pack_plan(policy_digest(policy, profiles, fleet), needs, packed, lost, declared)
     spare = [name for name in profiles if name not in names] if len(policy.rules) <= 1000 else []
     mending = (
-        dict(zip(spare, drafts_of(policy, [profiles[name] for name in spare]), strict=True)) if spare else {}
+        dict(zip(spare, drafts_of(policy, [profiles[hardware] for hardware in spare]), strict=True))
+        if spare
+        else {}
     )
     report = outcome.report(assembly, placed.method, mending)
     if judged:
--- a/beechrock/lowering/draw.py
+++ b/beechrock/lowering/draw.py
@@ -91,14 +91,14 @@
         and draw.random() < 0.5
     ]
     by_name = {p.name: p for p in pools}
-    named_pools = {name: by_name[name] for name in names}
+    named_pools = {pool_name: by_name[pool_name] for pool_name in names}
     survive = 0.0
     if draw.random() < 0.3:
         survive = min(sum(p.rate_per_s for p in named_pools.values() if p.hall != hall) for hall in HALLS)
     return Rule(
         name,
         Match(team, service, kind, tuple(draw.sample(words, number)), size, attempt),
-        tuple((n, draw.choice((1, 1, 2, 3, 7, 50))) for n in names),
+        tuple((pool_name, draw.choice((1, 1, 2, 3, 7, 50))) for pool_name in names),
         order=draw.choice((10, 100, 100)),
         halls=tuple(draw.sample(HALLS, draw.randint(1, 3))) if draw.random() < 0.4 else (),
         fall_backs=tuple(draw.sample(spare, min(len(spare), draw.randint(0, 2)))),
--- a/beechrock/lowering/interpret.py
+++ b/beechrock/lowering/interpret.py
@@ -67,8 +67,8 @@
         groups: list[list[tuple[str, int]]] = []
         if rule.halls:
             for wanted in rule.halls:
-                groups.append([(n, w) for n, w in rule.pools if hall[n] == wanted])
-            groups.append([(n, w) for n, w in rule.pools if hall[n] not in rule.halls])
+                groups.append([(pool, w) for pool, w in rule.pools if hall[pool] == wanted])
+            groups.append([(pool, w) for pool, w in rule.pools if hall[pool] not in rule.halls])
         else:
             groups.append(list(rule.pools))
         seen = {name for name, _ in rule.pools}
@@ -79,11 +79,11 @@
                 seen.add(next_pool)
                 row.append(next_pool)
                 next_pool = self.policy.pools[next_pool].fall_back
-        left = [tuple(sorted((n, w) for n, w in group if hall[n] not in lost)) for group in groups]
+        left = [tuple(sorted((pool, w) for pool, w in group if hall[pool] not in lost)) for group in groups]
         return Ideal(
             rule.name,
             tuple(tier for tier in left if tier),
-            tuple(n for n in row if hall[n] not in lost),
+            tuple(pool for pool in row if hall[pool] not in lost),
             int(rule.affinity),
             rule.rate_per_s,
             rule.at_once,
--- a/beechrock/lowering/part.py
+++ b/beechrock/lowering/part.py
@@ -49,7 +49,7 @@
         self.measures = Measures(0.0, 0.0)
         self.compiling: asyncio.Task[None] | None = None
         self.made = Compiling("")
-        self.refused = ""  # Error text of the last compile or proposal; empty after success
+        self.refused = ""  # Error text of the last failed compile or proposal
         self.steps, self.waits = 0, False
         self.active = (0, "", False)
         self._publishes = settings.publish and not LACKS  # Can't check tables with features it lacks
@@ -329,17 +329,17 @@
         wanted, path = self._wanted(), self.context.program.configuration.scgi.path
         target = self.talk.settings.state / "lowering" / "compiled"
         try:
-            data, said = await compiled(path, target)
+            data, output = await compiled(path, target)
             if data is None:
-                self.refused = said
-                logs.event("lowering.refused", "warning", node=self.name, policy=wanted, why=said)
+                self.refused = output
+                logs.event("lowering.refused", "warning", node=self.name, policy=wanted, why=output)
                 return
             end = clocks.mono() + TAKE_S
-            while said not in self.made.seen and clocks.mono() < end:
+            while output not in self.made.seen and clocks.mono() < end:
                 await asyncio.sleep(TICK_S)
             digest = self.plans.keep(data, self._digests())
             fence = self._fence()  # Checked again after each wait, as the duty may be lost meanwhile
-            if not digest or fence is None or not self.made.takes(said, self._wanted(), self.machine):
+            if not digest or fence is None or not self.made.takes(output, self._wanted(), self.machine):
                 return
             plan = self.plans.held[digest]
             lost = {state: list(names) for state, names in plan.lost.items()}
@@ -348,7 +348,7 @@
                 fence,
                 self.name,
                 digest,
-                said,
+                output,
                 len(plan.data),
                 sorted(plan.tables),
                 lost,
--- a/beechrock/lowering/passes/spread.py
+++ b/beechrock/lowering/passes/spread.py
@@ -93,9 +93,9 @@
     want = {name: weight * slots for name, weight in heaviest}  # In units of 1 / ``total`` slot
     given = {name: max(1, parts_wanted // total) for name, parts_wanted in want.items()}
     while sum(given.values()) > slots:  # Take back slots from pools that have more than one
-        given[max(given, key=lambda n: (given[n] > 1, given[n] * total - want[n], n))] -= 1
+        given[max(given, key=lambda pool: (given[pool] > 1, given[pool] * total - want[pool], pool))] -= 1
     while sum(given.values()) < slots:
-        given[min(given, key=lambda n: (given[n] * total - want[n], n))] += 1
+        given[min(given, key=lambda pool: (given[pool] * total - want[pool], pool))] += 1
     return tuple(sorted(given.items()))
 
 
--- a/beechrock/lowering/passes/subjects.py
+++ b/beechrock/lowering/passes/subjects.py
@@ -18,7 +18,7 @@
 
 
 def exacts_to_prefixes(draft: Draft, profile: Profile, _: Around) -> Draft:
-    """Convert exact subjects into prefixes with an end mark if the class supports only prefixes.
+    """Convert exact subjects into prefixes with an end mark if the class lacks exact subjects.
 
     Without the end mark the prefix "ab" would also match "abc".
     """
--- a/beechrock/lowering/passes/survive.py
+++ b/beechrock/lowering/passes/survive.py
@@ -10,7 +10,12 @@
     names = {name for tier in draft.tiers for name, _ in tier}
     return min(
         (
-            (sum(around.pools[n].rate_per_s for n in sorted(names) if around.pools[n].hall != hall), hall)
+            (
+                sum(
+                    around.pools[pool].rate_per_s for pool in sorted(names) if around.pools[pool].hall != hall
+                ),
+                hall,
+            )
             for hall in around.halls
         ),
         default=(0.0, ""),
--- a/beechrock/lowering/policy.py
+++ b/beechrock/lowering/policy.py
@@ -164,7 +164,7 @@
 
     def names(self) -> tuple[str, ...]:
         """Return the names of all pools that the rule itself lists."""
-        return (*(n for n, _ in self.pools), *self.fall_backs, *(n for n, _ in self.mirrors))
+        return (*(pool for pool, _ in self.pools), *self.fall_backs, *(pool for pool, _ in self.mirrors))
 
 
 @dataclass(frozen=True, slots=True)
@@ -224,8 +224,8 @@
         raise PolicyError(
             first.text + suffix,
             where=f"{first.place}: {first.entry}: {first.key}",
-            wanted="a policy that holds together",
-            do="mend it; beechrock policy check names all",
+            wanted="a consistent policy",
+            do="correct it; beechrock policy check lists all faults",
         )
     return policy
 
@@ -256,15 +256,15 @@
 def _faults(policy: Policy, rule: Rule, by_service: Mapping[str, set[str]]) -> Iterable[tuple[str, str]]:
     match = rule.match
     if (match.kind is Kind.ANY) != (not match.subjects) or len(match.subjects) > MAX_SUBJECTS:
-        yield "subjects", f"none, or over {MAX_SUBJECTS}, where the kind of match wants another number"
+        yield "subjects", f"the number of subjects is over {MAX_SUBJECTS} or does not suit the kind of match"
     if any(not s or END in s or len(s) > MAX_SUBJECT for s in match.subjects):
         yield "subjects", f"a subject is empty, over {MAX_SUBJECT} characters, or holds a NUL"
     if match.size[0] > match.size[1] or match.attempt[0] > match.attempt[1] or match.attempt[0] < 1:
-        yield "size", "the least is above the most"
+        yield "size", "the minimum is above the maximum, or the first attempt is below 1"
     if not rule.pools or any(weight < 1 for _, weight in rule.pools):
         yield "pools", "no pool, or a weight below 1"
     if len({name for name, _ in rule.pools}) < len(rule.pools):
-        yield "pools", "a pool stands twice"
+        yield "pools", "a pool is listed twice"
     if not 0 <= rule.priority <= HIGHEST:
         yield "priority", f"{rule.priority} is not from 0 to {HIGHEST}"
     if any(not 0 < percent <= 100 for _, percent in rule.mirrors):
--- a/beechrock/lowering/profile.py
+++ b/beechrock/lowering/profile.py
@@ -83,7 +83,7 @@
         return sorted({hall for (_, hall), count in self.machines.items() if count})
 
     def count(self, name: str, without: str | None = None) -> int:
-        return sum(n for (c, hall), n in self.machines.items() if c == name and hall != without)
+        return sum(count for (c, hall), count in self.machines.items() if c == name and hall != without)
 
 
 def as_row(profile: Profile) -> dict[str, object]:
--- a/beechrock/lowering/read.py
+++ b/beechrock/lowering/read.py
@@ -70,7 +70,9 @@
         servers: list[tuple[str, int]] = []
         for host, port in v.get("upstreams", ()):
             names = (host,) if host in machines else self.checked.groups.get(host, ())
-            servers += [(machines[n].values.get("address", n), port) for n in names] or [(host, port)]
+            servers += [(machines[machine].values.get("address", machine), port) for machine in names] or [
+                (host, port)
+            ]
         if "team" in v and v["team"] not in self.checked.kinds["teams"]:
             self.bad("pools", entry, "team", f"{v['team']} is not in the inventory")
         return Pool(
@@ -90,7 +92,7 @@
                 self.bad("rules", entry, key, f"{v[key]} is not in the inventory")
         keys = [key for key in KIND_KEYS if key in v]
         if len(keys) > 1:
-            self.bad("rules", entry, keys[1], f"stands beside {keys[0]}; one of them is wanted")
+            self.bad("rules", entry, keys[1], f"conflicts with {keys[0]}; only one of them is allowed")
         subjects = tuple(dict.fromkeys(v[keys[0]] if keys[0] == "subjects" else [v[keys[0]]])) if keys else ()
         match = Match(
             v.get("team"),
--- a/beechrock/lowering/rollout.py
+++ b/beechrock/lowering/rollout.py
@@ -157,7 +157,7 @@
         if known is None and len(self.nodes) >= MAX_NODES:
             return False, f"over {MAX_NODES} nodes"
         if known is not None and life < known.life:
-            return False, "a later life was here"
+            return False, "a later life of the node was announced"
         self.nodes[name] = Node(life, hardware, hall, scgi, differs[:20])
         for rollout in (self.open, self.active, self.before):
             if rollout is not None and rollout.prepared.get(name, life) != life:
@@ -196,7 +196,7 @@
         if policy in self.refused and not allow_refused:
             return False, f"was {self.refused[policy]}"
         if not 0 < len(classes) <= MAX_CLASSES or not 0 < len(nodes) <= MAX_NODES:
-            return False, "no class or no node, or too many"
+            return False, "no class, no node, or too many of them"
         self.refused.pop(policy, None)
         self.open = Rollout(index, digest, policy, size, by, sorted(classes), dict(lost), sorted(nodes))
         return True, index
@@ -211,10 +211,10 @@
         if rollout is None or name not in rollout.nodes:
             return False, "no such rollout, or no such node in it"
         if digest != rollout.digest:
-            return False, f"prepared {digest}, and {rollout.digest} is wanted"
+            return False, f"prepared {digest}, and {rollout.digest} is expected"
         node = self.nodes.get(name)
         if node is None or node.life != life:
-            return False, "not the life that was here last"
+            return False, "not the life of the node that was announced last"
         rollout.prepared[name] = life
         rollout.cannot.pop(name, None)
         if name in rollout.round:
@@ -306,7 +306,7 @@
             return False, reason
         rollout = self.active
         if rollout is None or rollout.number != number or (state and state not in rollout.lost):
-            return False, "not in force, or no plan for it"
+            return False, "the rollout is not in force, or has no such loss state"
         if not set(self.missing(rollout)) <= set(rollout.lost.get(state, [])):
             return False, f"without {', '.join(self.missing(rollout))} this is no plan"
         rollout.state = state
@@ -325,10 +325,13 @@
         Nodes that have not prepared it any more are steered around.
         """
         if self.before is None or self.active is None:
-            return False, "there is none before"
+            return False, "there is no previous rollout"
         state = self.state_for(self.before, self.missing(self.before))
         if state is None or not self.before.prepared:
-            return False, "nobody has prepared the one before any more, or a class of it is gone"
+            return (
+                False,
+                "no node has the previous rollout prepared, or no loss state covers its missing classes",
+            )
         self._refuse(self.active, Stage.BACK, who)
         self.generation += 1
         previous = self.before
@@ -372,7 +375,7 @@
     def _holds(self, good: bool, what: str) -> None:
         if not good:
             raise BrokenInvariantError(
-                what, where="lowering", do="send the log; this node takes no part any more"
+                what, where="lowering", do="send the log; this node has left the rollout"
             )
 
 
--- a/beechrock/lowering/route.py
+++ b/beechrock/lowering/route.py
@@ -16,7 +16,7 @@
 from beechrock.lowering.tables import REFUSE, RUN, Action, Table
 
 Address = tuple[str, int]
-ROUND = -1  # Instead of a generation: the request comes from a node that runs no plan and is steered around
+ROUND = -1  # Instead of a generation: the request comes from a node that runs no table of the plan
 UNREAD = -2  # Instead of a generation: this node has not read the agreed log since its start
 KEPT = 2  # Number of generations whose tables a node keeps: the one in force and the previous one
 
@@ -180,10 +180,8 @@
         turn = self.turns[entry[0]] = self.turns.get(entry[0], -1) + 1
         lost = (held.state.removeprefix("hall:"),) if held.state.startswith("hall:") else ()
         own = {pool for tier in action.tiers[: action.own or None] for pool, _ in tier}
-        found: tuple[dict[Address, None], dict[Address, None]] = (
-            {},
-            {},
-        )  # Of the rule's own pools, of its fall-backs
+        # Servers of the rule's own pools, and servers of its fall-backs; the keys keep their order.
+        found: tuple[dict[Address, None], dict[Address, None]] = {}, {}
         for pool in spread(table, action, request.subject, turn, lost, self.acts.out):
             servers, part = self._in(table.servers[pool]), found[pool not in own]
             if action.affinity != Affinity.NONE:
--- a/beechrock/lowering/tables.py
+++ b/beechrock/lowering/tables.py
@@ -97,8 +97,8 @@
 
 
 def action_from(row: list[Any]) -> Action:
-    tiers = tuple(tuple((int(p), int(n)) for p, n in tier) for tier in row[1])
-    mirrors = tuple((int(p), int(n)) for p, n in row[8])
+    tiers = tuple(tuple((int(p), int(slots)) for p, slots in tier) for tier in row[1])
+    mirrors = tuple((int(p), int(percent)) for p, percent in row[8])
     own = row[10] if len(row) > 10 else 0  # Plans of older programs lack this field
     return Action(row[0], tiers, row[2], row[3], row[4], row[5], row[6], row[7], mirrors, row[9], own)
 
@@ -219,11 +219,12 @@
             # Keys are the names of the scope and the subject or prefix. A dict with only str keys stores no
             # hashes and compares each colliding string; one key of another type prevents that.
             self.keys: dict[str | None, Entry | None] = {None: None}
-            self.starts: dict[str | None, tuple[int, ...]] = {
-                None: ()
-            }  # By start of a key: lengths of prefixes
+            # By start of a key, with the length of the scope's shortest prefix: lengths of its prefixes.
+            self.starts: dict[str | None, tuple[int, ...]] = {None: ()}
             self.scopes: dict[tuple[str | None, str | None], Scope] = {}
-            self.named: dict[str, dict[str, tuple[Scope, ...]]] = {}  # By contract that a rule names in full
+            self.named: dict[
+                str, dict[str, tuple[Scope, ...]]
+            ] = {}  # Scopes by team and service named in a rule
             self.held = 0  # Number of keys, plus entries without a subject
             self._fill(rows)
         except (ValueError, TypeError, IndexError, KeyError, msgpack.UnpackException) as error:
--- a/beechrock/lowering/witness.py
+++ b/beechrock/lowering/witness.py
@@ -66,9 +66,9 @@
                     count += 1
                     if count > MAX_WITNESSES:
                         raise PolicyError(
-                            f"over {MAX_WITNESSES} regions to look at",
+                            f"over {MAX_WITNESSES} regions to check",
                             where="rules",
-                            do="name teams and services in the rules, or fewer sizes and attempts",
+                            do="name teams and services in the rules, or use fewer sizes and attempts",
                         )
                     yield Request(team, service, subject, size, attempt)
 
@@ -107,9 +107,8 @@
             for name, table in tables.items()
         }
         self.names = {name: tuple(pool for pool, _ in table.pools) for name, table in tables.items()}
-        self.measured: dict[
-            tuple[object, ...], dict[Feature, float]
-        ] = {}  # Errors of the rule in ``ideal``, as classes often run it alike
+        # Cached errors of the rule in ``ideal``, because classes often run a rule alike.
+        self.measured: dict[tuple[object, ...], dict[Feature, float]] = {}
         # Cached meaning of the rule that was checked last.
         self.ideal: tuple[Rule, bool, Ideal] | None = None
 
@@ -138,7 +137,7 @@
                 raise self._off(
                     name,
                     request,
-                    f"rule {self._name(found)} has it, and the policy says {self._name(wanted)}",
+                    f"rule {self._name(found)} applies, but the policy selects {self._name(wanted)}",
                 )
             if entry is None or rule is None or (key := (name, entry[0], entry[1], repeatable)) in self.good:
                 continue
@@ -150,9 +149,8 @@
                 action = usual if changed is None else actions[changed]
                 if action.verdict == STEER:
                     self._steered(name, state, action, request, wanted, entries)
-                elif (
-                    not state or changed is not None
-                ):  # Else the action is the one without a loss, checked already
+                elif not state or changed is not None:
+                    # In a loss state only changed actions are checked; the others are checked without a loss.
                     self._action(name, state, action, request, rule, ideal, repeatable)
             self.good.add(key)
 
@@ -183,7 +181,7 @@
             if action.verdict == REFUSE:
                 if state or COARSE in self.refused.get(name, ()):
                     continue
-                raise self._off(name, request, "turned away, and the report does not say so")
+                raise self._off(name, request, "the requests are refused, but the report does not say so")
             self._steered(name, state, action, request, wanted, entries)
 
     def _steered(
@@ -199,7 +197,7 @@
         other = self.tables.get(action.target)
         if other is None or action.target == name or action.target in self.lost.get(state, frozenset()):
             raise self._off(
-                name, request, f"steered to {action.target}, which is not there in state {state!r}"
+                name, request, f"steered to {action.target}, which is no valid target in state {state!r}"
             )
         entry = entries[action.target]
         if (None if entry is None else entry[0]) != wanted:
@@ -207,7 +205,7 @@
         if entry is not None:
             at = other.states.get(state, {}).get(entry[0], entry[1])
             if other.actions[at].verdict == STEER:
-                raise self._off(name, request, f"steered to {action.target}, which steers it on")
+                raise self._off(name, request, f"steered to {action.target}, which steers it a second time")
 
     def _action(
         self,
@@ -222,7 +220,7 @@
         rank = self.ranks[rule.name]
         if action.verdict == REFUSE:
             if not state and rank not in self.refused.get(name, ()):
-                raise self._off(name, request, f"{rule.name} is turned away, and the report does not say so")
+                raise self._off(name, request, f"{rule.name} is refused, but the report does not say so")
             return None
         assert action.verdict == RUN
         pools = self.names[name]
@@ -244,7 +242,7 @@
                     f"{rule.name}: {feature.value} is off by {error:.4g}, and {allowed:.4g} is allowed",
                 )
         if not repeatable and (action.retries or action.hedge_ms is not None or action.mirrors):
-            raise self._off(name, request, f"{rule.name} may run twice what must not")
+            raise self._off(name, request, f"{rule.name} may run a request twice that must not run twice")
         return None
 
 
@@ -265,7 +263,7 @@
     stated: Mapping[Feature, float],
 ) -> dict[Feature, float]:
     """Return the error of the action against the ideal, by feature, in the feature's unit."""
-    laid = [{pools[at]: n for at, n in tier} for tier in action.tiers]
+    laid = [{pools[at]: slots for at, slots in tier} for tier in action.tiers]
     found: dict[Feature, float] = {}
     merged = int(stated.get(Feature.HALLS, 0))
     cut = int(stated.get(Feature.FALL_BACKS, 0))
@@ -287,7 +285,7 @@
     else:
         differ = [(w, g) for w, g in zip(wanted, laid, strict=True) if w != g]
         if differ:
-            halls = ("", *sorted({policy.pools[n].hall for tier in (*wanted, *laid) for n in tier}))
+            halls = ("", *sorted({policy.pools[pool].hall for tier in (*wanted, *laid) for pool in tier}))
             found[Feature.POOLS] = max(_apart(policy, w, g, lost) for w, g in differ for lost in halls)
     found[Feature.AFFINITY] = max(0, ideal.affinity - action.affinity) + 9 * (
         action.affinity > ideal.affinity
@@ -305,16 +303,19 @@
         found[Feature.HEDGE] = wait if wait >= 0 else 1e9
     found[Feature.PRIORITY] = abs(ideal.priority - action.level) / 7
     if ideal.mirrors or action.mirrors:
-        wants_mirrors, has_mirrors = set(ideal.mirrors), {(pools[at], n) for at, n in action.mirrors}
+        wants_mirrors, has_mirrors = (
+            set(ideal.mirrors),
+            {(pools[at], percent) for at, percent in action.mirrors},
+        )
         found[Feature.MIRRORS] = len(wants_mirrors - has_mirrors) + 99 * len(has_mirrors - wants_mirrors)
     names = {name for tier in laid for name in tier}
     if rule.survive_per_s:
         capacity = min(
-            sum(policy.pools[n].rate_per_s for n in sorted(names) if policy.pools[n].hall != hall)
+            sum(policy.pools[pool].rate_per_s for pool in sorted(names) if policy.pools[pool].hall != hall)
             for hall in policy.halls()
         )
         found[Feature.SURVIVE] = max(0.0, rule.survive_per_s - capacity)
-    if any(policy.pools[n].team not in (None, rule.match.team) for n in names):
+    if any(policy.pools[pool].team not in (None, rule.match.team) for pool in names):
         found[Feature.ISOLATION] = 1.0
     return found
 
@@ -327,10 +328,12 @@
     """
     want, have = wanted, given
     if lost:
-        want = {n: w for n, w in wanted.items() if policy.pools[n].hall != lost}
-        have = {n: w for n, w in given.items() if policy.pools[n].hall != lost}
+        want = {pool: w for pool, w in wanted.items() if policy.pools[pool].hall != lost}
+        have = {pool: w for pool, w in given.items() if policy.pools[pool].hall != lost}
     all_want, all_have = sum(want.values()), sum(have.values())
     if not all_want or not all_have:
         return float(bool(all_want) != bool(all_have))
-    off = sum(abs(want.get(n, 0) * all_have - have.get(n, 0) * all_want) for n in want.keys() | have.keys())
+    off = sum(
+        abs(want.get(pool, 0) * all_have - have.get(pool, 0) * all_want) for pool in want.keys() | have.keys()
+    )
     return off / (2 * all_want * all_have)
--- a/tests/lowering/test_route.py
+++ b/tests/lowering/test_route.py
@@ -52,8 +52,8 @@
     router.read()
     router.put_in_force(7, Held(table(Action(RUN, (((0, 1),),)))))
     router.read()
-    way = router.way(asked(), True)
-    assert router.generation == 7 and way is not None and way.generation == 7
+    begun_here = router.way(asked(), True)
+    assert router.generation == 7 and begun_here is not None and begun_here.generation == 7
 
 
 def test_a_steered_request_is_not_steered_again_and_a_node_without_a_plan_steers_it_once() -> None:
