--- a/beechrock/lowering/acts.py
+++ b/beechrock/lowering/acts.py
@@ -50,7 +50,7 @@
     copied: int = 0  # Number of requests considered for mirroring
     rate_per_s: float | None = None
 
-    def grow(self, now: float, limits: "Limits") -> None:
+    def refill(self, now: float, limits: "Limits") -> None:
         self.rate_per_s = limits.rate_per_s
         if limits.rate_per_s is not None:
             earned = max(0.0, now - self.at) * limits.rate_per_s
@@ -99,7 +99,7 @@
         count = self.count(now, key)
         if count is None or (limits.at_once is not None and count.open >= limits.at_once):
             return OPEN_S
-        count.grow(now, limits)
+        count.refill(now, limits)
         if limits.rate_per_s is not None:
             if limits.rate_per_s <= 0:
                 return OPEN_S  # A configured rate of 0 admits no send
@@ -219,7 +219,7 @@
         self.acts, self.asked = acts, asked
         self.limits = Limits(asked.action.rate_per_s, asked.action.at_once)
         self.state = State.NEW
-        self.left = self._in(asked.addresses)
+        self.left = self._not_excluded(asked.addresses)
         self.open: dict[int, bool] = {}  # By number of an open send: whether it counts against the limits
         self.sent = self.ran = self.retried = 0  # ``ran``: number of sends that may have run
         self.last = 0  # Number of the send that ended last; 0 if none has
@@ -231,7 +231,7 @@
         after_s = self.acts.admit(now, asked.key, self.limits)
         if after_s:
             # Over the rule's limits the request goes to the fall-backs, to which the limits do not apply.
-            self.left = self._in(asked.addresses[asked.own :])
+            self.left = self._not_excluded(asked.addresses[asked.own :])
             if not self.left:
                 self.state = State.OVER
                 return [TurnAway(after_s, "its rule's limit is reached")]
@@ -260,7 +260,7 @@
             return []
         counted = self.open.pop(number)
         self.ran -= 1
-        self.left = self._in(self.left)
+        self.left = self._not_excluded(self.left)
         if self.left:
             found: list[Act] = [self._send(counted)]
         else:
@@ -286,7 +286,7 @@
 
     def timer(self, now: float) -> list[Act]:
         """Send the hedge, at most once, if exactly one send is open and limits and budget allow it."""
-        self.left = self._in(self.left)
+        self.left = self._not_excluded(self.left)
         if self.state is not State.OUT or self.hedged or not self.left:
             return []
         self.hedged = True
@@ -305,7 +305,9 @@
         """Send a retry or hedge if the request may run twice and the rule's limits and budget allow it."""
         if not (wanted and self.asked.repeatable):
             return []
-        self.left = self._in(self.left) or self._in(self.asked.addresses[: self.asked.own])
+        self.left = self._not_excluded(self.left) or self._not_excluded(
+            self.asked.addresses[: self.asked.own]
+        )
         if not self.left or not self.acts.spend(self.asked.key):
             return []
         if self.acts.admit(now, self.asked.key, self.limits):
@@ -325,7 +327,7 @@
             )
         return Send(self.sent, address)
 
-    def _in(self, addresses: Sequence[Address]) -> list[Address]:
+    def _not_excluded(self, addresses: Sequence[Address]) -> list[Address]:
         """Return the addresses not excluded now; the exclusions may have changed since the request began."""
         out = self.acts.out
         return [address for address in addresses if address not in out]
--- a/beechrock/lowering/apart.py
+++ b/beechrock/lowering/apart.py
@@ -9,7 +9,7 @@
 MAX_MESSAGE = 1000  # Maximum number of characters kept from the end of the error output
 
 
-async def compiled(inventory: Path, target: Path) -> tuple[bytes | None, str]:
+async def compile_in_process(inventory: Path, target: Path) -> tuple[bytes | None, str]:
     """Return the plan's bytes and the digest of its inventory, or None and the error output.
 
     The inventory files may be newer than the inventory in force at this node. Raises OSError if the process
--- a/beechrock/lowering/assemble.py
+++ b/beechrock/lowering/assemble.py
@@ -105,7 +105,7 @@
     def _coarsen(self, each: Class) -> None:
         scopes: dict[Scope, None] = {}
         for draft in each.drafts:
-            if not draft.told_apart:
+            if not draft.can_match:
                 scopes[draft.rule.match.team, draft.rule.match.service] = None
         steers = [self._steer(draft) for draft in each.drafts]
         memory, count = sum(s.memory for s in steers), sum(s.entries for s in steers)
@@ -395,4 +395,4 @@
 
 
 def _stuck(draft: Draft, finding: Finding) -> Draft:
-    return draft.but(stuck=(*draft.stuck, finding))
+    return draft.with_changes(stuck=(*draft.stuck, finding))
--- a/beechrock/lowering/compile.py
+++ b/beechrock/lowering/compile.py
@@ -13,7 +13,7 @@
 from beechrock.lowering.assemble import Assembly
 from beechrock.lowering.coarse import Class
 from beechrock.lowering.errors import NowhereError, PlanError, PolicyError
-from beechrock.lowering.passes.draft import Draft, around
+from beechrock.lowering.passes.draft import Draft, pass_context
 from beechrock.lowering.place import TIME_S, place
 from beechrock.lowering.policy import MAX_CHAIN, NOWHERE, Kind, Policy
 from beechrock.lowering.profile import Fleet, Profile, as_row
@@ -124,7 +124,7 @@
 
     Classes share a draft if no pass lowers the rule differently for them.
     """
-    beside = around(policy)
+    policy_context = pass_context(policy)
     found: list[list[Draft]] = [[] for _ in profiles]
     steps: list[tuple[passes.Pass, dict[Places, Parts]]] = []
     every: Places = tuple(range(len(profiles)))
@@ -145,12 +145,12 @@
                 if parts is None:
                     parts = known[places] = _parts(places, alike[at], profiles)
                 if len(parts) == 1:
-                    after.append((step(draft, parts[0][0], beside), places))
+                    after.append((step(draft, parts[0][0], policy_context), places))
                     continue
                 # By id of the new draft, as a step may return its input unchanged for several classes.
                 changed: dict[int, tuple[Draft, Places]] = {}
                 for profile, part in parts:
-                    new = step(draft, profile, beside)
+                    new = step(draft, profile, policy_context)
                     same = changed.get(id(new))
                     changed[id(new)] = (new, part) if same is None else (new, (*same[1], *part))
                 after += changed.values()
@@ -173,7 +173,7 @@
     return [(profiles[part[0]], tuple(part)) for part in parts.values()]
 
 
-def _chains(policy: Policy) -> None:
+def _check_chains(policy: Policy) -> None:
     """Raise PolicyError if over MAX_CHAIN rules match the same subject, as lookups would be slow."""
     count: dict[tuple[str | None, str | None, str], int] = {}
     for rule in policy.rules:
@@ -193,7 +193,7 @@
 
 
 @contextmanager
-def _uncollected() -> Iterator[None]:
+def _gc_paused() -> Iterator[None]:
     """Pause the cyclic garbage collector during a compile.
 
     A compile creates some hundred thousand objects and drops few, and the collector took a fifth of its time.
@@ -208,7 +208,7 @@
             gc.enable()
 
 
-@_uncollected()
+@_gc_paused()
 def compile_policy(
     policy: Policy,
     profiles: Mapping[str, Profile],
@@ -237,7 +237,7 @@
         raise PolicyError(
             "no machine has a hardware class", where="machines", do="set hardware for the machines"
         )
-    _chains(policy)
+    _check_chains(policy)
     drafts = drafts_of(policy, [profiles[name] for name in names])
     classes = [Class(name, profiles[name], drafts[at], at) for at, name in enumerate(names)]
     assembly = Assembly(policy, classes, fleet)
--- a/beechrock/lowering/draw.py
+++ b/beechrock/lowering/draw.py
@@ -13,7 +13,7 @@
     Policy,
     Pool,
     Rule,
-    made,
+    build_policy,
 )
 from beechrock.lowering.profile import KINDS, Fleet, Profile
 
@@ -43,7 +43,7 @@
             )
         )
     count = draw.randint(1, 12) if rules is None else rules
-    return made(
+    return build_policy(
         (_rule(draw, f"r{at}", at, team_names, service_names, pools, effect, rules) for at in range(count)),
         pools,
         effects,
--- a/beechrock/lowering/interpret.py
+++ b/beechrock/lowering/interpret.py
@@ -35,20 +35,24 @@
 
     def __init__(self, policy: Policy) -> None:
         self.policy = policy
-        self._of: dict[str, list[Rule]] = {}
-        self._about: dict[tuple[str, str], list[Rule]] = {}
+        self._team_rules: dict[str, list[Rule]] = {}
+        self._contract_rules: dict[tuple[str, str], list[Rule]] = {}
 
-    def rules_about(self, team: str, service: str) -> list[Rule]:
-        found = self._about.get((team, service))
+    def rules_for(self, team: str, service: str) -> list[Rule]:
+        found = self._contract_rules.get((team, service))
         if found is None:
-            of_team = self._of.get(team)
+            of_team = self._team_rules.get(team)
             if of_team is None:
-                of_team = self._of[team] = [r for r in self.policy.rules if r.match.team in (None, team)]
-            found = self._about[team, service] = [r for r in of_team if r.match.service in (None, service)]
+                of_team = self._team_rules[team] = [
+                    r for r in self.policy.rules if r.match.team in (None, team)
+                ]
+            found = self._contract_rules[team, service] = [
+                r for r in of_team if r.match.service in (None, service)
+            ]
         return found
 
     def rule(self, request: Request) -> Rule | None:
-        for rule in self.rules_about(request.team, request.service):
+        for rule in self.rules_for(request.team, request.service):
             if rule.match.takes(request):
                 return rule
         return None
--- a/beechrock/lowering/part.py
+++ b/beechrock/lowering/part.py
@@ -9,7 +9,7 @@
 from beechrock import clocks, logs
 from beechrock.errors import OperatorError
 from beechrock.lowering.abilities import LACKS
-from beechrock.lowering.apart import compiled
+from beechrock.lowering.apart import compile_in_process
 from beechrock.lowering.compile import lacking
 from beechrock.lowering.duty import DUTY, Publishing
 from beechrock.lowering.errors import RolloutError
@@ -48,7 +48,7 @@
         self.wake = asyncio.Event()
         self.measures = Measures(0.0, 0.0)
         self.compiling: asyncio.Task[None] | None = None
-        self.made = Compiling("")
+        self.running_compile = Compiling("")
         self.refused = ""  # Error text of the last failed compile or proposal
         self.steps, self.waits = 0, False
         self.active = (0, "", False)
@@ -243,14 +243,14 @@
                     reason = str(error)
         table = self.tables.get(rollout.digest)
         if table is not None:
-            reason = self._too_much(table)
+            reason = self._memory_shortage(table)
         if not reason:
             logs.event("lowering.prepared", node=self.name, number=rollout.number, digest=rollout.digest)
             await self._propose("prepared", rollout.number, self.name, self.life, rollout.digest)
         elif rollout.cannot.get(self.name) != reason[:200]:
             await self._cannot(rollout, reason)
 
-    def _too_much(self, table: Table) -> str:
+    def _memory_shortage(self, table: Table) -> str:
         self.measures = Measures(self._memory_kb(self.measures.memory_kb), self.measures.match_us)
         kb = held_bytes(table) / 1024
         return (
@@ -262,7 +262,7 @@
     async def _recheck_memory(self, rollout: Rollout) -> None:
         """Give up a prepared plan whose memory others now use; being steered around beats running out."""
         table = self.tables[rollout.digest]
-        reason = self._too_much(table) if table is not None else ""
+        reason = self._memory_shortage(table) if table is not None else ""
         if reason:
             await self._cannot(rollout, reason)
             del self.tables[rollout.digest]
@@ -296,7 +296,7 @@
 
     async def _publish(self) -> None:
         fence = self._fence()
-        self.made.saw(self._wanted())
+        self.running_compile.add_inventory(self._wanted())
         if fence is None or self.compiling is not None:
             self.waits = False
             return
@@ -309,7 +309,7 @@
         self.waits = step is not None
         match step:
             case Compile():
-                self.made = Compiling(self._wanted())
+                self.running_compile = Compiling(self._wanted())
                 self.compiling = self.counters.spawn(self._compile(), "lowering.compile")
             case Activate(number, bypassed):
                 await self._propose("activate", fence, number, list(bypassed))
@@ -329,17 +329,21 @@
         wanted, path = self._wanted(), self.context.program.configuration.scgi.path
         target = self.talk.settings.state / "lowering" / "compiled"
         try:
-            data, output = await compiled(path, target)
+            data, output = await compile_in_process(path, target)
             if data is None:
                 self.refused = output
                 logs.event("lowering.refused", "warning", node=self.name, policy=wanted, why=output)
                 return
             end = clocks.mono() + TAKE_S
-            while output not in self.made.seen and clocks.mono() < end:
+            while output not in self.running_compile.seen and clocks.mono() < end:
                 await asyncio.sleep(TICK_S)
             digest = self.plans.keep(data, self._digests())
             fence = self._fence()  # Checked again after each wait, as the duty may be lost meanwhile
-            if not digest or fence is None or not self.made.takes(output, self._wanted(), self.machine):
+            if (
+                not digest
+                or fence is None
+                or not self.running_compile.takes(output, self._wanted(), self.machine)
+            ):
                 return
             plan = self.plans.held[digest]
             lost = {state: list(names) for state, names in plan.lost.items()}
--- a/beechrock/lowering/passes/again.py
+++ b/beechrock/lowering/passes/again.py
@@ -3,19 +3,19 @@
 ``tables.Action.once`` removes them for requests that must not run twice.
 """
 
-from beechrock.lowering.passes.draft import Around, Draft, Outcome, noted
+from beechrock.lowering.passes.draft import Draft, Outcome, PassContext, with_finding
 from beechrock.lowering.policy import Feature
 from beechrock.lowering.profile import Profile
 
 
-def retries(draft: Draft, profile: Profile, _: Around) -> Draft:
+def retries(draft: Draft, profile: Profile, _: PassContext) -> Draft:
     if not draft.retries:
         return draft
     lost = max(0, draft.retries - profile.retries)
     if not lost:
-        return noted(draft, Feature.RETRIES, Outcome.EXACT)
-    return noted(
-        draft.but(retries=profile.retries),
+        return with_finding(draft, Feature.RETRIES, Outcome.EXACT)
+    return with_finding(
+        draft.with_changes(retries=profile.retries),
         Feature.RETRIES,
         Outcome.APPROXIMATED if profile.retries else Outcome.DROPPED,
         lost,
@@ -24,13 +24,13 @@
     )
 
 
-def hedges(draft: Draft, profile: Profile, _: Around) -> Draft:
+def hedges(draft: Draft, profile: Profile, _: PassContext) -> Draft:
     """Round a hedge's delay up to the timer resolution; an earlier hedge would exceed the policy."""
     if draft.hedge_ms is None:
         return draft
     if profile.timers < 1:
-        return noted(
-            draft.but(hedge_ms=None),
+        return with_finding(
+            draft.with_changes(hedge_ms=None),
             Feature.HEDGE,
             Outcome.DROPPED,
             draft.hedge_ms,
@@ -40,9 +40,9 @@
     step = max(1, profile.timer_ms)
     wait = -(-draft.hedge_ms // step) * step
     if wait == draft.hedge_ms:
-        return noted(draft, Feature.HEDGE, Outcome.EXACT)
-    return noted(
-        draft.but(hedge_ms=wait),
+        return with_finding(draft, Feature.HEDGE, Outcome.EXACT)
+    return with_finding(
+        draft.with_changes(hedge_ms=wait),
         Feature.HEDGE,
         Outcome.APPROXIMATED,
         wait - draft.hedge_ms,
@@ -51,13 +51,13 @@
     )
 
 
-def mirrors(draft: Draft, profile: Profile, _: Around) -> Draft:
+def mirrors(draft: Draft, profile: Profile, _: PassContext) -> Draft:
     if not draft.mirrors:
         return draft
     if profile.mirrors:
-        return noted(draft, Feature.MIRRORS, Outcome.EXACT)
-    return noted(
-        draft.but(mirrors=()),
+        return with_finding(draft, Feature.MIRRORS, Outcome.EXACT)
+    return with_finding(
+        draft.with_changes(mirrors=()),
         Feature.MIRRORS,
         Outcome.DROPPED,
         len(draft.mirrors),
--- a/beechrock/lowering/passes/draft.py
+++ b/beechrock/lowering/passes/draft.py
@@ -62,7 +62,7 @@
     stuck: tuple[Finding, ...] = ()
     own: int = 0  # Number of leading tiers of the rule's own pools; later ones are fall-backs. 0: all tiers
 
-    def but(self, **changes: Any) -> "Draft":
+    def with_changes(self, **changes: Any) -> "Draft":
         """Return a copy with these fields changed.
 
         A compile makes hundreds of thousands of copies, and ``dataclasses.replace`` takes six times as long.
@@ -92,7 +92,7 @@
         return new
 
     @property
-    def told_apart(self) -> bool:
+    def can_match(self) -> bool:
         return all(finding.feature is not Feature.MATCH for finding in self.stuck)
 
     def counters(self, teams: int) -> int:
@@ -105,7 +105,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Around:
+class PassContext:
     """Facts of the policy that passes may read besides the draft."""
 
     pools: Mapping[str, Pool]
@@ -113,11 +113,11 @@
     halls: tuple[str, ...]
 
 
-Pass = Callable[[Draft, Profile, Around], Draft]
+Pass = Callable[[Draft, Profile, PassContext], Draft]
 
 
-def around(policy: Policy) -> Around:
-    return Around(policy.pools, len(policy.teams()), policy.halls())
+def pass_context(policy: Policy) -> PassContext:
+    return PassContext(policy.pools, len(policy.teams()), policy.halls())
 
 
 def first(rule: Rule, rank: int) -> Draft:
@@ -142,7 +142,7 @@
     )
 
 
-def noted(
+def with_finding(
     draft: Draft,
     feature: Feature,
     outcome: Outcome,
@@ -158,9 +158,9 @@
     without the feature, and only the report showed it.
     """
     if outcome is Outcome.EXACT:
-        return draft.but(**changes) if changes else draft
+        return draft.with_changes(**changes) if changes else draft
     finding = Finding(feature, outcome, error, reason, need)
     lost = outcome is Outcome.DROPPED or (outcome is Outcome.APPROXIMATED and error > tolerance + 1e-12)
     if lost and draft.rule.mark(feature) is Mark.MUST:
-        return draft.but(stuck=(*draft.stuck, finding), **changes)
-    return draft.but(findings=(*draft.findings, finding), **changes)
+        return draft.with_changes(stuck=(*draft.stuck, finding), **changes)
+    return draft.with_changes(findings=(*draft.findings, finding), **changes)
--- a/beechrock/lowering/passes/lean.py
+++ b/beechrock/lowering/passes/lean.py
@@ -42,7 +42,7 @@
         Finding(feature, Outcome.DROPPED, _full_error(draft, feature), reason, ("memory_kb", "more"))
         for feature in dropped
     ]
-    return draft.but(findings=tuple(findings), **changes)
+    return draft.with_changes(findings=tuple(findings), **changes)
 
 
 def _full_error(draft: Draft, feature: Feature) -> float:
--- a/beechrock/lowering/passes/spread.py
+++ b/beechrock/lowering/passes/spread.py
@@ -3,12 +3,12 @@
 import math
 from functools import lru_cache
 
-from beechrock.lowering.passes.draft import Around, Draft, Outcome, Tier, noted
+from beechrock.lowering.passes.draft import Draft, Outcome, PassContext, Tier, with_finding
 from beechrock.lowering.policy import Feature
 from beechrock.lowering.profile import Profile
 
 
-def halls(draft: Draft, profile: Profile, around: Around) -> Draft:
+def halls(draft: Draft, profile: Profile, pass_context: PassContext) -> Draft:
     """Make a tier of each hall in the rule's order; pools in other halls form the last tier."""
     rule = draft.rule
     if not rule.halls:
@@ -16,20 +16,20 @@
     place = {hall: at for at, hall in enumerate(rule.halls)}
     found: dict[int, list[tuple[str, int]]] = {}
     for name, weight in rule.pools:
-        found.setdefault(place.get(around.pools[name].hall, len(place)), []).append((name, weight))
+        found.setdefault(place.get(pass_context.pools[name].hall, len(place)), []).append((name, weight))
     tiers = tuple(tuple(found[at]) for at in sorted(found))
     lost = max(0, len(tiers) - profile.tiers)
     if not lost:
-        return noted(
-            draft.but(tiers=tiers),
+        return with_finding(
+            draft.with_changes(tiers=tiers),
             Feature.HALLS,
             Outcome.REWRITTEN if len(tiers) > 1 else Outcome.EXACT,
             reason="a tier for each hall",
         )
     # The last halls share one tier; without them the rule would have fewer servers than it names.
     last: Tier = tuple(part for tier in tiers[profile.tiers - 1 :] for part in tier)
-    return noted(
-        draft.but(tiers=(*tiers[: profile.tiers - 1], last)),
+    return with_finding(
+        draft.with_changes(tiers=(*tiers[: profile.tiers - 1], last)),
         Feature.HALLS,
         Outcome.APPROXIMATED,
         lost,
@@ -38,7 +38,7 @@
     )
 
 
-def fall_backs(draft: Draft, profile: Profile, around: Around) -> Draft:
+def fall_backs(draft: Draft, profile: Profile, pass_context: PassContext) -> Draft:
     """Append the fall-backs and their own fall-backs as single-pool tiers, each pool once."""
     if not draft.rule.fall_backs:
         return draft
@@ -48,20 +48,20 @@
         at: str | None = name
         while at is not None and at not in own_pools and at not in row:
             row[at] = None
-            at = around.pools[at].fall_back
+            at = pass_context.pools[at].fall_back
     room = max(0, profile.tiers - len(draft.tiers))
     kept, lost = list(row)[:room], max(0, len(row) - room)
-    draft = draft.but(tiers=(*draft.tiers, *(((name, 1),) for name in kept)), own=len(draft.tiers))
+    draft = draft.with_changes(tiers=(*draft.tiers, *(((name, 1),) for name in kept)), own=len(draft.tiers))
     if not lost:
         flat = list(row) != list(draft.rule.fall_backs)
-        return noted(
+        return with_finding(
             draft,
             Feature.FALL_BACKS,
             Outcome.REWRITTEN if flat else Outcome.EXACT,
             reason="flattened" if flat else "",
         )
     if not kept:
-        return noted(
+        return with_finding(
             draft,
             Feature.FALL_BACKS,
             Outcome.DROPPED,
@@ -69,7 +69,7 @@
             "no tier left",
             ("tiers", len(draft.tiers) + len(row)),
         )
-    return noted(
+    return with_finding(
         draft,
         Feature.FALL_BACKS,
         Outcome.APPROXIMATED,
@@ -99,7 +99,7 @@
     return tuple(sorted(given.items()))
 
 
-def apart(tier: Tier, laid: Tier, without: frozenset[str] = frozenset()) -> float:
+def share_error(tier: Tier, laid: Tier, without: frozenset[str] = frozenset()) -> float:
     """Return half the sum of the deviations of the pools' shares, rounded up.
 
     The result is 1 if only one of the two tiers has pools left.
@@ -117,14 +117,14 @@
 def _laid(tier: Tier, halls: tuple[str, ...], slots: int) -> tuple[Tier, float]:
     """Return the tier in slots and its largest error; ``halls`` are those of its pools, in their order."""
     laid = shares(tier, slots)
-    worst = apart(tier, laid)
+    worst = share_error(tier, laid)
     for hall in sorted(set(halls)) if worst else ():
         lost = frozenset(name for (name, _), at in zip(tier, halls, strict=True) if at == hall)
-        worst = max(worst, apart(tier, laid, lost))
+        worst = max(worst, share_error(tier, laid, lost))
     return laid, worst
 
 
-def slots(draft: Draft, profile: Profile, around: Around) -> Draft:
+def slots(draft: Draft, profile: Profile, pass_context: PassContext) -> Draft:
     """Convert weights to whole slots and record the largest error, also for the loss of any one hall.
 
     In random policies an error of 0.02 with all halls became 0.11 after the loss of one.
@@ -134,13 +134,15 @@
         if len(tier) == 1:
             found.append(((tier[0][0], 1),))
             continue
-        laid, off = _laid(tier, tuple([around.pools[name].hall for name, _ in tier]), max(1, profile.slots))
+        laid, off = _laid(
+            tier, tuple([pass_context.pools[name].hall for name, _ in tier]), max(1, profile.slots)
+        )
         found.append(laid)
         worst = max(worst, off)
     if not worst:
-        return noted(draft, Feature.POOLS, Outcome.EXACT, tiers=tuple(found))
+        return with_finding(draft, Feature.POOLS, Outcome.EXACT, tiers=tuple(found))
     need = sum(weight for _, weight in draft.rule.pools)
-    return noted(
+    return with_finding(
         draft,
         Feature.POOLS,
         Outcome.APPROXIMATED,
--- a/beechrock/lowering/place.py
+++ b/beechrock/lowering/place.py
@@ -159,7 +159,7 @@
     return sorted(found.values(), key=lambda p: (p.penalty, p.way))
 
 
-def spare(wants: Sequence[Want], rooms: Sequence[Room]) -> list[float]:
+def free_rates(wants: Sequence[Want], rooms: Sequence[Room]) -> list[float]:
     """Return by state and class the request rate left after the requests that reach each class directly."""
     total = sum(want.rate_per_s for want in wants)
     found = []
@@ -177,7 +177,7 @@
     patterns: list[Pattern]
 
 
-def _alike(want: Want, coarse: int) -> tuple[object, ...]:
+def _group_key(want: Want, coarse: int) -> tuple[object, ...]:
     """Return a rule's grouping key: its costs, rounded; a higher ``coarse`` rounds more."""
     rate = math.floor(math.log2(max(want.rate_per_s, 1e-3))) >> coarse
     key: list[object] = [rate, want.forced, want.survives]
@@ -221,7 +221,7 @@
     for coarse in range(0 if len(wants) < 1000 else 1, 4):
         found: dict[tuple[object, ...], list[int]] = {}
         for alike in member_lists:  # Rules with the same key keep a common key at every coarser level
-            found.setdefault(_alike(wants[alike[0]], coarse), []).extend(alike)
+            found.setdefault(_group_key(wants[alike[0]], coarse), []).extend(alike)
         member_lists = list(found.values())
         if len(member_lists) <= MAX_GROUPS:
             break
@@ -235,7 +235,7 @@
 def greedy(wants: Sequence[Want], rooms: Sequence[Room], groups: Sequence[_Group]) -> Placement:
     """Give each rule in turn the cheapest pattern that still has room; refuse it if none has."""
     left = [list(room.held()) for room in rooms]
-    free = spare(wants, rooms)
+    free = free_rates(wants, rooms)
     offered = {member: group.patterns for group in groups for member in group.members}
     # Space for steering is reserved for all rules, so that early rules can't take the entries of later ones.
     for want in wants:
@@ -280,14 +280,14 @@
     )
 
 
-def solved(
+def solve(
     wants: Sequence[Want], rooms: Sequence[Room], groups: Sequence[_Group], time_s: float = TIME_S
 ) -> Placement | None:
     """Return the solver's placement; None if it finds none within its bounds."""
     import highspy
     import numpy as np
 
-    free = spare(wants, rooms)
+    free = free_rates(wants, rooms)
     columns = [(g, pattern) for g, group in enumerate(groups) for pattern in group.patterns]
     rows = len(groups) + 4 * len(rooms) + len(free)
     starts, index, value, costs = [0], list[int](), list[float](), list[float]()
@@ -371,7 +371,7 @@
     return all(u <= room.held()[k] for room, use in zip(rooms, used, strict=True) for k, u in enumerate(use))
 
 
-def price(wants: Sequence[Want], ways: Sequence[Sequence[int]]) -> int:
+def total_penalty(wants: Sequence[Want], ways: Sequence[Sequence[int]]) -> int:
     """Return the total penalty of a placement, by each rule's own costs."""
     lost = 0
     for want, way in zip(wants, ways, strict=True):
@@ -390,9 +390,9 @@
     # With 10,000 rules in 1,394 groups the solver spent 12 s in presolve, past its own time limit, without
     # examining one node. For such a large model the solver is skipped and the greedy placement is used.
     asked = time_s > 0 and len(groups) <= MAX_GROUPS
-    found = solved(wants, rooms, groups, time_s) if asked else None
+    found = solve(wants, rooms, groups, time_s) if asked else None
     plain = greedy(wants, rooms, groups)
     if found is None or not fits(wants, rooms, found.ways):
         return plain
     # The solver works with means and a margin, so the two placements are compared by each rule's own costs.
-    return min((found, plain), key=lambda way: price(wants, way.ways))
+    return min((found, plain), key=lambda way: total_penalty(wants, way.ways))
--- a/beechrock/lowering/policy.py
+++ b/beechrock/lowering/policy.py
@@ -210,7 +210,9 @@
     text: str
 
 
-def made(rules: Iterable[Rule], pools: Iterable[Pool], effects: Mapping[tuple[str, str], str]) -> Policy:
+def build_policy(
+    rules: Iterable[Rule], pools: Iterable[Pool], effects: Mapping[tuple[str, str], str]
+) -> Policy:
     """Return a consistent policy. Raises PolicyError with the first fault."""
     policy = Policy(
         tuple(sorted(rules, key=Rule.sorts)),
--- a/beechrock/lowering/publish.py
+++ b/beechrock/lowering/publish.py
@@ -43,7 +43,7 @@
     def __init__(self, wanted: str) -> None:
         self.seen = {wanted: None}
 
-    def saw(self, wanted: str) -> None:
+    def add_inventory(self, wanted: str) -> None:
         self.seen[wanted] = None
         while len(self.seen) > MAX_SEEN:
             del self.seen[next(iter(self.seen))]
--- a/beechrock/lowering/rollout.py
+++ b/beechrock/lowering/rollout.py
@@ -117,7 +117,7 @@
             msgpack.UnpackException,
         ) as error:
             return False, f"an invalid command: {type(error).__name__}"
-        self._restate()
+        self._update_state()
         try:
             self.check()
         except BrokenInvariantError as error:
@@ -163,7 +163,7 @@
             if rollout is not None and rollout.prepared.get(name, life) != life:
                 del rollout.prepared[name]
                 self._bypass(rollout, name)
-        self._stage()
+        self._update_stage()
         return True, index
 
     def _fenced(self, fence: int) -> str:
@@ -219,7 +219,7 @@
         rollout.cannot.pop(name, None)
         if name in rollout.round:
             rollout.round.remove(name)
-        self._stage()
+        self._update_stage()
         return True, index
 
     def _cannot(self, index: int, number: int, name: str, life: int, reason: str) -> tuple[bool, Any]:
@@ -230,14 +230,14 @@
         rollout.prepared.pop(name, None)
         rollout.cannot[name] = reason[:MAX_TEXT]
         self._bypass(rollout, name)
-        self._stage()
+        self._update_stage()
         return True, index
 
     def _bypass(self, rollout: Rollout, name: str) -> None:
         if rollout.generation and name not in rollout.round:
             rollout.round = sorted([*rollout.round, name])
 
-    def _restate(self) -> None:
+    def _update_state(self) -> None:
         """Switch to the loss state that fits if the present one does not cover all missing classes.
 
         This also has to run when a node comes back: in a random history both classes were lost, one of them
@@ -251,7 +251,7 @@
             state = self.state_for(rollout, missing)
             rollout.state = rollout.state if state is None else state
 
-    def _stage(self) -> None:
+    def _update_stage(self) -> None:
         rollout = self.open
         if rollout is not None:
             done = set(rollout.prepared) | set(rollout.cannot)
@@ -354,25 +354,25 @@
         """Check the invariants, after every command. Raises BrokenInvariantError."""
         active = self.active
         if active is not None:
-            self._holds(
+            self._require(
                 active.generation == self.generation,
                 "the generation of the rollout in force is not the last one",
             )
-            self._holds(
+            self._require(
                 all(name in active.prepared or name in active.round for name in active.nodes),
                 "a node of the rollout in force is neither prepared nor steered around",
             )
-            self._holds(
+            self._require(
                 all(self.nodes[name].life == life for name, life in active.prepared.items()),
                 "a plan counts as prepared by an earlier life of a node",
             )
         if self.open is not None:
-            self._holds(self.open.generation == 0, "the open rollout already has a generation")
-            self._holds(
+            self._require(self.open.generation == 0, "the open rollout already has a generation")
+            self._require(
                 self.open.policy not in self.refused, "a policy that was halted or taken back is open again"
             )
 
-    def _holds(self, good: bool, what: str) -> None:
+    def _require(self, good: bool, what: str) -> None:
         if not good:
             raise BrokenInvariantError(
                 what, where="lowering", do="send the log; this node has left the rollout"
--- a/beechrock/lowering/route.py
+++ b/beechrock/lowering/route.py
@@ -36,25 +36,25 @@
     asked: Asked | None = None  # Input of ``acts.Tries``; set only if this node runs the rule
 
 
-def drawn(subject: str, salt: str) -> float:
+def hash_fraction(subject: str, salt: str) -> float:
     """Return a hash of the subject between 0 and 1 (both exclusive), the same at every node."""
     number = int.from_bytes(blake3.blake3(f"{salt}\0{subject}".encode()).digest()[:7])
     return (number + 0.5) / (1 << 56)
 
 
-def nearest(subject: str, names: Sequence[tuple[str, int]]) -> list[int]:
+def rendezvous_order(subject: str, names: Sequence[tuple[str, int]]) -> list[int]:
     """Return the indices of ``names`` by weighted rendezvous hashing.
 
     If a name is removed, only the subjects that were assigned to it move.
     """
     return sorted(
         range(len(names)),
-        key=lambda at: (-names[at][1] / math.log(drawn(subject, names[at][0])), at),
+        key=lambda at: (-names[at][1] / math.log(hash_fraction(subject, names[at][0])), at),
         reverse=True,
     )
 
 
-def spread(
+def pool_order(
     table: Table,
     action: Action,
     subject: str,
@@ -79,11 +79,16 @@
             continue
         if action.affinity == Affinity.RENDEZVOUS:
             order += [
-                left[at][0] for at in nearest(subject, [(table.pools[p][0], slots) for p, slots in left])
+                left[at][0]
+                for at in rendezvous_order(subject, [(table.pools[p][0], slots) for p, slots in left])
             ]
             continue
         total = sum(slots for _, slots in left)
-        slot = int(drawn(subject, "slot") * total) if action.affinity == Affinity.MODULO else turn % total
+        slot = (
+            int(hash_fraction(subject, "slot") * total)
+            if action.affinity == Affinity.MODULO
+            else turn % total
+        )
         first = 0
         while slot >= left[first][1]:
             slot -= left[first][1]
@@ -182,10 +187,10 @@
         own = {pool for tier in action.tiers[: action.own or None] for pool, _ in tier}
         # Servers of the rule's own pools, and servers of its fall-backs; the keys keep their order.
         found: tuple[dict[Address, None], dict[Address, None]] = {}, {}
-        for pool in spread(table, action, request.subject, turn, lost, self.acts.out):
-            servers, part = self._in(table.servers[pool]), found[pool not in own]
+        for pool in pool_order(table, action, request.subject, turn, lost, self.acts.out):
+            servers, part = self._not_excluded(table.servers[pool]), found[pool not in own]
             if action.affinity != Affinity.NONE:
-                order = nearest(request.subject, [(f"{h}:{p}", 1) for h, p in servers])
+                order = rendezvous_order(request.subject, [(f"{h}:{p}", 1) for h, p in servers])
                 part.update(dict.fromkeys(servers[at] for at in order))
             else:
                 part.update(dict.fromkeys(sorted(servers, key=self.load)))
@@ -193,13 +198,13 @@
         if not addresses:
             # Also if all servers are excluded by permit: they get no new request, and the caller may retry.
             return Way(generation, refused="no server of its rule's pools is left", rule=entry[0])
-        copied = (self._in(table.servers[pool]) for pool, _ in action.mirrors)
+        copied = (self._not_excluded(table.servers[pool]) for pool, _ in action.mirrors)
         mirrors = tuple(min(servers, key=self.load, default=None) for servers in copied)
         key = table.same.get(entry[0], entry[0]), request.team
         asked = Asked(key, action, addresses, len(found[0]), repeatable, mirrors)
         return Way(generation, addresses, rule=entry[0], asked=asked)
 
-    def _in(self, servers: tuple[Address, ...]) -> tuple[Address, ...]:
+    def _not_excluded(self, servers: tuple[Address, ...]) -> tuple[Address, ...]:
         """Return the servers that are not excluded by permit."""
         out = self.acts.out
         return tuple([address for address in servers if address not in out]) if out else servers
@@ -209,6 +214,6 @@
         nodes = peers.get(hardware, ()) if hardware else tuple(a for c in sorted(peers) for a in peers[c])
         if not nodes:
             return Way(generation, refused=f"no node of {hardware or 'any class'} is there to run it")
-        order = nearest(request.subject, [(f"{h}:{p}", 1) for h, p in nodes])
+        order = rendezvous_order(request.subject, [(f"{h}:{p}", 1) for h, p in nodes])
         by_load = sorted(order, key=lambda at: self.load(nodes[at]))
         return Way(generation, tuple(nodes[at] for at in by_load), steered=True)
--- a/beechrock/lowering/witness.py
+++ b/beechrock/lowering/witness.py
@@ -20,7 +20,7 @@
 StatedFindings = Mapping[tuple[str, int], Sequence[Finding]]  # By class and rank of a rule that runs there
 
 
-def _cuts(bounds: list[tuple[int, int]], whole: tuple[int, int]) -> list[int]:
+def _interval_starts(bounds: list[tuple[int, int]], whole: tuple[int, int]) -> list[int]:
     """Return the first value of each interval between neighbouring bounds."""
     points = {whole[0]}
     for minimum, maximum in bounds:
@@ -61,8 +61,8 @@
                     else subject in r.match.subjects
                 )
             ]
-            for size in _cuts([m.size for m in here], (0, MAX_SIZE)):
-                for attempt in _cuts([m.attempt for m in here], (1, MAX_ATTEMPT)):
+            for size in _interval_starts([m.size for m in here], (0, MAX_SIZE)):
+                for attempt in _interval_starts([m.attempt for m in here], (1, MAX_ATTEMPT)):
                     count += 1
                     if count > MAX_WITNESSES:
                         raise PolicyError(
@@ -101,7 +101,7 @@
         self.ranks = {rule.name: rank for rank, rule in enumerate(policy.rules)}
         # Checked combinations: class, rank, action (or wanted rank), whether the request may run twice.
         self.good: set[tuple[str, int, int, bool]] = set()
-        self.finds = [(name, table.find) for name, table in tables.items()]
+        self.lookups = [(name, table.find) for name, table in tables.items()]
         self.states = {
             name: [(s, table.states.get(s, {})) for s in ("", *lost) if name not in lost.get(s, ())]
             for name, table in tables.items()
@@ -117,14 +117,14 @@
         count = 0
         for request in witnesses(self.policy):
             count += 1
-            self.look(request)
+            self.check(request)
         return count
 
-    def look(self, request: Request) -> None:
+    def check(self, request: Request) -> None:
         rule = self.interpreter.rule(request)
         repeatable = self.policy.effects.get((request.team, request.service)) == "safe"
         wanted = None if rule is None else self.ranks[rule.name]
-        entries = {name: find(*request) for name, find in self.finds}
+        entries = {name: find(*request) for name, find in self.lookups}
         for name, entry in entries.items():
             found = None if entry is None else entry[0]
             if found == COARSE and entry is not None:
@@ -134,7 +134,7 @@
                     self.good.add(key)
                 continue
             if found != wanted:
-                raise self._off(
+                raise self._mismatch(
                     name,
                     request,
                     f"rule {self._name(found)} applies, but the policy selects {self._name(wanted)}",
@@ -164,7 +164,7 @@
     def _name(self, rank: int | None) -> str:
         return "none" if rank is None else self.policy.rules[rank].name
 
-    def _off(self, name: str, request: Request, what: str) -> WitnessError:
+    def _mismatch(self, name: str, request: Request, what: str) -> WitnessError:
         return WitnessError(
             what,
             where=f"class {name}, {request}",
@@ -181,7 +181,9 @@
             if action.verdict == REFUSE:
                 if state or COARSE in self.refused.get(name, ()):
                     continue
-                raise self._off(name, request, "the requests are refused, but the report does not say so")
+                raise self._mismatch(
+                    name, request, "the requests are refused, but the report does not say so"
+                )
             self._steered(name, state, action, request, wanted, entries)
 
     def _steered(
@@ -196,16 +198,18 @@
         """Check that the target class runs the request; a second steer could send it in circles forever."""
         other = self.tables.get(action.target)
         if other is None or action.target == name or action.target in self.lost.get(state, frozenset()):
-            raise self._off(
+            raise self._mismatch(
                 name, request, f"steered to {action.target}, which is no valid target in state {state!r}"
             )
         entry = entries[action.target]
         if (None if entry is None else entry[0]) != wanted:
-            raise self._off(name, request, f"steered to {action.target}, which does not know the rule")
+            raise self._mismatch(name, request, f"steered to {action.target}, which does not know the rule")
         if entry is not None:
             at = other.states.get(state, {}).get(entry[0], entry[1])
             if other.actions[at].verdict == STEER:
-                raise self._off(name, request, f"steered to {action.target}, which steers it a second time")
+                raise self._mismatch(
+                    name, request, f"steered to {action.target}, which steers it a second time"
+                )
 
     def _action(
         self,
@@ -220,7 +224,7 @@
         rank = self.ranks[rule.name]
         if action.verdict == REFUSE:
             if not state and rank not in self.refused.get(name, ()):
-                raise self._off(name, request, f"{rule.name} is refused, but the report does not say so")
+                raise self._mismatch(name, request, f"{rule.name} is refused, but the report does not say so")
             return None
         assert action.verdict == RUN
         pools = self.names[name]
@@ -236,13 +240,15 @@
             if rule.mark(feature) is Mark.MUST:
                 allowed = min(allowed, rule.within if feature is Feature.POOLS else 0.0)
             if error > allowed + 1e-9:
-                raise self._off(
+                raise self._mismatch(
                     name,
                     request,
                     f"{rule.name}: {feature.value} is off by {error:.4g}, and {allowed:.4g} is allowed",
                 )
         if not repeatable and (action.retries or action.hedge_ms is not None or action.mirrors):
-            raise self._off(name, request, f"{rule.name} may run a request twice that must not run twice")
+            raise self._mismatch(
+                name, request, f"{rule.name} may run a request twice that must not run twice"
+            )
         return None
 
 
@@ -286,7 +292,7 @@
         differ = [(w, g) for w, g in zip(wanted, laid, strict=True) if w != g]
         if differ:
             halls = ("", *sorted({policy.pools[pool].hall for tier in (*wanted, *laid) for pool in tier}))
-            found[Feature.POOLS] = max(_apart(policy, w, g, lost) for w, g in differ for lost in halls)
+            found[Feature.POOLS] = max(_share_error(policy, w, g, lost) for w, g in differ for lost in halls)
     found[Feature.AFFINITY] = max(0, ideal.affinity - action.affinity) + 9 * (
         action.affinity > ideal.affinity
     )
@@ -320,7 +326,7 @@
     return found
 
 
-def _apart(policy: Policy, wanted: Mapping[str, int], given: Mapping[str, int], lost: str) -> float:
+def _share_error(policy: Policy, wanted: Mapping[str, int], given: Mapping[str, int], lost: str) -> float:
     """Return the share of requests that go to another pool than wanted, without the hall ``lost``.
 
     This is half the sum of the differences of the pools' shares, calculated in integers until the division.
--- a/tests/lowering/test_compile.py
+++ b/tests/lowering/test_compile.py
@@ -14,9 +14,9 @@
 from beechrock.lowering.compile import compile_policy, drafts_of, lacking, read_plan
 from beechrock.lowering.errors import NowhereError, PolicyError, WitnessError
 from beechrock.lowering.interpret import Interpreter
-from beechrock.lowering.passes.draft import Draft, Outcome, around
-from beechrock.lowering.passes.spread import apart, shares
-from beechrock.lowering.policy import Affinity, Feature, Kind, Mark, Match, Pool, Request, Rule, made
+from beechrock.lowering.passes.draft import Draft, Outcome, pass_context
+from beechrock.lowering.passes.spread import share_error, shares
+from beechrock.lowering.policy import Affinity, Feature, Kind, Mark, Match, Pool, Request, Rule, build_policy
 from beechrock.lowering.profile import Fleet, Profile
 
 POOLS = (
@@ -35,7 +35,7 @@
 
 def compiled(*rules: Rule, small: Profile | None = None, **options: object):
     profiles = {"big": Profile("big"), "small": small or Profile("small")}
-    return compile_policy(made(rules, POOLS, EFFECTS), profiles, FLEET, **options)  # type: ignore[arg-type]
+    return compile_policy(build_policy(rules, POOLS, EFFECTS), profiles, FLEET, **options)  # type: ignore[arg-type]
 
 
 @settings(max_examples=150, deadline=None)
@@ -91,10 +91,10 @@
     rules = [rule(name=f"r{at}", match=Match("red", "get", Kind.EXACT, (f"s{at}",))) for at in range(20)]
     reversed_effects = {key: EFFECTS[key] for key in reversed(EFFECTS)}
     forward = compile_policy(
-        made(rules, POOLS, EFFECTS), {"big": Profile("big"), "small": Profile("small")}, FLEET
+        build_policy(rules, POOLS, EFFECTS), {"big": Profile("big"), "small": Profile("small")}, FLEET
     )
     backward = compile_policy(
-        made(rules[::-1], POOLS[::-1], reversed_effects),
+        build_policy(rules[::-1], POOLS[::-1], reversed_effects),
         {"small": Profile("small"), "big": Profile("big")},
         Fleet(dict(reversed(FLEET.machines.items()))),
     )
@@ -128,13 +128,13 @@
 def test_without_a_pass_a_class_would_run_rules_that_it_does_not_support(name: str) -> None:
     """With the pass the draft fits the profile or the rule is stuck; without it neither holds."""
     case_rule, abilities = CASES[name]
-    policy, profile = made([case_rule], POOLS, EFFECTS), replace(Profile("small"), **abilities)  # type: ignore[arg-type]
+    policy, profile = build_policy([case_rule], POOLS, EFFECTS), replace(Profile("small"), **abilities)  # type: ignore[arg-type]
 
     def lowered(without: str):
         draft = passes.first(case_rule, 0)
         for step, *_ in passes.ALL:
             if step.__name__ != without:
-                draft = step(draft, profile, around(policy))
+                draft = step(draft, profile, pass_context(policy))
         return draft
 
     good, bad = lowered(""), lowered(name)
@@ -179,13 +179,15 @@
     row = next(r for r in compiled(rule(**wish), small=small).report.rows if r.hardware == "small")
     assert row.outcome is Outcome.STEERED and row.target == "big" and row.mends == ("big",)
     assert row.findings[0].reason
-    policy = made([rule(**wish)], POOLS, EFFECTS)
+    policy = build_policy([rule(**wish)], POOLS, EFFECTS)
     with pytest.raises(NowhereError, match=row.findings[0].reason[:8]):
         compile_policy(policy, {"small": small}, Fleet({("small", "east"): 1}))
     # With a lower mark the class runs the rule, and the report states the error; survive_per_s has no mark.
     if "survive_per_s" not in wish:
         low = rule(**{**wish, "marks": ()})
-        done = compile_policy(made([low], POOLS, EFFECTS), {"small": small}, Fleet({("small", "east"): 1}))
+        done = compile_policy(
+            build_policy([low], POOLS, EFFECTS), {"small": small}, Fleet({("small", "east"): 1})
+        )
         assert done.report.rows[0].outcome in (Outcome.DROPPED, Outcome.APPROXIMATED)
 
 
@@ -198,14 +200,14 @@
     assert (action.retries, action.hedge_ms, action.mirrors) == (0, None, ())
     assert table.action(entry, repeatable=True).retries == 2
     with pytest.raises(PolicyError, match="may not run twice"):
-        made([replace(wish, marks=((Feature.HEDGE, Mark.MUST),))], POOLS, EFFECTS)
+        build_policy([replace(wish, marks=((Feature.HEDGE, Mark.MUST),))], POOLS, EFFECTS)
 
 
 def test_a_pool_of_one_team_serves_no_other_team_even_as_a_fall_back_of_a_fall_back() -> None:
     owned = (Pool("a", "east"), Pool("c", "west", fall_back="d"), Pool("d", "east", team="blue"))
     with pytest.raises(PolicyError, match="blue alone"):
-        made([rule(fall_backs=("c",))], owned, EFFECTS)
-    made([rule(fall_backs=("c",), match=Match("blue", "get"))], owned, EFFECTS)
+        build_policy([rule(fall_backs=("c",))], owned, EFFECTS)
+    build_policy([rule(fall_backs=("c",), match=Match("blue", "get"))], owned, EFFECTS)
 
 
 def test_a_class_that_can_not_match_a_rule_steers_all_requests_of_its_contract() -> None:
@@ -230,7 +232,7 @@
         assert {name for name, _ in laid} == {
             name for name, _ in tier
         }  # A pool with a low weight still gets a slot
-        assert apart(tier, laid) <= len(tier) / slots
+        assert share_error(tier, laid) <= len(tier) / slots
 
 
 def test_a_table_holds_a_loss_state_for_each_class() -> None:
@@ -257,7 +259,7 @@
         and row.error(Feature.RETRIES) == 3
         and "policy: r: small" in row.line()
     )
-    assert drafts_of(made([rule()], POOLS, EFFECTS), [Profile("x")])[0][0].rule.name == "r"
+    assert drafts_of(build_policy([rule()], POOLS, EFFECTS), [Profile("x")])[0][0].rule.name == "r"
 
 
 def test_classes_that_share_drafts_get_the_same_drafts_as_each_alone() -> None:
@@ -277,7 +279,7 @@
             for rank, each in enumerate(policy.rules):
                 draft = passes.first(each, rank)
                 for step, _, asks in passes.ALL:
-                    after = step(draft, profile, around(policy))
+                    after = step(draft, profile, pass_context(policy))
                     if not asks(each):
                         spared.add(step.__name__)
                         assert after is draft, (seed, step.__name__, each)
@@ -291,12 +293,12 @@
     limited = rule(fall_backs=("b",), rate_per_s=5.0)
     done = compiled(limited)
     assert [a.own for t in done.tables.values() for a in t.actions if a.tiers] == [1, 1]
-    original_but = Draft.but
+    original = Draft.with_changes
 
-    def but(draft: Draft, **changes: object) -> Draft:
-        return original_but(draft, **{key: value for key, value in changes.items() if key != "own"})
+    def with_changes(draft: Draft, **changes: object) -> Draft:
+        return original(draft, **{key: value for key, value in changes.items() if key != "own"})
 
-    monkeypatch.setattr(Draft, "but", but)
+    monkeypatch.setattr(Draft, "with_changes", with_changes)
     with pytest.raises(WitnessError):
         compiled(limited)
 
--- a/tests/lowering/test_read.py
+++ b/tests/lowering/test_read.py
@@ -10,7 +10,7 @@
 from beechrock.cli.main import main
 from beechrock.inventory import generation, model
 from beechrock.inventory.problems import Problems
-from beechrock.lowering.apart import compiled
+from beechrock.lowering.apart import compile_in_process
 from beechrock.lowering.compile import compile_policy, read_plan
 from beechrock.lowering.policy import Affinity, Feature, Kind, Mark
 from beechrock.lowering.read import policy_of
@@ -121,10 +121,10 @@
     """The digest shows a node whether that inventory was in force here; its files may be newer."""
     root = tmp_path / "inventory.yaml"
     root.write_text(TEXT)
-    data, made_from = asyncio.run(compiled(root, tmp_path / "plan"))
+    data, made_from = asyncio.run(compile_in_process(root, tmp_path / "plan"))
     found = model.read(root, Problems())
     assert found is not None and made_from == generation.from_checked(1, *found).digest
     assert data is not None and read_plan(data).data == data
     root.write_text("rules: {hosts: {r: {pools: none}}}")
-    data, error = asyncio.run(compiled(root, tmp_path / "plan"))
+    data, error = asyncio.run(compile_in_process(root, tmp_path / "plan"))
     assert data is None and "inventory.yaml" in error
--- a/tests/lowering/test_rollout.py
+++ b/tests/lowering/test_rollout.py
@@ -217,7 +217,7 @@
         now, wanted = tenth / 10, f"policy {tenth // 10}"  # A new policy each second; a compile takes three
         machine = log.machine
         if made is not None:
-            made.saw(wanted)
+            made.add_inventory(wanted)
             if now >= done_at:
                 if made.takes(source, wanted, machine):
                     log.do(
@@ -242,11 +242,11 @@
     assert not made.takes("policy of nine", "policy of two", log.machine), (
         "its inventory was never in force here"
     )
-    made.saw("policy of one")
+    made.add_inventory("policy of one")
     assert not made.takes("policy of two", "policy of one", log.machine), (
         "the policy in force is wanted again"
     )
-    made.saw("policy of three")
+    made.add_inventory("policy of three")
     assert made.takes("policy of two", "policy of three", log.machine)
     assert not made.takes("policy of two", "", log.machine)
 
--- a/tests/lowering/test_route.py
+++ b/tests/lowering/test_route.py
@@ -10,7 +10,7 @@
 from beechrock.core.counters import Counters
 from beechrock.lowering.part import Lowering
 from beechrock.lowering.policy import Affinity, Kind, Pool, Request
-from beechrock.lowering.route import ROUND, Held, Router, nearest, spread
+from beechrock.lowering.route import ROUND, Held, Router, pool_order, rendezvous_order
 from beechrock.lowering.tables import REFUSE, RUN, STEER, Action, Line, Table, pack
 from beechrock.net.scgi_work import LAG_S, RoutingRejection, ScgiWork
 
@@ -156,7 +156,7 @@
     assert way is not None and way.asked is not None and way.addresses == (("b", 1),) and way.asked.own == 0
     # The other pools of a tier keep their weights, and subjects at other servers stay there.
     held = table(Action(RUN, (((0, 2), (1, 1)),)))
-    assert spread(held, held.actions[0], "x", 0, out=router.acts.out) == [1]
+    assert pool_order(held, held.actions[0], "x", 0, out=router.acts.out) == [1]
     for affinity in (Affinity.RENDEZVOUS, Affinity.MODULO):
         router.put_in_force(3, Held(table(Action(RUN, (((0, 1),),), affinity=int(affinity)))))
         router.acts.out = frozenset()
@@ -178,17 +178,17 @@
 
 def test_weights_hold_over_many_requests_and_affinity_moves_only_subjects_of_a_removed_server() -> None:
     held = table(Action(RUN, (((0, 3), (1, 1)),)))
-    firsts = [spread(held, held.actions[0], "x", turn)[0] for turn in range(400)]
+    firsts = [pool_order(held, held.actions[0], "x", turn)[0] for turn in range(400)]
     assert firsts.count(0) == 300
     names = [(f"n{at}", 1) for at in range(5)]
     subjects = [f"s{at}" for at in range(500)]
-    before = {s: names[nearest(s, names)[0]][0] for s in subjects}
-    after = {s: names[:4][nearest(s, names[:4])[0]][0] for s in subjects}
+    before = {s: names[rendezvous_order(s, names)[0]][0] for s in subjects}
+    after = {s: names[:4][rendezvous_order(s, names[:4])[0]][0] for s in subjects}
     assert all(after[s] == before[s] for s in subjects if before[s] != "n4")
     heavy = [("n0", 3), ("n1", 1)]
-    assert 0.68 < sum(nearest(s, heavy)[0] == 0 for s in subjects) / 500 < 0.82
+    assert 0.68 < sum(rendezvous_order(s, heavy)[0] == 0 for s in subjects) / 500 < 0.82
     kept = Action(RUN, (((0, 3), (1, 1)),), affinity=int(Affinity.RENDEZVOUS))
-    assert len({tuple(spread(held, kept, "one", turn)) for turn in range(9)}) == 1
+    assert len({tuple(pool_order(held, kept, "one", turn)) for turn in range(9)}) == 1
 
 
 def test_a_leaving_node_announces_no_address() -> None:
