--- a/beechrock/lowering/part.py
+++ b/beechrock/lowering/part.py
@@ -48,7 +48,7 @@
         self.wake = asyncio.Event()
         self.measures = Measures(0.0, 0.0)
         self.compiling: asyncio.Task[None] | None = None
-        self.running_compile = Compiling("")
+        self.compile = Compiling("")
         self.refused = ""  # Error text of the last failed compile or proposal
         self.steps, self.waits = 0, False
         self.active = (0, "", False)
@@ -296,7 +296,7 @@
 
     async def _publish(self) -> None:
         fence = self._fence()
-        self.running_compile.add_inventory(self._wanted())
+        self.compile.add_inventory(self._wanted())
         if fence is None or self.compiling is not None:
             self.waits = False
             return
@@ -309,7 +309,7 @@
         self.waits = step is not None
         match step:
             case Compile():
-                self.running_compile = Compiling(self._wanted())
+                self.compile = Compiling(self._wanted())
                 self.compiling = self.counters.spawn(self._compile(), "lowering.compile")
             case Activate(number, bypassed):
                 await self._propose("activate", fence, number, list(bypassed))
@@ -335,15 +335,11 @@
                 logs.event("lowering.refused", "warning", node=self.name, policy=wanted, why=output)
                 return
             end = clocks.mono() + TAKE_S
-            while output not in self.running_compile.seen and clocks.mono() < end:
+            while output not in self.compile.seen and clocks.mono() < end:
                 await asyncio.sleep(TICK_S)
             digest = self.plans.keep(data, self._digests())
             fence = self._fence()  # Checked again after each wait, as the duty may be lost meanwhile
-            if (
-                not digest
-                or fence is None
-                or not self.running_compile.takes(output, self._wanted(), self.machine)
-            ):
+            if not digest or fence is None or not self.compile.takes(output, self._wanted(), self.machine):
                 return
             plan = self.plans.held[digest]
             lost = {state: list(names) for state, names in plan.lost.items()}
