--- a/beechrock/lowering/witness.py
+++ b/beechrock/lowering/witness.py
@@ -20,12 +20,12 @@
 StatedFindings = Mapping[tuple[str, int], Sequence[Finding]]  # By class and rank of a rule that runs there
 
 
-def _interval_starts(bounds: list[tuple[int, int]], whole: tuple[int, int]) -> list[int]:
+def _interval_starts(bounds: list[tuple[int, int]], full_range: tuple[int, int]) -> list[int]:
     """Return the first value of each interval between neighbouring bounds."""
-    points = {whole[0]}
+    points = {full_range[0]}
     for minimum, maximum in bounds:
         points.add(minimum)
-        if maximum < whole[1]:
+        if maximum < full_range[1]:
             points.add(maximum + 1)
     return sorted(points)
 
--- a/tests/lowering/test_acts.py
+++ b/tests/lowering/test_acts.py
@@ -64,7 +64,7 @@
         self.limited: dict[str, list[float]] = {}  # By rule: times of sends to its own pools
         self.copies: dict[str, int] = {}
         self.begun: dict[str, int] = {}
-        self.ends = self.wholly = 0
+        self.ends = self.requests = 0
 
     def take(self, tries: Tries, out: list[int], acts: list[object], same: bool = False) -> None:
         """Check the actions and note them; ``same``: a send without a connection moved to the next server."""
@@ -96,7 +96,7 @@
             rule = self.draw.choice(self.rules)
             begun = Tries(self.acts, rule), list[int]()
             self.begun[str(rule.key)] = self.begun.get(str(rule.key), 0) + 1
-            self.wholly += 1
+            self.requests += 1
             self.take(*begun, begun[0].begin(self.now))  # type: ignore[arg-type]
             self.live.append(begun)
         tries, out = self.draw.choice(self.live)
@@ -150,7 +150,7 @@
         world.check()
     for tries, _ in world.live:
         tries.close()
-    assert world.ends + len(world.live) == world.wholly, "each request has one end"
+    assert world.ends + len(world.live) == world.requests, "each request has one end"
     world.live = []
     world.check()
     world.windows()
--- a/tests/lowering/test_compile.py
+++ b/tests/lowering/test_compile.py
@@ -42,9 +42,8 @@
 @given(st.integers(0, 1 << 32), st.booleans())
 def test_random_policies_are_run_as_the_interpreter_says(seed: int, solver: bool) -> None:
     policy, (profiles, fleet) = draw.policy(seed), draw.fleet(seed)
-    done = compile_policy(
-        policy, profiles, fleet, strict=False, time_s=3.0 if solver else 0.0
-    )  # Also runs the judge
+    # The compile also runs the judge.
+    done = compile_policy(policy, profiles, fleet, strict=False, time_s=3.0 if solver else 0.0)
     assert done.report.witnesses > 0 and len(done.report.rows) == len(policy.rules) * len(fleet.classes())
     # Random requests, beyond the samples that the judge checked.
     pick, plain = random.Random(seed), Interpreter(policy)
@@ -227,11 +226,10 @@
 def test_slots_by_largest_remainder_fit_and_their_error_is_bounded(weights: list[int], slots: int) -> None:
     tier = tuple((f"p{at}", weight) for at, weight in enumerate(weights))
     laid = shares(tier, slots)
-    assert sum(n for _, n in laid) <= slots and all(n >= 1 for _, n in laid)
+    assert sum(count for _, count in laid) <= slots and all(count >= 1 for _, count in laid)
     if len(tier) <= slots:
-        assert {name for name, _ in laid} == {
-            name for name, _ in tier
-        }  # A pool with a low weight still gets a slot
+        # A pool with a low weight still gets a slot.
+        assert {name for name, _ in laid} == {name for name, _ in tier}
         assert share_error(tier, laid) <= len(tier) / slots
 
 
--- a/tests/lowering/test_rollout.py
+++ b/tests/lowering/test_rollout.py
@@ -198,11 +198,10 @@
     assert publisher.step(15, log.machine, "policy of one", NODES) == Activate(number, ("d",))
     log.activate("d")
     assert publisher.step(26, log.machine, "policy of one", NODES) is None
-    assert (
-        publisher.step(26.5, log.machine, "policy of one", ("a", "b")) is None
-    )  # Messages before a gap between steps don't count
-    for n in range(1, 4):
-        assert publisher.step(26 + n - 0.1, log.machine, "policy of one", ("a", "b")) is None
+    # Messages before a gap between steps don't count.
+    assert publisher.step(26.5, log.machine, "policy of one", ("a", "b")) is None
+    for second in range(1, 4):
+        assert publisher.step(26 + second - 0.1, log.machine, "policy of one", ("a", "b")) is None
     assert publisher.step(29.5, log.machine, "policy of one", ("a", "b")) == Lost(number, "class:small")
     log.do("lost", 1, number, "class:small")
     assert publisher.step(35, log.machine, "policy of one", NODES) == Lost(number, "")
