--- a/beechrock/lowering/assemble.py
+++ b/beechrock/lowering/assemble.py
@@ -45,9 +45,8 @@
         self.actions: list[list[Action]] = []  # By class and rank, while no hall or class is lost
         self.steers = [Action(STEER, target=each.name) for each in classes]
         self.wanted: list[Want] = []
-        self.standby: dict[
-            tuple[str, int], Draft
-        ] = {}  # By class and rank: draft that runs only after a loss
+        # By class and rank: draft that runs only after a loss.
+        self.standby: dict[tuple[str, int], Draft] = {}
         self.states: dict[str, dict[str, dict[int, Action]]] = {}  # Changes by loss state, class, rank
         # Caches by id() of a draft; the ids stay unique because ``classes`` keeps every draft alive.
         self.lean: dict[int, tuple[Draft, ...]] = {}
