--- a/beechrock/lowering/duty.py
+++ b/beechrock/lowering/duty.py
@@ -1,4 +1,4 @@
-"""The publisher's duty: who holds it lets its node take the publisher's steps."""
+"""The publisher duty: its holder compiles and publishes plans for the fleet."""
 
 from typing import TYPE_CHECKING
 
@@ -11,13 +11,13 @@
 
 
 class Publishing:
-    """The duty's worker: while it holds, ``Lowering`` takes the publisher's steps."""
+    """Worker of the publisher duty; ``Lowering`` takes the publisher's steps while it holds the duty."""
 
     def __init__(self, part: "Lowering") -> None:
         self.part = part
 
     async def take_over(self, fence: int) -> None:
-        self.part.publisher = Publisher(self.part.told.prepare_s, self.part.told.gone_s)
+        self.part.publisher = Publisher(self.part.settings.prepare_s, self.part.settings.gone_s)
 
     async def give_up(self) -> None:
         self.part.compiling = None
