--- a/beechrock/policy/admission.py
+++ b/beechrock/policy/admission.py
@@ -150,7 +150,7 @@
                 self._retry_advice.reject_for_elsewhere(entry)
 
     def _fits(self, entry: OpenRequest) -> bool:
-        """Tell whether cores are free, or the predicted wait fits into the time left to the objective."""
+        """Return whether cores are free, or the predicted wait fits into the time left to the objective."""
         context = self._context
         request_class = entry.request_class
         share_weight: float = self._shares.weight(entry.request.tenant_index) ** VALUE_EXPONENT
--- a/beechrock/policy/calls.py
+++ b/beechrock/policy/calls.py
@@ -82,7 +82,7 @@
         """Account for the time since the last decision, with the present calls."""
         count = self._table.count
         calling = count[CALLING]
-        # With a limit below one call, the pause between calls counts as full use too while a run waits.
+        # If the limit is below one call, a pause between calls counts as full use while a run waits to call.
         fullness = calling / max(1.0, self.limit) or count[AWAITING_CALL] * (self.limit < 1)
         self.meter.advance(passed_s, fullness)
         open_calls = calling + len(self._lingering) + self._other_process.load.open_calls
@@ -105,7 +105,7 @@
         heappush(self._lingering, self._context.now_s + linger_s)
 
     def has_backlog(self) -> bool:
-        """Tell whether more runs wait to call than calls may be in flight."""
+        """Return whether more runs wait to call than calls may be in flight."""
         return self._table.count[AWAITING_CALL] > self.limit
 
     def backoff_end_s(self) -> float:
@@ -135,7 +135,7 @@
             now_s = self._context.now_s
             end_s = entry.useful_until_s if entry.must_call else self._latest_skip_s(entry)
             time_left_s = self._call_time_left_s()
-            # With none in flight a call is issued even so: only a call can show that calls are fast again.
+            # With no call in flight, one is issued anyway: only a call can show that calls are fast again.
             late = entry.call_unsure or (
                 now_s + self.mean_s > end_s and (now_s >= end_s or self._table.count[CALLING])
             )
@@ -192,7 +192,7 @@
         self.paused_until_s = self._context.now_s + (not late) * pause_s
 
     def _may_call(self, time_left_s: float) -> bool:
-        """Tell whether one more call may be issued now."""
+        """Return whether one more call may be issued now."""
         limit = remaining_limit(self.limit, self._other_process.load.open_calls)
         return (
             self._concurrency.has_capacity()
--- a/beechrock/policy/concurrency.py
+++ b/beechrock/policy/concurrency.py
@@ -78,7 +78,7 @@
         return max(0, min(limit, int(survived - running))) if running else limit
 
     def has_capacity(self) -> bool:
-        """Tell whether one more run may start, or make a call from which it returns to the cores."""
+        """Return whether one more run may start, or issue a call after which it returns to the cores."""
         return self._table.count[RUNNING] + self._table.count[CALLING] + 1 <= self._started_limit()
 
     def _started_limit(self) -> float:
--- a/beechrock/policy/launches.py
+++ b/beechrock/policy/launches.py
@@ -1,4 +1,4 @@
-"""Launch gate: tells whether the slow-start budget of all the node's processes covers one more run."""
+"""Launch gate: checks whether the slow-start budget of all the node's processes covers one more run."""
 
 import math
 
@@ -43,7 +43,7 @@
         )
 
     def allows(self, request: api.Request) -> bool:
-        """Tell whether the budget covers a run's whole work; the only run in a window may exceed it."""
+        """Return whether the budget covers a run's whole work; the only run in a window may exceed it."""
         runs, work = self._available()
         if work == math.inf:
             return True
--- a/beechrock/policy/memory.py
+++ b/beechrock/policy/memory.py
@@ -35,16 +35,16 @@
         return self.held_kb + len(self._keys.ids) * (self._context.settings.idempotency_entry_kb or 0.0)
 
     def is_full(self, more_kb: float, share: float) -> bool:
-        """Tell whether ``more_kb`` more would exceed this share of the node's memory."""
+        """Return whether ``more_kb`` of additional use would exceed this share of the node's memory."""
         total_kb = self.total_kb() + self._other_process.load.held_kb + more_kb
         return total_kb > share * self._context.settings.memory_kb
 
     def blocks_run(self, size_kb: float) -> bool:
-        """Tell whether memory is too full to start a held request of this size."""
+        """Return whether memory is too full to start a held request of this size."""
         return self.is_full(size_kb * (self._factor_by_phase[RUNNING] - 1), RUN_MEMORY_SHARE)
 
     def never_fits(self, request: api.Request, request_class: api.ClassSettings) -> bool:
-        """Tell whether a run needs more memory than the node has, even if nothing else runs.
+        """Return whether a run needs more memory than the node has, even if nothing else runs.
 
         Such a request would block the head of the queue, and all requests behind it, until it is too late.
         """
--- a/beechrock/policy/node.py
+++ b/beechrock/policy/node.py
@@ -252,7 +252,7 @@
         self.abacus.add_slots()
 
     def _answer_due(self) -> None:
-        """Answer requests that are due. Rule: each one is answered by its deadline, even while it runs."""
+        """Answer all due requests, as each must be answered by its deadline even while it runs."""
         for entry in self.table.pop_due():
             self.answers.give_up(entry)
         for entry in self.table.pop_late_runs():
@@ -265,7 +265,7 @@
                 self.answers.give_up(entry)
 
     def _start_runs(self) -> None:
-        """Start held requests in the order of their objectives' ends; reject those that are too late."""
+        """Start held requests, earliest end of the objective first; reject requests that are too late."""
         for queue in sorted(self.table.held, key=lambda queue: queue[:1]):
             while (entry := self.table.first(queue, HELD)) is not None:
                 if self._too_late(entry) or self.shutdown.past_grace(entry):
@@ -276,7 +276,7 @@
                     break
 
     def _too_late(self, entry: OpenRequest) -> bool:
-        """Tell whether a run would end too late to be useful; a due probe runs despite the estimate."""
+        """Return whether a run would end too late to be useful; a due probe runs despite the estimate."""
         now_s = self.context.now_s
         if now_s + self.calls.remaining_s(entry) <= entry.useful_until_s:
             return False
--- a/beechrock/policy/probing.py
+++ b/beechrock/policy/probing.py
@@ -23,7 +23,7 @@
         self._started_s = self._context.now_s
 
     def is_due(self) -> bool:
-        """Tell whether nothing runs, or no run has started within the last mean latency objective."""
+        """Return whether nothing runs, or no run has started within the last mean latency objective."""
         count = self._table.count
         if count[RUNNING] + count[AWAITING_CALL] + count[CALLING] == 0:
             return True
--- a/beechrock/policy/queues.py
+++ b/beechrock/policy/queues.py
@@ -4,7 +4,8 @@
 from heapq import heapify
 from typing import NamedTuple
 
-MAX_STALE_ENTRIES = 4096  # Heap entries, beyond four per open request, at which stale ones are removed
+# A heap longer than this plus four entries per open request is rebuilt without its stale entries.
+MAX_STALE_ENTRIES = 4096
 
 
 class QueueEntry(NamedTuple):
--- a/beechrock/policy/shutdown.py
+++ b/beechrock/policy/shutdown.py
@@ -11,7 +11,7 @@
 
 
 class Shutdown:
-    """Holds the times of a shutdown (monotonic seconds), which are infinite until one is announced."""
+    """Holds the times of a shutdown in monotonic seconds; all are infinite until it is announced."""
 
     def __init__(self, context: Context) -> None:
         self._context = context
@@ -31,6 +31,6 @@
             self.unwanted_from_s = min(grace_end_s, self.kill_s - context.mean_objective_s)
 
     def past_grace(self, entry: OpenRequest) -> bool:
-        """Tell whether a request arrived after the grace period, too late to run."""
+        """Return whether a request arrived after the grace period, too late to run."""
         grace_s = self._context.settings.drain_grace_s or 0.0
         return entry.arrived_s > self.began_s + (1 - SPARE_SHARE) * grace_s
