--- a/beechrock/core/actor.py
+++ b/beechrock/core/actor.py
@@ -47,8 +47,8 @@
 # Workers that started this many seconds after the known start are new ones; setting up a link takes less.
 NEW_WORKERS_S = 1.0
 DEFAULT_TICK_S = 0.004
-# Bounds of the tick taken from the settings, which is the simulator's: a longer one would delay all answers,
-# and a shorter one would wake the process without need.
+# Bounds, in seconds, of the tick from the settings (the simulator's tick): a longer tick would delay all
+# answers, and a shorter tick would wake the process without need.
 MIN_TICK_S, MAX_TICK_S = 0.001, 0.02
 
 
--- a/beechrock/core/clock_offset.py
+++ b/beechrock/core/clock_offset.py
@@ -1,4 +1,4 @@
-"""Conversion of Unix stamps, made by other processes of this machine, to the node's steady time. Pure.
+"""Conversion of Unix timestamps from other processes of this machine to the node's steady time. Pure.
 
 A request's birth is the steady time at which it was stamped. The wall clock may be stepped by seconds or
 hours, in either direction, between a stamp and its reading. So the offset (Unix time - steady time) is
@@ -46,8 +46,8 @@
     """When a request reached the machine, in steady seconds, and the uncertainty of that."""
 
     born: float  # earliest possible birth that leaves any time; due times count from it
-    earlier_s: float = 0.0  # it may be this much earlier: repeats are looked up as of then
-    later_s: float = 0.0  # it may be this much later: a new key is remembered from then
+    earlier_s: float = 0.0  # seconds by which the birth may be earlier; repeats are looked up from there
+    later_s: float = 0.0  # seconds by which the birth may be later; a new key is remembered from there
 
 
 FAR_OFF = Birth(-math.inf)  # no offset of the remembered time explains the stamp
@@ -92,7 +92,7 @@
         return stepped
 
     def birth(self, unix_s: float, now: float, give_up_s: float) -> Birth:
-        """Return the birth of a request stamped ``unix_s`` and read now, or ``FAR_OFF``.
+        """Return the birth of a request that has the stamp ``unix_s`` and was read now, or ``FAR_OFF``.
 
         ``give_up_s``: seconds from its birth to its due time. If several segments explain the stamp, births
         whose due time has passed are skipped: if one of them is the true birth, the request is late anyway.
--- a/beechrock/core/idempotency.py
+++ b/beechrock/core/idempotency.py
@@ -91,7 +91,7 @@
         return True
 
     def forget(self, request: Request) -> None:
-        """Drop this request's entry; if it had replaced another one, that one becomes current again."""
+        """Drop this request's entry; if it had replaced another entry, that becomes current again."""
         key = self.key(request)
         entry = self._entries.get(key) if key else None
         if key is None or entry is None:
@@ -132,7 +132,7 @@
         return list(self._replaced.get(key, ())) if key is not None else []
 
     def replaced_entries(self) -> list[Entry]:
-        """Return all replaced entries, those of one key with the newest last."""
+        """Return all replaced entries; the entries of one key are ordered from oldest to newest."""
         return list(chain.from_iterable(self._replaced.values()))
 
     def sweep(self, now: float) -> None:
--- a/beechrock/core/intake.py
+++ b/beechrock/core/intake.py
@@ -65,15 +65,15 @@
         if key is None:
             return True
         if key in batch.keys and not self._repeats_known_request(request):
-            batch.deferred.append(message)  # the first one is remembered, or not, only after this batch
+            batch.deferred.append(message)  # the key is remembered, or not, only after this batch
             return False
         batch.keys.add(key)
         return True
 
     def _repeats_known_request(self, request: Request) -> bool:
-        """Return whether a request repeats a remembered one; any number of these may share a batch.
+        """Return whether a request repeats a remembered one; any number of repeats may share a batch.
 
-        With one of them a batch, many would be read after their due time, and the module would not count
+        With one repeat per batch, many would be read after their due time, and the module would not count
         their memory until then. Reads whose first request has ended may each run, which does no harm.
         """
         return self._idempotency.find(request) is not None
--- a/beechrock/core/link_lifecycle.py
+++ b/beechrock/core/link_lifecycle.py
@@ -32,7 +32,7 @@
 
 
 class CloseReason(Enum):
-    """Why we cut a link."""
+    """Reason for cutting a link."""
 
     NO_CONNECT = "no_connect"
     NO_GREETING = "no_greeting"
--- a/beechrock/core/module_timers.py
+++ b/beechrock/core/module_timers.py
@@ -28,7 +28,7 @@
         self.sampled_at = now
 
     def drop_all(self) -> None:
-        """Invalidate all timers set so far, as a new module replaces the one that set them."""
+        """Invalidate all timers set so far, as a new module replaces the module that set them."""
         self._generation += 1
 
     def set(self, token: int, at: float) -> None:
--- a/beechrock/core/request_table.py
+++ b/beechrock/core/request_table.py
@@ -1,4 +1,4 @@
-"""The open requests of a node: each from its arrival until it is answered or cancelled and does not run.
+"""Table of a node's open requests: each stays until it is answered or cancelled and no longer runs.
 
 Does no I/O; the clock is a parameter. Invariants: a request stays in the table until it is over; it gets
 exactly one answer, unless it is cancelled first; a keyed request is launched only if the idempotency table
@@ -36,7 +36,7 @@
         self._ports = ports
         self._status = status
         self._wake = wake
-        self.by_id: dict[int, Request] = {}  # unanswered requests, and those that still run
+        self.by_id: dict[int, Request] = {}  # all requests that are unanswered or still running
         self.by_trace: dict[str, Request] = {}
         self.last_id = 0
         self.next_events: list[api.Event] = []  # events of executed actions, for the next batch
@@ -112,7 +112,10 @@
             self.share_with(waiter, request, events, now)
 
     def share_with(self, waiter: Request, first: Request, events: list[api.Event], now: float) -> None:
-        """Answer a repeat with its first request's result, or by whether that may have had an effect."""
+        """Answer a repeat with the first request's result.
+
+        Without a result, the repeat is refused if the first request never ran, and fails otherwise.
+        """
         if waiter.answered or waiter.cancelled:
             return  # it was answered or cancelled while it waited
         if first.result is not None:
@@ -207,4 +210,4 @@
 
 
 def _ignore_answer(answer: Answer) -> None:
-    """Ignore an answer; replaces a request's receiver once that has its answer."""
+    """Ignore an answer; replaces the callback of a request that already has its answer."""
--- a/beechrock/core/requests.py
+++ b/beechrock/core/requests.py
@@ -50,14 +50,14 @@
     nonce: str | None = None  # keyed classes: idempotency key, shared by all retries
     entity: str | None = None  # reads: key of the subject that is read
     limits_tenant: int | None = None  # index of the limits' tenant, which replaces the team's
-    # Called once when it is over, with the seconds that its run took, or None if it never ran.
+    # Callback at the request's end, with the run time in seconds, or None if it never ran.
     ended: Callable[[float | None], None] | None = None
     # Uncertainty of ``born`` after a step of the wall clock: seconds by which it may be earlier or later.
     earlier_s: float = 0.0
     later_s: float = 0.0
     patience_s: float | None = None  # seconds from its birth that its caller waits; None: unknown
     cost_s: float | None = None
-    generation: int = 0  # of the routing policy at the node that began it; 0: this node
+    generation: int = 0  # routing policy generation at the node that forwarded it; 0: not forwarded
     overdue: Timer | None = None
     id: int = 0
     digest: bytes = b""  # keyed classes: digest of the body, which is dropped at the end
@@ -81,12 +81,12 @@
 
     @property
     def earliest(self) -> float:
-        """The earliest possible birth: whether it is a repeat is decided as of then."""
+        """The earliest possible birth; the key is looked up as of this time to find a repeat."""
         return self.born - self.earlier_s
 
     @property
     def latest(self) -> float:
-        """The latest possible birth: a new key is remembered from then."""
+        """The latest possible birth; a new key is remembered from this time on."""
         return self.born + self.later_s
 
 
@@ -135,13 +135,16 @@
         """Return the other process's request that this one repeats, or None."""
 
     def claim_run(self, request: Request, until: float) -> bool:
-        """Claim a request's key for its run; False, if the other process cannot be told: it must not run."""
+        """Claim a request's key for its run; return whether the run may start.
+
+        It must not start if the other process cannot be notified.
+        """
 
     def release(self, request: Request) -> None:
         """Release the claim on the key of a request."""
 
     def finish(self, request: Request, held: bool) -> None:
-        """Note that a request is over; ``held``: it is remembered, so that its result may be shared."""
+        """Record that a request has ended; ``held``: it is remembered, so that its result may be shared."""
 
 
 class Tracer(Protocol):
@@ -230,7 +233,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ShutdownRequested:
-    """Shutdown notice: the process ends in ``remaining_s`` seconds. ``replaced``: another one takes over."""
+    """Shutdown notice: the process ends in ``remaining_s`` seconds. ``replaced``: another process takes over."""
 
     remaining_s: float
     replaced: bool = False
--- a/beechrock/core/runs.py
+++ b/beechrock/core/runs.py
@@ -49,7 +49,7 @@
         if not outcome.never_ran and request.replied >= 0:
             request.cost_s = end.elapsed_s
         if request.call_body is not None and self._ports.calls is not None:
-            self._ports.calls.abandon(request)  # nobody waits for the reply any more
+            self._ports.calls.abandon(request)  # the run that waited for the reply has ended
             request.call_body = None
         if outcome is api.Outcome.OK:
             request.result = end.result
--- a/beechrock/core/servers.py
+++ b/beechrock/core/servers.py
@@ -58,7 +58,7 @@
         self.upstreams = upstreams
 
     def choose(self, service: str) -> list[Address]:
-        """Return the servers of a service that are not taken out, those with the least weight first."""
+        """Return the servers of a service that are not taken out of rotation, in order of rising weight."""
         return sorted(
             (address for address in self.listed(service) if address not in self.out), key=self.weight
         )
@@ -69,7 +69,7 @@
         return load if self.cost is None else self.cost(address, load)
 
     def listed(self, service: str) -> tuple[Address, ...]:
-        """Return all servers of a service, including those that are taken out."""
+        """Return all servers of a service, including servers that are taken out of rotation."""
         places = self.upstreams.get(service)
         return self._removed.get(service, ()) if places is None else places
 
--- a/beechrock/core/timer_wheel.py
+++ b/beechrock/core/timer_wheel.py
@@ -25,7 +25,7 @@
 
 
 class TimerWheel:
-    """Timers in slots by their due tick modulo ``SLOTS``; a slot also holds those of later turns."""
+    """Timers in slots by due tick modulo ``SLOTS``; a slot also holds timers due in later turns."""
 
     def __init__(self, tick_s: float, now: float) -> None:
         self.tick_s = tick_s
