--- a/beechrock/limits/budgets.py
+++ b/beechrock/limits/budgets.py
@@ -1,4 +1,4 @@
-"""Budgets with periods: a start reserves its price, and its end settles or refunds it once.
+"""Budgets with periods: a request's start reserves its price, and its end settles or refunds it once.
 
 Pure; O(1) per operation. Amounts are whole millionths, so that sums are exact. An account is a team's budget
 of one period, found by the period's number (Unix time divided by the period's length).
@@ -12,7 +12,7 @@
 
 from beechrock.inventory.terms import Plan, whole
 
-MAX_ACCOUNTS = 4  # accounts of a team that are kept, those of the latest periods
+MAX_ACCOUNTS = 4  # number of accounts kept per team: those of its latest periods
 
 
 @dataclass(slots=True)
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Balance:
-    """What is left of a budget: the amount in millionths, and the seconds until its period ends."""
+    """Remaining amount of a budget, in millionths, and the seconds until its period ends."""
 
     remaining: int
     period_ends_in_s: float
@@ -53,7 +53,7 @@
     team: str
     plan: Plan
     durable: bool = False
-    accounts: dict[int, Account] = field(default_factory=dict)  # by period number
+    accounts: dict[int, Account] = field(default_factory=dict)  # accounts keyed by period number
     last_closed_period: int = -1  # periods up to this number never open again
     current: Account | None = None  # the account that was looked up last
     warnings: list[tuple[int, float]] = field(
@@ -81,9 +81,9 @@
         return account
 
     def _carry_over(self, period: int) -> int:
-        """Carry over unspent budget from the period before; return the amount.
+        """Carry over unspent budget from the previous period; return the amount.
 
-        What is still reserved there counts as spent, even if it is refunded later.
+        An amount still reserved there counts as spent, even if it is refunded later.
         """
         before = self.accounts.get(period - 1)
         if before is None or not self.plan.carry:
@@ -93,11 +93,11 @@
         return carried
 
     def allowance(self, account: Account) -> int:
-        """Return the whole amount of an account: the plan's, plus what was carried in, less carried out."""
+        """Return an account's total: the plan's amount, plus the carry-over in, less the carry-over out."""
         return self.plan.amount + account.carried_in - account.carried_out
 
     def balance(self, wall: float) -> Balance:
-        """Return what is left at this Unix time; nothing where the period is closed."""
+        """Return the remaining budget at this Unix time; its amount is 0 if the period is closed."""
         account = self.account(wall)
         ends = (self.period_at(wall) + 1) * self.plan.period_s - wall
         return Balance(max(0, self.allowance(account) - account.spent) if account is not None else 0, ends)
@@ -112,7 +112,7 @@
     def reserve(self, wall: float, price: int) -> Reservation | None:
         """Reserve the price of a start.
 
-        None where the period is closed, the amount is used up, or the durable ceiling is too low
+        Returns None if the period is closed, the amount is used up, or the durable ceiling is too low
         (see ``waits_for_disk``).
         """
         account = self.account(wall)
@@ -138,9 +138,9 @@
         )
 
     def settle(self, reservation: Reservation, cost_s: float) -> int:
-        """End the reservation of a run that took ``cost_s`` seconds of work; return what it cost.
+        """End the reservation of a run that took ``cost_s`` seconds of work; return the charge.
 
-        A reservation that was ended already costs nothing.
+        The charge is 0 if the reservation has already ended.
         """
         if not reservation.open:
             return 0
@@ -161,9 +161,9 @@
         return reservation.price
 
     def change_plan(self, wall: float, plan: Plan) -> None:
-        """Apply another plan; what is spent stays spent, also where the length of the periods changes."""
+        """Apply another plan; the spent amount is kept, even if the length of the periods changes."""
         if plan.period_s != self.plan.period_s:
-            # With a fresh account, changing the length back and forth would give a fresh amount each time.
+            # With a new account, each change of the length would grant the full amount again.
             previous = self.account(wall)
             self.plan = plan
             period = self.period_at(wall)
@@ -187,7 +187,7 @@
     # --- the disk
 
     def increment(self, price: int) -> int:
-        """Return how far above what is spent a write puts the ceiling, in millionths."""
+        """Return how far above the spent amount a write sets the ceiling, in millionths."""
         return max(self.plan.amount // 64, 2 * price, 1)
 
     def is_near_ceiling(self, price: int) -> bool:
--- a/beechrock/limits/disk.py
+++ b/beechrock/limits/disk.py
@@ -50,7 +50,7 @@
         """Replace the log by a snapshot.
 
         ``data`` is from ``journal.snapshot``, made after the newest write was synced. The state of a removed
-        team is kept until the period after its latest one is over at the Unix time ``wall``.
+        team is kept until the period after its latest period has ended at the Unix time ``wall``.
         """
         self.store.rewrite()
         states = journal.read(data)
--- a/beechrock/limits/gate.py
+++ b/beechrock/limits/gate.py
@@ -1,4 +1,4 @@
-"""All limits of a node in one place: may a request begin, what is it charged, and how did it end. Pure.
+"""All limits of a node in one place: admits requests, charges them, and settles or refunds the charge. Pure.
 
 Nothing else holds their state. ``now`` is a monotonic clock, for rates; ``wall`` is Unix time, for hours and
 budget periods. Invariants: a rejected request is charged nothing; a ticket ends once, on the nodes, account
@@ -16,7 +16,8 @@
 from beechrock.limits.shares import Shares
 from beechrock.limits.tree import Node, Rejection, RejectReason
 
-DISK_RETRY_AFTER_S = 0.1  # for the next ceiling's sync: some milliseconds, on a busy disk some tens
+# Retry advice while a higher ceiling is synced, which takes some milliseconds, or some tens on a busy disk.
+DISK_RETRY_AFTER_S = 0.1
 MIN_COST_GAIN = 0.05  # least weight of one run's cost in the mean cost of its contract's runs
 
 
@@ -79,13 +80,13 @@
         self.departments: dict[str, Node] = {}
         self.teams: dict[str, Node] = {}
         self.leaves: dict[Contract, _Leaf] = {}
-        self.budgets: dict[str, Budget] = {}  # by team
-        self.usage: dict[str, TeamUsage] = {}  # by team
+        self.budgets: dict[str, Budget] = {}  # keyed by team
+        self.usage: dict[str, TeamUsage] = {}  # keyed by team
         # State of removed entries that still counts: an entry that comes back continues with it.
         self.removed_leaves: dict[Contract, _Leaf] = {}
         self.removed_teams: dict[str, Node] = {}
         self.removed_budgets: dict[str, Budget] = {}
-        self.highest_price: dict[str, int] = {}  # by team: the highest price of a start, in millionths
+        self.highest_price: dict[str, int] = {}  # highest price of a start by team, in millionths
         self.new_budgets: list[Budget] = []  # budgets that the latest terms added: nothing is spent yet
         self.near_ceiling: set[str] = set()  # teams whose budget may need a higher ceiling
         self.terms = terms
@@ -145,7 +146,7 @@
         return Rejection(RejectReason.BUDGET, budget.balance(wall).period_ends_in_s, budget.team)
 
     def settle(self, ticket: Ticket, cost_s: float) -> None:
-        """End a request that ran and took so many seconds of work; a second end has no effect."""
+        """End a request whose run took ``cost_s`` seconds of work; a second end has no effect."""
         if not self._end(ticket, ran=True):
             return
         if ticket.reservation is not None and ticket.budget is not None:
@@ -181,7 +182,7 @@
         return True
 
     def balance(self, wall: float, team: str) -> Balance | None:
-        """Return what is left of a team's budget, or None where it has none."""
+        """Return the remaining budget of a team, or None if it has no budget."""
         budget = self.budgets.get(team)
         return budget.balance(wall) if budget is not None else None
 
@@ -202,7 +203,7 @@
     # --- another generation
 
     def change_terms(self, now: float, wall: float, terms: Terms) -> None:
-        """Apply other terms. What did not change is left as it is, so a small edit costs little."""
+        """Apply other terms. Unchanged entries are left as they are, so a small edit costs little."""
         before, self.terms = self.terms, terms
         _change_limits(now, self.root, terms.root)
         self.departments = {
@@ -279,7 +280,7 @@
             budget.account(wall)
             self.budgets[name] = budget
             self._check_ceiling(name, budget)
-        # A budget that is removed and comes back within its period continues with what it had spent.
+        # A budget that is removed and added again within its period keeps its spent amount.
         self.removed_budgets = {
             name: budget
             for name, budget in known.items()
--- a/beechrock/limits/journal.py
+++ b/beechrock/limits/journal.py
@@ -15,7 +15,7 @@
 from beechrock.limits.errors import SpendingRecordError
 
 FORMAT = 1  # version of an entry's format
-MAX_TEAMS_PER_ENTRY = 4096  # an entry of so many teams has some 400 KB
+MAX_TEAMS_PER_ENTRY = 4096  # maximum teams in one entry, which then has some 400 KB
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,7 +55,7 @@
         self.in_progress.clear()
 
     def failed(self) -> None:
-        """Keep the old ceilings: the entry may be durable or not, and higher ones are requested again."""
+        """Keep the old ceilings, as the entry may not be durable; a later entry raises them."""
         self.in_progress.clear()
 
 
@@ -89,7 +89,7 @@
 
 
 def final_entry(budgets: Iterable[Budget]) -> bytes:
-    """Return the entry of an orderly shutdown, with exactly what is spent; nothing may be spent after it."""
+    """Return the entry of an orderly shutdown, with exact spent amounts; nothing may be spent after it."""
     teams = []
     for budget in budgets:
         for account in budget.accounts.values():
@@ -126,7 +126,7 @@
 
 
 def restore(states: Mapping[str, State], budgets: Iterable[Budget], wall: float) -> None:
-    """Load what the disk has into new budgets, at a start or where a team comes back."""
+    """Load the stored state into new budgets, at a start or when a removed team is added again."""
     for budget in budgets:
         state = states.get(budget.team)
         if state is None:
@@ -143,7 +143,7 @@
 
 
 def _team_state(budget: Budget, raised: Account | None = None, ceiling: int = 0) -> list[Any]:
-    """Return a team's part of an entry; ``ceiling`` is the next one of the account ``raised``."""
+    """Return a team's part of an entry; ``ceiling`` is the next ceiling of the account ``raised``."""
     return [
         budget.team,
         budget.plan.period_s,
--- a/beechrock/limits/part.py
+++ b/beechrock/limits/part.py
@@ -40,7 +40,7 @@
 )
 DEFAULT_OVER_WEIGHT = 0.25  # factor on the worth of a request beyond its share, where the settings give none
 BATCH_S = 0.005  # budgets that need a higher ceiling within this time are written with one sync
-DISK_RETRY_S = 5.0  # seconds until the next write after one that failed
+DISK_RETRY_S = 5.0  # seconds from a failed write to the next attempt
 
 
 class Limits:
@@ -110,7 +110,7 @@
         )
 
     def connect(self, team: str, own: Iterable[C]) -> C | ContractRejection | None:
-        """Place one more connection of a team beside its ``own``; one that is returned is closed for it."""
+        """Place a team's new connection beside its ``own``; the caller closes a returned connection."""
         group = self.gate.terms.teams.get(team)
         if group is None:
             return None
@@ -217,7 +217,7 @@
         pass
 
     def close(self) -> None:
-        """Write exactly what is spent, and close the disk."""
+        """Write the exact spent amounts, and close the disk."""
         if self.disk is None:
             return
         if self.journal.in_progress:
@@ -232,7 +232,7 @@
     # --- operators
 
     def view(self) -> object:
-        """Return what each team had and what it has left."""
+        """Return the usage and the remaining budget of each team."""
         wall, held, teams = self.wall(), self.context.program.scgi.held, {}
         for name, usage in self.gate.usage.items():
             balance = self.gate.balance(wall, name)
--- a/beechrock/limits/places.py
+++ b/beechrock/limits/places.py
@@ -1,4 +1,4 @@
-"""How many connections a team may hold, and which of its own ends for a newer one. Pure.
+"""Limit on a team's connections, and the choice of the connection that a new one replaces. Pure.
 
 A connection counts for a team from its opening where its front end is bound to a team, else from when its
 headers name one; before that only the front's table counts it. Invariants: another team's connection is never
@@ -24,10 +24,10 @@
 
 
 def place_for_team(held: Iterable[C], max_connections: float, now: float) -> tuple[Placement, C | None]:
-    """Return what a team's new connection gets, and which of its ``held`` ones has to end for that.
+    """Return the placement of a team's new connection, and the ``held`` connection to close for it, if any.
 
-    ``held`` is in the order in which they joined, so of the silent ones the first ends. A connection
-    whose answer is on its way counts no more.
+    ``held`` is in the order of joining, so the oldest silent connection is closed. A connection whose
+    answer is on its way no longer counts.
     """
     if max_connections == math.inf:
         return Placement.FREE, None
--- a/beechrock/limits/rates.py
+++ b/beechrock/limits/rates.py
@@ -31,7 +31,7 @@
         return self.burst - max(0.0, self.tat - now) * self.rate if self.rate > 0 else 0.0
 
     def has_room(self, now: float, units: float = 1.0) -> bool:
-        """Return whether so many units may pass now."""
+        """Return whether ``units`` may pass now."""
         # More units than the burst pass where the whole burst is available, and are charged in full;
         # otherwise they could never pass.
         return self.available(now) >= min(units, self.burst) - 1e-9
--- a/beechrock/limits/shares.py
+++ b/beechrock/limits/shares.py
@@ -39,7 +39,7 @@
 class _Team:
     weight: int  # whole millionths
     finish_tag: float = 0.0  # virtual time at which its charged work would be done
-    heap_entry: int = 0  # number of its newest heap entry; older ones are stale
+    heap_entry: int = 0  # number of the team's newest heap entry; older entries are stale
 
 
 @dataclass(slots=True)
