--- a/beechrock/net/agent_commands.py
+++ b/beechrock/net/agent_commands.py
@@ -1,4 +1,4 @@
-"""Commands to the render farm agent, and the queue of those that it has not confirmed as read."""
+"""Commands to the render farm agent, and the queue of commands that it has not confirmed as read."""
 
 import itertools
 from collections.abc import Iterator
@@ -55,7 +55,7 @@
         return True
 
     def __iter__(self) -> Iterator[tuple[int, Request, Command]]:
-        """Yield all current commands in order; one that is settled during the iteration is left out."""
+        """Yield all current commands in order; skip commands that are settled during the iteration."""
         for number, (request, command) in list(self._commands.items()):
             if number in self._commands:
                 yield number, request, command
--- a/beechrock/net/connection.py
+++ b/beechrock/net/connection.py
@@ -358,7 +358,7 @@
             return b""
 
     async def _buffer_message(self, writer: asyncio.StreamWriter, message: T) -> None:
-        """Encode a message into ``outbox``; one that does not fit there is sent in parts."""
+        """Encode a message into ``outbox``; a message that does not fit there is sent in parts."""
         data = memoryview(self._encoded(message))
         if len(data) > self.outbox.free_bytes:
             await self._flush(writer)
--- a/beechrock/net/connection_server.py
+++ b/beechrock/net/connection_server.py
@@ -22,8 +22,8 @@
 SWEEP_S = 0.5  # interval of the sweeps over the table
 DEPART_STEP_S = 0.004  # one tick of the module, which produces the answers that the shutdown waits for
 FAIR_BYTES = READ_CHUNK  # bytes read from each connection in the last pass before any is read further
-# Bytes that may be unread on a connection as the last pass begins: the kernel doubles the size of its buffer,
-# and asyncio holds two chunks.
+# Maximum unread bytes on a connection as the last pass begins: the kernel doubles the size of its buffer,
+# and asyncio buffers two chunks.
 MAX_LAST_BYTES = 2 * (RECEIVE_BUFFER + READ_CHUNK)
 LINGERING_DIVISOR = 16  # evicted connections that still hold a descriptor may number 1/16 of the table's size
 
@@ -55,7 +55,7 @@
         raise NotImplementedError
 
     def send_full(self, peer: P) -> None:
-        """Tell the peer that the table is full; each request on this connection is refused."""
+        """Notify the peer that the table is full; each request on this connection is refused."""
         raise NotImplementedError
 
     def ended(self, peer: P) -> None:
--- a/beechrock/net/frame_connection.py
+++ b/beechrock/net/frame_connection.py
@@ -91,7 +91,7 @@
         self.module = front.module
         self.skipping = 0  # bytes left to skip of a frame that is too long
         self.bad = 0  # number of invalid requests so far
-        self.open: dict[int, Request | None] = {}  # by stream; None: a health check that waits for its work
+        self.open: dict[int, Request | None] = {}  # keyed by stream; None: a pending health check
         self.streams = UsedStreams()
         self.last_message_at = self.module.clock()
         self.silent = 0.0  # sweeps without a complete message, slow progress counting less
--- a/beechrock/net/frame_server.py
+++ b/beechrock/net/frame_server.py
@@ -60,7 +60,7 @@
         return peer
 
     def send_full(self, peer: FrameConnection) -> None:
-        """Tell the peer that the table is full, and to send no requests."""
+        """Notify the peer that the table is full, and that it must send no requests."""
         peer.post(Reply(ANSWER, 0, REFUSED, body=b"too many connections"))
         peer.post(Reply(NO_MORE))
 
@@ -71,7 +71,7 @@
                 self.module.post(RequestCancelled(request))
 
     def look_at(self, peer: FrameConnection, now: float) -> None:
-        """End a connection that sends no complete message in time, or that is idle for too long.
+        """Close a connection that sends no complete message in time, or is idle for too long.
 
         A message that arrives slowly but steadily is given more sweeps than one that has stalled.
         """
@@ -91,5 +91,5 @@
         """Tell the peers of all current and new connections to send no new requests; keep reading them."""
         self.leaving = True
         for peer in self.peers:
-            if not peer.rejected:  # a rejected peer was told when it connected
+            if not peer.rejected:  # a rejected peer got NO_MORE when it connected
                 peer.post(Reply(NO_MORE))
--- a/beechrock/net/ledger.py
+++ b/beechrock/net/ledger.py
@@ -225,7 +225,7 @@
             call.timer = self.module.timers.at(now + LATE_REPLY_S, lambda: self._time_out(link, call))
             return
         self._give_up(link, call)
-        link.finish()  # no other call is sent on a connection on which one has timed out
+        link.finish()  # a connection is not reused after a call on it timed out
         self.ended(call, Outcome.TIMED_OUT if link.opened else Outcome.UNREACHABLE, b"")
 
     def _give_up(self, link: LedgerLink, call: OpenCall) -> None:
--- a/beechrock/net/link_actor.py
+++ b/beechrock/net/link_actor.py
@@ -34,7 +34,7 @@
 
 
 class LinkActor:
-    """Carries out what a link's state machine decides, for its owner."""
+    """Performs the actions that a link's state machine returns, and reports to the link's owner."""
 
     def __init__(
         self,
--- a/beechrock/net/scgi.py
+++ b/beechrock/net/scgi.py
@@ -145,7 +145,7 @@
         await super().serve(reader, writer)
 
     def _join(self, team: str) -> bool:
-        """Count the connection among those of its team. Returns whether it was admitted."""
+        """Add the connection to its team's connections; return whether it was admitted."""
         if self.team is not None or self.front.limits is None:
             return True
         own = self.front.connections_by_team.setdefault(team, {})
