--- a/beechrock/connections/table.py
+++ b/beechrock/connections/table.py
@@ -118,7 +118,7 @@
         state = idle_state(c, now)
         if state is State.RETURNING and crowded:
             state = State.ONCE
-        # Of the connections with a retry time, the one with the latest time is needed last.
+        # Among connections with a retry time, evict the latest retry time first, as it is needed last.
         cost = state, -c.back_at if state is State.EXPECTED else c.last_message_at
         if cost < best and not (c.rejected or c.owes() or c.input_waits()):
             best, choice = cost, c
