--- a/beechrock/handover/channel.py
+++ b/beechrock/handover/channel.py
@@ -27,7 +27,7 @@
 MAX_NAMES = 64  # Maximum number of older sockets that a listing examines, the newest first
 RENEW_RETRY_S = 0.05  # Seconds between two attempts to rename the own socket
 MAX_LISTINGS = 16  # Maximum listings per connection attempt; each repeats one whose socket had vanished
-# Maximum length of a Unix socket's path; a longer one is opened through the folder's file descriptor.
+# Maximum length of a Unix socket's path; a longer path is opened through the folder's file descriptor.
 MAX_PATH_BYTES = 100
 CREDENTIALS = struct.Struct("3i")  # Kernel's ``struct ucred``: process, user and group id of the peer
 # Earlier versions named their sockets by Unix time, about 1.7e18 ns. A monotonic time stays below this bound
@@ -36,7 +36,7 @@
 
 
 class Channel:
-    """Unix sockets of one node in the shared folder: the own one, and those of older processes."""
+    """Unix sockets of one node in the shared folder: the own socket, and the sockets of older processes."""
 
     def __init__(self, folder: Path, node: str) -> None:
         self.folder = folder
@@ -84,7 +84,7 @@
         self.server = server
 
     def older_names(self) -> list[str]:
-        """Return the names of older processes' sockets, the newest first, without those of other users.
+        """Return the names of the sockets of this user's older processes, the newest first.
 
         Raises OSError if the folder cannot be read now: if it counted as empty, two processes would run keys.
         """
@@ -141,7 +141,7 @@
         raise OSError(errno.EAGAIN, "sockets in the handover folder keep changing")
 
     def mark_fully_known(self) -> None:
-        """Note that all claims of the predecessor are known, including those it has from older processes."""
+        """Record that all claims of the predecessor are known, including its claims from older processes."""
         self.fully_known.add(self.reached_name)
         self.killed_before_sync = False
 
@@ -153,7 +153,7 @@
         self.fully_known.discard(self.reached_name)
 
     def renew(self) -> None:
-        """Rename the own socket, so that no successor goes on counting this process as fully known.
+        """Rename the own socket, so that no successor still treats this process as fully known.
 
         After a channel was dropped while both processes live, the old one goes on alone and runs further
         keys. If it is killed then, a successor must not assume that it knows all of its claims.
--- a/beechrock/handover/claim_table.py
+++ b/beechrock/handover/claim_table.py
@@ -51,11 +51,11 @@
         return len(self.claims) + self._replaced_count
 
     def __iter__(self) -> Iterator[Claim]:
-        """Iterate over all claims, those of one key from oldest to newest."""
+        """Iterate over all claims; the claims of one key come from oldest to newest."""
         return chain(self.replaced(), self.claims.values())
 
     def replaced(self) -> Iterator[Claim]:
-        """Iterate over the replaced claims, those of one key from oldest to newest."""
+        """Iterate over the replaced claims; the claims of one key come from oldest to newest."""
         return chain.from_iterable(self._replaced.values())
 
     def find(self, key: bytes, born_s: float) -> Claim | None:
@@ -103,7 +103,8 @@
             self.add(Claim(request.key, request.digest, request.until_s, granted=True))
             return ended
         if request.until_s > claim.until_s:
-            # The other process's own earlier run, whose window is over there: hold the key for the new grant.
+            # The claim is of an earlier run, whose window has ended at the other process. Extend it to the
+            # end of the new grant's window.
             claim.earlier_until_s = claim.until_s
             claim.until_s = request.until_s
         return []
@@ -140,7 +141,7 @@
         return [self._end(claim, message)]
 
     def end_all_open(self) -> list[Claim]:
-        """End all open claims without a result because their process is gone, and return them."""
+        """End all open claims without a result, because their process has ended, and return them."""
         open_claims = [claim for claim in self if not claim.ended]
         return [self._end(claim, RunEnded(claim.key, False)) for claim in open_claims]
 
--- a/beechrock/handover/grant_requests.py
+++ b/beechrock/handover/grant_requests.py
@@ -74,7 +74,7 @@
     def expired(self, now_s: float) -> list[T]:
         """Remove and return the attempts whose wait has timed out.
 
-        Their requests stay, as the replies may still arrive.
+        The grant requests are kept, as their replies may still arrive.
         """
         expired: list[T] = []
         for pending in self.pending.values():
--- a/beechrock/handover/grants.py
+++ b/beechrock/handover/grants.py
@@ -9,7 +9,7 @@
 
 from beechrock.core.idempotency import SLACK_S
 
-MAX_GRANTS = 20_000  # Maximum number of grants; only those in use or claimed are kept
+MAX_GRANTS = 20_000  # Maximum number of grants; only grants in use or claimed are kept
 
 
 @dataclass(slots=True)
--- a/beechrock/handover/key_partner.py
+++ b/beechrock/handover/key_partner.py
@@ -144,7 +144,7 @@
         self.flush()
 
     def finish(self, request: Request, held: bool) -> None:
-        """Note that a request has ended; ``held`` says whether the idempotency table still contains it."""
+        """Record that a request has ended; ``held`` is true if the idempotency table still contains it."""
         if self.ownership.role is PeerRole.ABSENT:
             return
         key = claim_key(request)
@@ -167,7 +167,7 @@
         if isinstance(message, GrantRequest):
             self.counters.add("handover.asked")
             own_until_s = self.own_claims.get(message.key, 0.0)
-            # In doubt no key is granted: neither process knows what an earlier one ran.
+            # While in doubt, deny all keys: neither process knows which keys an earlier process ran.
             held = self.in_doubt or message.born_s <= own_until_s + SLACK_S
         outcome = self.ownership.receive(message, held)
         self.share_results(outcome.ended)
@@ -212,7 +212,7 @@
         proxy.result = claim.result if claim.succeeded else None
 
     def on_peer_lost(self) -> None:
-        """Note that the other process is gone; this one now decides alone, by the claims that it knows."""
+        """Handle the end of the other process; this process now decides alone, by the claims it knows."""
         outcome = self.ownership.on_peer_lost(self.module.clock())
         self.ownership.outbox.clear()
         self.share_results(outcome.ended)
--- a/beechrock/handover/load_exchange.py
+++ b/beechrock/handover/load_exchange.py
@@ -28,7 +28,7 @@
         self._sent = NO_LOAD
 
     def receive(self, report: LoadReport, present: bool = True) -> None:
-        """Post the other process's load to the module; ``present`` says whether that process exists."""
+        """Post the other process's load to the module; ``present`` is true if that process exists."""
         self.other_connections = report.connections
         self._module.post(OtherProcessLoad(report.runs, report.kb, report.calls, present))
         self._on_change()
--- a/beechrock/handover/node.py
+++ b/beechrock/handover/node.py
@@ -154,8 +154,8 @@
     def _on_drain_command(self, peer: ChannelPeer, drained: bool) -> None:
         """Apply an operator's drain command that was given at the other process.
 
-        If two commands cross, each process would keep the other's for ever. The older process therefore sends
-        back what it has applied, so that both end with its state.
+        If two commands cross, each process would keep the other's state for ever. The older process therefore
+        sends back the state that it has applied, so that both end with this state.
         """
         self.on_drain_command(drained)
         if peer.is_successor:
--- a/beechrock/handover/ownership.py
+++ b/beechrock/handover/ownership.py
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome(Generic[T]):
-    """Result of an event: attempts whose wait is over, and claims that have ended."""
+    """Result of an event: attempts that no longer wait, and claims that have ended."""
 
     attempts: tuple[T, ...] = ()
     ended: tuple[Claim, ...] = ()
@@ -86,7 +86,7 @@
 
     @property
     def is_idle(self) -> bool:
-        """Return whether no other process exists, and no claim or doubt of an earlier one remains."""
+        """Return whether no other process exists, and no claim or doubt of an earlier process remains."""
         return self.role is PeerRole.ABSENT and not self.other_claims.claims and not self.doubt.until_s
 
     def find_claim(self, key: bytes, born_s: float) -> Claim | None:
@@ -144,9 +144,9 @@
         """Claim the key for an attempt that is about to run here, and return whether it may run.
 
         It may not if its grant was returned because another attempt under the same grant never began.
-        ``earlier_run_open`` says that the key's previous run is still open although its window is over. The
-        other process is told now that it has ended, as it will get no other end of it and would take both
-        runs for one.
+        ``earlier_run_open`` is true if the key's previous run is still open although its window has ended.
+        The other process is then sent the end of that run, as it would get no other end and would take
+        both runs for one.
         """
         grant = self.grants.grants.get(key)
         if grant is not None and grant.given_back:
@@ -167,7 +167,7 @@
     def release(self, key: bytes, earlier: EarlierRun | None = None) -> None:
         """Release the claim of an attempt that did not run; ``earlier`` is the run that counts again."""
         known = self.other_claims.claims.get(key)
-        # A run of an earlier process counts as well, and only this process can tell the successor of it.
+        # A run of an earlier process counts as well; the successor can learn of it only from this process.
         if (
             self.role is PeerRole.SUCCESSOR
             and known is not None
@@ -226,7 +226,7 @@
             self.outbox.append(KeyReleased(key))
 
     def receive(self, message: Message, held: bool) -> Outcome[T]:
-        """Process a message of the other process; ``held`` says whether a requested key must be denied."""
+        """Process a message of the other process; ``held`` is true if a requested key must be denied."""
         match message:
             case KeyClaimed(key, digest, until_s):
                 self.other_claims.add(Claim(key, digest, until_s))
--- a/beechrock/handover/peer.py
+++ b/beechrock/handover/peer.py
@@ -127,7 +127,7 @@
         return unsent_bytes(self._writer) > 0 or has_undelivered(self._writer)
 
     def _cut(self, writer: asyncio.StreamWriter | None) -> None:
-        """Shut down both directions; what the other process has already sent is still received."""
+        """Shut down both directions; data that the other process has already sent is still received."""
         if writer is None:
             self.drop()
             return
--- a/beechrock/handover/predecessor.py
+++ b/beechrock/handover/predecessor.py
@@ -76,7 +76,7 @@
         self.ready_sent = False
 
     def on_hello(self, peer: ChannelPeer, understood: bool) -> None:
-        """Process the predecessor's hello; ``understood`` says whether it has this version."""
+        """Process the predecessor's hello; ``understood`` is true if its version matches this one."""
         self._parts.lifecycle.on_hello(self._parts.module.clock(), understood)
         if not understood:
             peer.incompatible = True
@@ -102,7 +102,7 @@
             self._parts.on_change()
 
     def announce_ready(self) -> None:
-        """Tell the predecessor, once per channel, that this process accepts connections."""
+        """Notify the predecessor, once per channel, that this process accepts connections."""
         lifecycle = self._parts.lifecycle
         peer = self._parts.links.predecessor
         if lifecycle.predecessor is not PredecessorStage.SYNCED or not lifecycle.serving:
--- a/beechrock/handover/shared.py
+++ b/beechrock/handover/shared.py
@@ -11,7 +11,7 @@
 from beechrock.handover.load_exchange import LoadExchange
 from beechrock.handover.peer import PeerLinks
 
-RETRY_S = 0.05  # Seconds between two attempts to reach a predecessor, or two checks whether the doubt is over
+RETRY_S = 0.05  # Seconds between attempts to reach a predecessor, and between checks whether doubt has ended
 
 
 @dataclass(frozen=True, slots=True)
--- a/beechrock/handover/successors.py
+++ b/beechrock/handover/successors.py
@@ -93,7 +93,7 @@
         self.join_next()
 
     def on_hello(self, peer: ChannelPeer, understood: bool) -> None:
-        """Process a successor's hello; ``understood`` says whether it has this version."""
+        """Process a successor's hello; ``understood`` is true if its version matches this one."""
         self.waiting.append(peer)
         if understood:
             self._join(peer)
@@ -107,13 +107,13 @@
             self._join(peer)
 
     def _join(self, peer: ChannelPeer) -> None:
-        """Start the copy to a successor if this process is the authority and no other one has joined."""
+        """Start the copy to a successor if this process is the authority and no successor has joined."""
         parts = self._parts
         if not parts.lifecycle.authority or parts.links.successor is not None:
             peer.send(Deferral())
             return
         # An incomplete copy would let the successor run keys twice. Without a copy it serves unkeyed requests
-        # and rejects keyed ones.
+        # and rejects keyed requests.
         if parts.keys.misses_runs:
             parts.counters.spawn(self._join_after_doubt(), "handover.doubt")
             return
--- a/beechrock/handover/wire.py
+++ b/beechrock/handover/wire.py
@@ -35,7 +35,7 @@
 MESSAGE_HEAD = struct.Struct(">IB")
 MAX_RESULT_BYTES = 65_536  # Maximum size of a result that is sent; repeats of runs with longer ones fail
 MAX_MESSAGE_BYTES = MAX_RESULT_BYTES + 512
-MAX_MEDIA_BYTES = 255  # Maximum length of a media type; a result with a longer one is not sent either
+MAX_MEDIA_BYTES = 255  # Maximum bytes of a media type; a result with a longer media type is not sent
 
 # Message class and layout of its fields, in their order, by type number.
 LAYOUTS: dict[int, tuple[Callable[..., Message], struct.Struct]] = {
@@ -121,7 +121,7 @@
             return _decode_run_ended(payload)
         message_type, layout = LAYOUTS[number]
         values = layout.unpack(payload)
-        # A claim with an infinite end would never be swept, and one that ends at NaN would never be found.
+        # A claim with an infinite end would never be swept, and a claim that ends at NaN never found.
         if not all(math.isfinite(value) for value in values if isinstance(value, float)):
             raise WireError(f"a message of type {number} has a time that is not finite")
         return message_type(*values)
