--- a/beechrock/agree/codec.py
+++ b/beechrock/agree/codec.py
@@ -45,7 +45,7 @@
 NUMBERS = {kind: number for number, kind in TYPES.items()}
 FIELD_NAMES = {kind: tuple(field.name for field in fields(kind)) for kind in TYPES.values()}
 ENUM_TYPES: tuple[type[IntEnum], ...] = (m.EntryKind, m.MemoryStatus, m.Verdict)
-# For each type, the enum types of its enum fields by position; msgpack writes their values as numbers.
+# Enum types of the enum fields of each message type, by field position; msgpack writes enums as numbers.
 ENUM_FIELDS: dict[type[Any], dict[int, type[IntEnum]]] = {
     kind: {
         position: cast(type[IntEnum], field.type)
--- a/beechrock/agree/core.py
+++ b/beechrock/agree/core.py
@@ -192,7 +192,7 @@
     # --- events ----------------------------------------------------------------------------------------
 
     def tick(self, now_s: float) -> list[Action]:
-        """Advance the time and do what is due; must be called every ``rules.tick_s`` seconds."""
+        """Advance the time and do all due work; must be called every ``rules.tick_s`` seconds."""
         self.context.set_time(now_s)
         self.lease.tick(now_s)
         self.proof.tick(self.elections.leader_contact_s)
@@ -283,7 +283,7 @@
         return self.context.drain_actions()
 
     def transfer_leadership(self, now_s: float) -> list[Action]:
-        """Give up the lease, and ask the most up-to-date voter to take over if one is ready."""
+        """Give up the lease, and ask the most up-to-date voter to take over if a voter is ready."""
         self.context.advance(now_s)
         if self.terms.role is Role.LEADER:
             successor = self.replication.most_advanced_voter()
--- a/beechrock/agree/epochs.py
+++ b/beechrock/agree/epochs.py
@@ -1,4 +1,4 @@
-"""The epochs of all members' journals, as this member knows them: its own, and the newest of each other one.
+"""Epochs of all members' journals as known to this member: its own, and each peer's newest known epoch.
 
 States: this member's epochs, oldest first; the newest known mark (epoch and synced records) of each peer; the
 epoch counts that answers reported since the last candidacy. Events: an opening of this member's journal, a
@@ -90,14 +90,14 @@
             self._writer.persist(PeerMark(peer, new))
 
     def replace_mark(self, peer: str, mark: Mark) -> None:
-        """Replace and write a peer's mark, even by one that is not newer."""
+        """Replace and persist a peer's mark, even if the new mark is not newer."""
         self._marks[peer] = mark
         self._writer.persist(PeerMark(peer, mark))
 
     def known_counts(self, names: tuple[str, ...]) -> tuple[EpochCount, ...]:
         """Return the newest known epoch count of each of these members.
 
-        Answers carry them, so that their receiver drops what a member's former process granted.
+        Answers carry these counts, so that the receiver drops grants of a member's former process.
         """
         return tuple((name, self._marks[name].count) for name in names if name in self._marks)
 
--- a/beechrock/agree/follower.py
+++ b/beechrock/agree/follower.py
@@ -120,7 +120,7 @@
             self._replicated.write_entries(tuple(entry for entry in entries if entry.index >= first))
 
     def _acknowledge(self, leader: str, number: int) -> None:
-        """Report what is synced; the answer leaves only after the term itself is synced."""
+        """Acknowledge the synced entries; the answer is sent only after the term itself is synced."""
         self._writer.send_after_sync(leader, self._append_reply(number, True))
 
     def on_durable(self) -> None:
--- a/beechrock/agree/journal_writer.py
+++ b/beechrock/agree/journal_writer.py
@@ -1,4 +1,4 @@
-"""The order of a member's writes and sends: a message that promises something is sent after its sync.
+"""Order of a member's writes and sends: a message that relies on a write is sent after the write's sync.
 
 States: writes that are not synced yet; messages deferred until one of them is synced; the synced index and
 position. Events: ``persist`` (queues a write), ``send_after_sync``, ``on_synced`` (the disk has synced),
--- a/beechrock/agree/machines.py
+++ b/beechrock/agree/machines.py
@@ -34,7 +34,7 @@
         """Return the machine's whole state."""
 
     def restore(self, data: bytes) -> None:
-        """Replace the state by one that ``snapshot`` returned."""
+        """Replace the machine's state by a state that ``snapshot`` returned."""
 
 
 class NoEffect(Enum):
--- a/beechrock/agree/memory_proof.py
+++ b/beechrock/agree/memory_proof.py
@@ -109,7 +109,7 @@
 
     @property
     def may_be_candidate(self) -> bool:
-        """Whether this member may ask for votes, which includes a voter whose removal may be uncommitted.
+        """Whether this member may ask for votes; a voter whose removal may be uncommitted may do so too.
 
         Its log may be the only one that holds the removal; it then leads without a vote of its own.
         """
@@ -130,8 +130,8 @@
         self._reprove_if_stuck(leader_contact_s)
         if self.status is MemoryStatus.PROVEN:
             return
-        # A barred member keeps asking: until its epoch's count is above all known ones, its answers are taken
-        # for a former process's, and it never catches up.
+        # A barred member keeps sending queries: until its epoch's count is above all known counts, its
+        # answers are attributed to a former process, and it never catches up.
         unproven = self.status is MemoryStatus.UNPROVEN
         every_s = self._rules.heartbeat_s if unproven else self._rules.lease_s
         if now_s >= self._queried_s + every_s:
--- a/beechrock/agree/messages.py
+++ b/beechrock/agree/messages.py
@@ -27,7 +27,7 @@
 
 
 class Verdict(IntEnum):
-    """How a member's journal compares with what another member knew of it."""
+    """Result of comparing a member's journal with the state that another member knew of it."""
 
     SAME = 0
     NEWER = 1
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemoryQuery:
-    """Request to compare the sender's journal with what the receiver knows of it."""
+    """Request to compare the sender's journal with the state that the receiver knows of it."""
 
     epochs: tuple[Epoch, ...]
     empty: bool  # whether the sender found no term, snapshot or entry in its journal at the start
--- a/beechrock/agree/proposal_client.py
+++ b/beechrock/agree/proposal_client.py
@@ -1,4 +1,4 @@
-"""Proposals of this node's other parts: each is sent until its outcome is known, then its caller is answered.
+"""Client for proposals of other parts: sends each until its outcome is known, then answers its caller.
 
 States and events of one proposal: proposals.py. Events here: a call, ticks, a new leader, an applied entry, a
 restored snapshot, a rejection. Invariants: a caller gets the result of its own proposal exactly once, or an
@@ -88,7 +88,7 @@
     # --- events ----------------------------------------------------------------------------------------
 
     def forward_due(self, link: LeaderLink) -> None:
-        """Send all proposals that are due to the leader, if one is known."""
+        """Send all due proposals to the leader, if a leader is known."""
         if not link.leader or not self._proposals.open:
             return
         for proposal in self._proposals.collect_due(self._clock()):
--- a/beechrock/agree/replication.py
+++ b/beechrock/agree/replication.py
@@ -56,7 +56,7 @@
         self._proof = proof
         self._lease = lease
         self._reads = reads
-        self.peers: dict[str, Progress] = {}  # by node, for the term that this member leads or last led
+        self.peers: dict[str, Progress] = {}  # keyed by node; of the term that this member leads or last led
         self._broadcast_s = float("-inf")  # start of the newest round, in seconds
         self._broadcast_commit = 0  # commit index sent in the newest round
 
@@ -177,7 +177,7 @@
         count = message.mark.count
         former = count < peer.epoch_count and self._rules.on(Guard.OLD_EPOCH)
         if former or not self._epochs.is_current(sender, count):
-            return None  # a late answer of a former process, which says nothing about the new one's journal
+            return None  # a late answer of a former process: the new process's journal may differ
         if count > peer.epoch_count:
             if peer.epoch_count:
                 peer.restart()
--- a/beechrock/agree/rules.py
+++ b/beechrock/agree/rules.py
@@ -14,7 +14,7 @@
 MAX_UNACKNOWLEDGED = 1024  # Number of unacknowledged entries at which a follower is sent no further ones
 MAX_OPEN_PROPOSALS = 1024  # Length of the window of a proposer's numbers, from its oldest unsettled one on
 MAX_READS = 4096  # Maximum number of reads that wait at the leader for a quorum's answers
-MAX_SESSIONS = 4096  # Sessions kept, one per start of a node; the least recently used one is dropped first
+MAX_SESSIONS = 4096  # Maximum sessions, one per start of a node; the least recently used is dropped
 MAX_VOTERS = 7  # Each further voter adds a disk sync that commits may have to wait for
 MAX_EPOCHS = 8  # Number of newest openings of its own journal that each member keeps and sends
 
--- a/beechrock/agree/voters.py
+++ b/beechrock/agree/voters.py
@@ -17,7 +17,7 @@
 
 
 def proof_quorum(count: int) -> int:
-    """Return how many other voters must report so that every majority with a member includes one of them.
+    """Return how many other voters must report so that each majority with a given member has a reporter.
 
     ``count`` is the number of all voters. Examples: two others of 3 voters, three others of 5.
     """
