--- a/beechrock/duties/generations.py
+++ b/beechrock/duties/generations.py
@@ -161,7 +161,7 @@
         """Do nothing: a pending proposal carries its fence and ends by itself."""
 
     def progress(self) -> tuple[int, int]:
-        """Return the number of generations agreed through this node, and 1 if one waits to be proposed."""
+        """Return how many generations this node got agreed, and how many wait to be proposed (0 or 1)."""
         return self.done, int(self.waiting)
 
     async def run(self) -> None:
--- a/beechrock/duties/grantor.py
+++ b/beechrock/duties/grantor.py
@@ -133,7 +133,7 @@
         self.members.discount_gap(now_s, shift_s)
 
     def _load(self) -> dict[str, int]:
-        """Return the number of duties by member, without those that it was asked to give back."""
+        """Return each member's number of duties, without duties that it was asked to give back."""
         load: dict[str, int] = {}
         for grant in self.grants.held.values():
             if grant.fence not in self.renewals.yield_requests:
--- a/beechrock/duties/grants.py
+++ b/beechrock/duties/grants.py
@@ -204,7 +204,7 @@
         if (
             current.fence if current is not None else 0
         ) != replaces and Guard.REPLACED_FENCE not in self.without:
-            # A leader that considers a proposal lost makes a second one; only one of the two may apply.
+            # A leader that considers a proposal lost makes a second proposal; only one of the two may apply.
             return Result.CHANGED
         if new.fence <= self.floor.get(name, 0):
             raise BrokenInvariantError(
--- a/beechrock/duties/ports.py
+++ b/beechrock/duties/ports.py
@@ -8,7 +8,7 @@
     """Worker that does the work of one duty.
 
     An error in ``take_over`` is logged, and the take-over is retried after each lease time. Errors in other
-    methods are logged, and the worker is then treated as one that hangs.
+    methods are logged, and the worker is then treated as hanging.
     """
 
     async def take_over(self, fence: int) -> None:
--- a/beechrock/duties/unclaimed.py
+++ b/beechrock/duties/unclaimed.py
@@ -1,4 +1,4 @@
-"""Unclaimed grants: those that their holder has never asked to renew, and that may be replaced early.
+"""Unclaimed grants: grants that their holder has never asked to renew, and that may be replaced early.
 
 States of a grant made in this leadership: unclaimed, then renewed (for good). A holder may act only after the
 first reply that renews its fence (holder.py), only the grantor of the leadership sends such replies, and a
@@ -29,7 +29,7 @@
         self.leader_epoch = leader_epoch  # grants with a higher fence were made in this leadership
         self.without = without
         self.renewed: set[int] = set()  # fences renewed at least once in this leadership
-        self.passed_over: dict[str, list[str]] = {}  # by duty, the members that did not claim it, latest last
+        self.passed_over: dict[str, list[str]] = {}  # members that did not claim a duty, by duty; latest last
 
     def on_renewed(self, name: str, fence: int) -> None:
         """Record that the holder asked for the fence and that the reply renews it."""
