--- a/beechrock/members/actor.py
+++ b/beechrock/members/actor.py
@@ -25,10 +25,10 @@
 
 TICKS_PER_PERIOD = 10  # Detector ticks per probe period
 PROBE_TIMEOUT_PERIODS = 0.3  # Wait for a direct answer, in probe periods; the rest is for helpers' probes
-MAX_SERVED_SYNCS = 4  # Maximum number of exchanges of full states served at once; the node's own one is extra
+MAX_SERVED_SYNCS = 4  # Maximum full-state exchanges served at once, besides this node's own exchange
 PORT_TRIES = 20  # Attempts to find a port free for datagrams and connections, if the system chooses it
 SYNC_TIMEOUT_PERIODS = 2.0  # Time limit to connect, and of an exchange, in periods; frees a stalled task
-MAX_QUEUED_DATAGRAMS = 512  # Capacity of the queue of received datagrams; further ones are dropped
+MAX_QUEUED_DATAGRAMS = 512  # Capacity of the queue of received datagrams; excess datagrams are dropped
 SIZE_BYTES = 2  # Size of the big-endian length prefix of each part sent over a connection, in bytes
 
 
--- a/beechrock/members/codec.py
+++ b/beechrock/members/codec.py
@@ -30,7 +30,7 @@
     Update,
 )
 
-VERSION = 1  # Format version; datagrams with another one are dropped. Fields added at the end keep it
+VERSION = 1  # Format version; other versions are dropped. Fields added at the end do not change it
 TAG_BYTES = 16  # Size of the authentication tag: 128 bits of keyed BLAKE3
 MAX_DATAGRAM_BYTES = 1200  # Small enough that no link fragments the datagram
 MAX_NAME_BYTES = 64  # Maximum length of a member's name, an address, a hall or a fleet's name
--- a/beechrock/members/detector.py
+++ b/beechrock/members/detector.py
@@ -89,7 +89,7 @@
         self.silent_probes = 0  # Consecutive probes without any message received
         self.next_probe_at_s = now_s
         self.probe: Probe | None = None
-        self.relayed: dict[int, RelayedProbe] = {}  # By the number of this member's own probe
+        self.relayed: dict[int, RelayedProbe] = {}  # Keyed by this member's probe number
         self.probe_order: list[str] = []  # Members still to be probed in this pass, the next one last
 
     # --- events
@@ -152,8 +152,8 @@
 
     def _apply_received(self, sender: str, message: Message, update: Update, now_s: float) -> None:
         full_state = isinstance(message, FullState)
-        # Members forget the dead at different times. Without this check, one that forgot them first would
-        # learn of them again from a full state, and so on without end.
+        # Members forget a dead member at different times. Without this check, the first member to forget it
+        # would learn of it again from a full state, and so on without end.
         if full_state and update.status.state >= MemberState.DEAD and update.name not in self.known:
             return
         self._apply(update, now_s, f"reported by {sender}", gossip=not full_state)
@@ -259,7 +259,7 @@
             self._send(self.known[name].update.address, request)
 
     def _end_probe(self, now_s: float) -> None:
-        """Close the open probe; suspect its target unless all helpers were silent or this one is accused."""
+        """Close the probe; suspect its target unless all helpers were silent or this member is accused."""
         probe, self.probe = self.probe, None
         if probe is None or probe.target not in self.known:
             return
@@ -268,7 +268,7 @@
         self.local_health = min(MAX_LOCAL_HEALTH, self.local_health + silent_helpers)
         if probe.helpers and not probe.helper_acks:
             self.silent_probes += 1  # Probably this member's own link fails, so it accuses nobody
-            if not self.isolated:  # An isolated member learns nothing about whom it can reach
+            if not self.isolated:  # An isolated member cannot learn whom it can reach
                 self._record_answer(direct=False)
             return
         self._record_answer(direct=False)
--- a/beechrock/members/halls.py
+++ b/beechrock/members/halls.py
@@ -65,7 +65,7 @@
         self.halls: dict[str, HallStatus] = {}
         if own_hall:
             self.halls[own_hall] = HallStatus(alive=1)
-        self.counted: dict[str, CountedAs] = {}  # By member's name
+        self.counted: dict[str, CountedAs] = {}  # Keyed by member's name
 
     def update(self, name: str, hall: str, state: MemberState | None) -> HallChanged | None:
         """Count the member in this hall and state (None if forgotten); return the hall's loss or return."""
--- a/beechrock/members/known.py
+++ b/beechrock/members/known.py
@@ -89,7 +89,7 @@
 
 
 class DeadlineQueue:
-    """Queue of the times at which suspicions end, and dead members and those that left are forgotten."""
+    """Queue of the times at which suspicions end, and at which dead or departed members are forgotten."""
 
     def __init__(self) -> None:
         self._heap: list[Deadline] = []
--- a/beechrock/members/messages.py
+++ b/beechrock/members/messages.py
@@ -121,7 +121,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HallChanged:
-    """A hall has no living member any more (``lost``), or one of its members is alive again."""
+    """A hall has lost its last living member (``lost``), or one of its members is alive again."""
 
     hall: str
     lost: bool
--- a/beechrock/members/state_sync.py
+++ b/beechrock/members/state_sync.py
@@ -111,7 +111,7 @@
             self._sync_soon()
 
     def _sync_soon(self) -> None:
-        """Bring the next exchange forward.
+        """Schedule the next exchange earlier.
 
         One round of exchanges at most triples the number of members that know an update: each passes it to
         the member that it calls and to the one that calls it. When two halves of a fleet met again, all
--- a/beechrock/members/view.py
+++ b/beechrock/members/view.py
@@ -30,12 +30,12 @@
 
 # An update is passed on this many times log2(n + 2) times, so that all members get it with high probability.
 GOSSIP_FACTOR = 4.0
-HELPERS = 3  # Number of members that are asked to probe one that did not answer
+HELPERS = 3  # Number of members that are asked to probe a member that did not answer
 MAX_LOCAL_HEALTH = 7  # Worst local health score; timeouts are at most 1 + this many times as long
 MIN_SUSPICION_PERIODS = 4.0  # Length of the shortest suspicion, in periods: this times log10(members)
 MAX_SUSPICION_FACTOR = 6.0  # Length of a suspicion with one accuser, as a multiple of the shortest
 HEALING_PERIODS = 10  # Periods after a dead member's return in which each round probes several dead ones
-FORGET_PERIODS = 300  # Periods for which dead members and those that left are kept
+FORGET_PERIODS = 300  # Periods for which dead and departed members are kept
 REFUTE_ANSWERS = 4  # Direct answers to the last REFUTE_PROBES probes needed to refute a reported death
 REFUTE_PROBES = 8  # Twice the answers needed, as with 30% loss each way 0.49 of the probes are answered
 # Periods after a reported death in which a refutation needs direct answers: as long as others remember it.
@@ -108,7 +108,7 @@
             known.update = replace(known.update, hall=update.hall)
             self._set_hall(update.name, update.hall, known_status.state)
         # The dead member still sends, but has not refuted its death. If it were forgotten after 300 periods
-        # of a cut, its old status would make it a new living member at once.
+        # of a partition, its old status would make it a new living member at once.
         if known_status.state is MemberState.DEAD and status.state is MemberState.ALIVE:
             self.deadlines.set(known, now_s + FORGET_PERIODS * self.period_s)
         # Some members declared the member dead before its refutation reached them. Notify it, so that its
