--- a/beechrock/talk/frames.py
+++ b/beechrock/talk/frames.py
@@ -30,8 +30,8 @@
     TAG = "tag"  # The frame is of another fleet, or for another connection; the connection is closed
     FORM = "form"  # The frame is malformed; the connection is closed
     UNKNOWN = "unknown"  # The sender is not a configured peer
-    OLD_LIFE = "old_life"  # The sending process has been replaced by a newer one of the same name
-    REPLAYED = "replayed"  # This frame, or a later one of the same sender, was received before
+    OLD_LIFE = "old_life"  # A newer process of the same name has replaced the sender
+    REPLAYED = "replayed"  # This frame, or a later frame of its sender, was received before
     CHANNEL = "channel"  # No part has registered a handler for the channel
     FULL = "full"  # The queue to the peer is full
     LATE = "late"  # The message waited in the queue for too long
@@ -58,7 +58,7 @@
 
 
 class Position(NamedTuple):
-    """The place of a frame in the sequence of its sender; compared life first."""
+    """Position of a frame in its sender's sequence; ordered by life, then by counter."""
 
     life: int
     counter: int
--- a/beechrock/talk/link.py
+++ b/beechrock/talk/link.py
@@ -1,7 +1,7 @@
 """Outbound link to one peer: a bounded queue of messages, and the connection over which they are sent.
 
 ``run`` reconnects, with backoff, until its task ends. Messages wait in the queue meanwhile, and are dropped
-once they are too old: the parts send again those that still matter.
+once they are too old: the parts resend messages that are still needed.
 """
 
 import asyncio
--- a/beechrock/talk/part.py
+++ b/beechrock/talk/part.py
@@ -27,7 +27,7 @@
 from beechrock.talk.link import MAX_QUEUED_BYTES, OutboundLink, Sender, accounted_bytes
 from beechrock.talk.settings import FleetSettings
 
-# Inbound connections per peer, on average; beyond that the oldest one is closed, and its peer reconnects.
+# Maximum average of inbound connections per peer; beyond it the oldest is closed, and its peer reconnects.
 MAX_INBOUND_PER_PEER = 4
 LIFE_FILE = "talk.life"  # File in the state folder that holds the last life number used
 UNKNOWN_SENDER = ""  # Used for unconfigured senders, and for connections before their first valid frame
