--- a/beechrock/logs.py
+++ b/beechrock/logs.py
@@ -37,7 +37,7 @@
                 self.stream.write(text[start : start + MAX_WRITE_CHARS])
                 self.stream.flush()
             self.dropped = 0
-        except Exception:  # as in the base class: a log line must not end the program
+        except Exception:  # any error, like the base class: a log line must not end the program
             self.handleError(record)
 
     def _takes_more(self) -> bool:
--- a/beechrock/parts.py
+++ b/beechrock/parts.py
@@ -27,7 +27,8 @@
     "replica": "beechrock.replica",
     "limits": "beechrock.limits",
 }
-# Tables whose part reads its settings in ``told.py``; remove an entry once that file is ``settings.py``.
+# Configuration tables whose part reads its settings in ``told.py``; remove an entry once its part has
+# ``settings.py`` instead.
 OLD_SETTINGS_MODULE = {"edges", "lowering", "releases", "replica", "limits"}
 # Tables that a table requires; their parts are created before its own.
 NEEDS = {
--- a/beechrock/program.py
+++ b/beechrock/program.py
@@ -20,7 +20,7 @@
 from beechrock.net.registry import Registry
 from beechrock.settings import settings_from
 
-if TYPE_CHECKING:  # at run time these are imported only if the configuration enables their part
+if TYPE_CHECKING:  # imported at run time only if the configuration enables the part
     from pathlib import Path
 
     from beechrock.admin.http import AdminFront
@@ -262,7 +262,7 @@
             self._follow_handover()
 
     def _announce_leave(self) -> None:
-        """Tell the module its time limit, and the registry whether this node is draining or replaced."""
+        """Send the module its time limit; report to the registry whether this node drains or is replaced."""
         self._post_shutdown_request(self.graceful_shutdown.steps.module_s())
         if self.registry is not None:
             self.registry.mailbox.put("ready" if self.replaced else "draining")
@@ -389,7 +389,7 @@
 
         Requests in the backlog of a listening socket are answered too: it is emptied before it is closed.
         """
-        # With no other process that accepts from a shared socket, its backlog is answered here as well.
+        # If no other process accepts from a shared socket, this process answers its backlog as well.
         if self.handover is not None and not self.handover.lifecycle.accepting:
             self.handover.end()  # new connections are the other process's
         await self.graceful_shutdown.end_connections(
--- a/beechrock/start.py
+++ b/beechrock/start.py
@@ -86,6 +86,6 @@
     logging.shutdown()
     for stream in (sys.stdout, sys.stderr):
         if stream is not None:  # None if the process was started without this descriptor
-            with contextlib.suppress(OSError, ValueError):  # the stream's reader is gone
+            with contextlib.suppress(OSError, ValueError):  # the reader of the stream may be gone
                 stream.flush()
     os._exit(code)
