--- a/beechrock/core/requests.py
+++ b/beechrock/core/requests.py
@@ -233,7 +233,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ShutdownRequested:
-    """Shutdown notice: the process ends in ``remaining_s`` seconds. ``replaced``: another process takes over."""
+    """Shutdown notice: the process ends in ``remaining_s`` s. ``replaced``: another process takes over."""
 
     remaining_s: float
     replaced: bool = False
