--- a/beechrock/agree/proposal_client.py
+++ b/beechrock/agree/proposal_client.py
@@ -1,4 +1,4 @@
-"""Client for proposals of other parts: sends each until its outcome is known, then answers its caller.
+"""Client for proposals of this node's parts: sends each until its outcome is known, then answers its caller.
 
 States and events of one proposal: proposals.py. Events here: a call, ticks, a new leader, an applied entry, a
 restored snapshot, a rejection. Invariants: a caller gets the result of its own proposal exactly once, or an
--- a/beechrock/core/clock_offset.py
+++ b/beechrock/core/clock_offset.py
@@ -46,8 +46,8 @@
     """When a request reached the machine, in steady seconds, and the uncertainty of that."""
 
     born: float  # earliest possible birth that leaves any time; due times count from it
-    earlier_s: float = 0.0  # seconds by which the birth may be earlier; repeats are looked up from there
-    later_s: float = 0.0  # seconds by which the birth may be later; a new key is remembered from there
+    earlier_s: float = 0.0  # seconds by which it may be earlier; repeats are looked up as of this birth
+    later_s: float = 0.0  # seconds by which it may be later; a new key is remembered from the latest birth
 
 
 FAR_OFF = Birth(-math.inf)  # no offset of the remembered time explains the stamp
--- a/beechrock/core/requests.py
+++ b/beechrock/core/requests.py
@@ -50,7 +50,7 @@
     nonce: str | None = None  # keyed classes: idempotency key, shared by all retries
     entity: str | None = None  # reads: key of the subject that is read
     limits_tenant: int | None = None  # index of the limits' tenant, which replaces the team's
-    # Callback at the request's end, with the run time in seconds, or None if it never ran.
+    # Called once when the request ends, with the seconds that its run took, or None if it never ran.
     ended: Callable[[float | None], None] | None = None
     # Uncertainty of ``born`` after a step of the wall clock: seconds by which it may be earlier or later.
     earlier_s: float = 0.0
--- a/beechrock/duties/candidates.py
+++ b/beechrock/duties/candidates.py
@@ -51,7 +51,7 @@
     ]
     passed_over_again = [
         [member for member in candidates.recent if member.name == name] for name in passed_over[:-1]
-    ]  # the member passed over longest ago comes first; the latest member is left out
+    ]  # the member passed over longest ago comes first; the member passed over last is left out
     # An unstable holder is better than none, so the groups with fewer restrictions follow.
     for group in (available_for_duty, available, new, *passed_over_again, candidates.all):
         if (holder := choose(duty, group, load, limit)) is not None:
--- a/beechrock/handover/lifecycle.py
+++ b/beechrock/handover/lifecycle.py
@@ -105,7 +105,7 @@
         self._enter(PredecessorStage.ABSENT)
 
     def on_hello(self, now_s: float, understood: bool) -> None:
-        """Record the predecessor's hello; ``understood`` is true if its version matches this one."""
+        """Record the predecessor's hello; ``understood`` is true if both processes' versions are equal."""
         if self.predecessor is PredecessorStage.CONNECTED:
             if understood:
                 self._enter(PredecessorStage.COPYING, now_s + COPY_TIMEOUT_S)
--- a/beechrock/handover/predecessor.py
+++ b/beechrock/handover/predecessor.py
@@ -76,7 +76,7 @@
         self.ready_sent = False
 
     def on_hello(self, peer: ChannelPeer, understood: bool) -> None:
-        """Process the predecessor's hello; ``understood`` is true if its version matches this one."""
+        """Process the predecessor's hello; ``understood`` is true if both processes' versions are equal."""
         self._parts.lifecycle.on_hello(self._parts.module.clock(), understood)
         if not understood:
             peer.incompatible = True
--- a/beechrock/handover/successors.py
+++ b/beechrock/handover/successors.py
@@ -93,7 +93,7 @@
         self.join_next()
 
     def on_hello(self, peer: ChannelPeer, understood: bool) -> None:
-        """Process a successor's hello; ``understood`` is true if its version matches this one."""
+        """Process a successor's hello; ``understood`` is true if both processes' versions are equal."""
         self.waiting.append(peer)
         if understood:
             self._join(peer)
--- a/beechrock/limits/gate.py
+++ b/beechrock/limits/gate.py
@@ -16,7 +16,8 @@
 from beechrock.limits.shares import Shares
 from beechrock.limits.tree import Node, Rejection, RejectReason
 
-# Retry advice while a higher ceiling is synced, which takes some milliseconds, or some tens on a busy disk.
+# Retry advice, in seconds, while a higher ceiling is synced, which takes some milliseconds, or some tens of
+# them on a busy disk.
 DISK_RETRY_AFTER_S = 0.1
 MIN_COST_GAIN = 0.05  # least weight of one run's cost in the mean cost of its contract's runs
 
--- a/beechrock/policy/requests.py
+++ b/beechrock/policy/requests.py
@@ -89,7 +89,7 @@
         self.calls_ahead = 0.0
         self.due: Queue = []  # Times by which requests must be answered
         self.use_end: Queue = []  # Times after which runs that can be stopped are too late to be useful
-        self.held: tuple[Queue, Queue] = ([], [])  # By end of objective; runs of the second must call
+        self.held: tuple[Queue, Queue] = ([], [])  # Two queues by end of objective; the second must call
         self.running_since: dict[int, float] = {}  # Start of each run, less its earlier time on the cores
 
     def add(self, entry: OpenRequest, answer_by_s: float) -> None:
