--- a/beechrock/members/view.py
+++ b/beechrock/members/view.py
@@ -177,14 +177,17 @@
         """Do nothing; overridden to act on each new status, which may make an open probe pointless."""
 
     def _notify_subject(self, address: str, update: Update) -> None:
-        """Send the update to the member that it is about; of all that learn of it about ``HELPERS`` do so."""
+        """Send the update to its subject at random.
+
+        Of all members that learn of the update, about ``HELPERS`` send it.
+        """
         if self.random.random() < HELPERS / max(1, len(self.living)):
             self._send(address, Ping(self._next_number(), updates=(update,)))
 
     # --- suspicion of others
 
     def _confirm_suspicion(self, known: KnownMember, accuser: str, now_s: float) -> None:
-        """Shorten the suspicion if the accuser is a further one, for at most ``HELPERS`` further ones.
+        """Shorten the suspicion if the accuser is new to it; at most ``HELPERS`` further accusers count.
 
         Members that only pass a suspicion on are no accusers: when they counted, at 30% loss, each suspicion
         had the shortest length.
@@ -245,9 +248,9 @@
     def _refute_if_reachable(self) -> None:
         """Refute at once; after a reported death only if enough of the last probes were answered directly.
 
-        Otherwise a member cut off from all others but one flaps, as that one relays the reports of its death
-        to it and its refutations to the others. In the simulator, among nine members, the others saw it die
-        and return 7 to 41 times in 300 s.
+        Otherwise a member that can reach only one other member flaps, as that member relays the reports of
+        its death to it and its refutations to the others. In the simulator, among nine members, the others
+        saw it die and return 7 to 41 times in 300 s.
         """
         proving = self.last_tick_s < self.proving_until_s
         if self.accusation is None or (proving and sum(self.direct_answers) < REFUTE_ANSWERS):
