--- a/beechrock/members/view.py
+++ b/beechrock/members/view.py
@@ -30,12 +30,12 @@
 
 # An update is passed on this many times log2(n + 2) times, so that all members get it with high probability.
 GOSSIP_FACTOR = 4.0
-HELPERS = 3  # Number of members that are asked to probe one that did not answer
+HELPERS = 3  # Number of members that are asked to probe a member that did not answer
 MAX_LOCAL_HEALTH = 7  # Worst local health score; timeouts are at most 1 + this many times as long
 MIN_SUSPICION_PERIODS = 4.0  # Length of the shortest suspicion, in periods: this times log10(members)
 MAX_SUSPICION_FACTOR = 6.0  # Length of a suspicion with one accuser, as a multiple of the shortest
 HEALING_PERIODS = 10  # Periods after a dead member's return in which each round probes several dead ones
-FORGET_PERIODS = 300  # Periods for which dead members and those that left are kept
+FORGET_PERIODS = 300  # Periods for which dead and departed members are kept
 REFUTE_ANSWERS = 4  # Direct answers to the last REFUTE_PROBES probes needed to refute a reported death
 REFUTE_PROBES = 8  # Twice the answers needed, as with 30% loss each way 0.49 of the probes are answered
 # Periods after a reported death in which a refutation needs direct answers: as long as others remember it.
@@ -108,7 +108,7 @@
             known.update = replace(known.update, hall=update.hall)
             self._set_hall(update.name, update.hall, known_status.state)
         # The dead member still sends, but has not refuted its death. If it were forgotten after 300 periods
-        # of a cut, its old status would make it a new living member at once.
+        # of a partition, its old status would make it a new living member at once.
         if known_status.state is MemberState.DEAD and status.state is MemberState.ALIVE:
             self.deadlines.set(known, now_s + FORGET_PERIODS * self.period_s)
         # Some members declared the member dead before its refutation reached them. Notify it, so that its
@@ -177,14 +177,17 @@
         """Do nothing; overridden to act on each new status, which may make an open probe pointless."""
 
     def _notify_subject(self, address: str, update: Update) -> None:
-        """Send the update to the member that it is about; of all that learn of it about ``HELPERS`` do so."""
+        """Send the update to its subject at random.
+
+        Of all members that learn of the update, about ``HELPERS`` send it.
+        """
         if self.random.random() < HELPERS / max(1, len(self.living)):
             self._send(address, Ping(self._next_number(), updates=(update,)))
 
     # --- suspicion of others
 
     def _confirm_suspicion(self, known: KnownMember, accuser: str, now_s: float) -> None:
-        """Shorten the suspicion if the accuser is a further one, for at most ``HELPERS`` further ones.
+        """Shorten the suspicion if the accuser is new to it; at most ``HELPERS`` further accusers count.
 
         Members that only pass a suspicion on are no accusers: when they counted, at 30% loss, each suspicion
         had the shortest length.
@@ -245,9 +248,9 @@
     def _refute_if_reachable(self) -> None:
         """Refute at once; after a reported death only if enough of the last probes were answered directly.
 
-        Otherwise a member cut off from all others but one flaps, as that one relays the reports of its death
-        to it and its refutations to the others. In the simulator, among nine members, the others saw it die
-        and return 7 to 41 times in 300 s.
+        Otherwise a member that can reach only one other member flaps, as that member relays the reports of
+        its death to it and its refutations to the others. In the simulator, among nine members, the others
+        saw it die and return 7 to 41 times in 300 s.
         """
         proving = self.last_tick_s < self.proving_until_s
         if self.accusation is None or (proving and sum(self.direct_answers) < REFUTE_ANSWERS):
