--- a/beechrock/edges/__init__.py
+++ b/beechrock/edges/__init__.py
@@ -1,5 +1,6 @@
-"""Writes at edges that are cut off: queued durably, replayed upstream in causal order, each run once.
+"""Queue writes durably at edges that are cut off, and replay them upstream in causal order, each run once.
 
-Decides what is queued, in which order and how fast it goes up, and how it ends. Owns the edge's log and
-upstream's marks. May import errors, store, talk, duties; the pure modules import none of them.
+This package decides which writes are queued, the order and the rate of their replay, and how each one ends.
+It owns the edge's log and upstream's marks. It may import errors, store, talk and duties; its pure modules
+import none of them.
 """
--- a/beechrock/edges/actions.py
+++ b/beechrock/edges/actions.py
@@ -1,7 +1,7 @@
-"""What a pure part asks of those round it. Pure.
+"""Actions that the pure modules return for the actor to carry out. Pure.
 
-Whatever the log was given in a turn is synced before any of these is carried out: nothing is promised that a
-crash could take back.
+All records that a turn appended to the log are synced before any of its actions is carried out, so a crash
+cannot undo a promise.
 """
 
 from dataclasses import dataclass
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """Upstream: have the module take it; ``ran`` is told how it came out."""
+    """Upstream's request to run a write in the module; the outcome is reported to ``ran``."""
 
     key: int
     entry: Entry
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """The caller hears 202 and its receipt."""
+    """Answer to the caller: 202 with the receipt of its accepted write."""
 
     ref: int
     dot: Dot
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Turned:
-    """The caller hears 503: nothing of it was kept."""
+    """Answer to the caller: 503, as its write was refused and not stored."""
 
     ref: int
     after_s: float
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Done:
-    """The caller hears what upstream said to its straight write; ``failed`` also where it is not known."""
+    """Answer to the caller: upstream's verdict on its straight write; ``failed`` if that is unknown."""
 
     ref: int
     verdict: str
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Noted:
-    """For the history: an end."""
+    """The end of a write, to be logged as an event for the history."""
 
     dot: Dot
     nonce: str
--- a/beechrock/edges/build.py
+++ b/beechrock/edges/build.py
@@ -1,4 +1,4 @@
-"""Puts an edge's member together from its parts. Pure."""
+"""Builds the state machine of an edge's member from its components. Pure."""
 
 from collections.abc import Mapping
 
@@ -11,7 +11,7 @@
 from beechrock.edges.whom import Whom
 from beechrock.edges.words import Log, Names
 
-HEARD_PROBES = 6.0  # a member silent for so many probes is not counted on for copies
+HEARD_PROBES = 6.0  # Probe intervals after which a silent member is not expected to take copies
 
 
 def edge(
@@ -26,7 +26,7 @@
     without: frozenset[str] = frozenset(),
     folder: bytes = b"",
 ) -> Edge:
-    """``without``: guards that a test takes out; nothing else may."""
+    """Return a new edge member; ``without`` names guards to disable and is for tests only."""
     queue = Queue(most_bytes, without)
     holder = Holder(Picker(queue), Pace(without=without))
     held = Copies(names.me, names.members, copies, max(2.0, HEARD_PROBES * probe_s), without)
--- a/beechrock/edges/causal.py
+++ b/beechrock/edges/causal.py
@@ -1,21 +1,21 @@
-"""Causal order of writes: dots, what a caller has seen, version vectors, and the tokens that carry them.
-Pure.
+"""Causal order of writes: dots, dependencies, version vectors, and the tokens that carry them. Pure.
 
 A *dot* names one accepted write: its writer (``edge/member/life``) and a counter that the writer raises by
-one. A life is drawn anew at each start of a member, so a folder restored from an old copy can never name two
-writes alike.
+one. A member draws a new life at each start, so a folder restored from an old copy can never give two writes
+the same name.
 
-``Seen`` is what a write depends on. ``dots``: the writes themselves, exact, so that one that is held holds
-its dependents and nothing else. ``upto``: all of a writer up to a counter; where the dots of a writer are too
-many they are folded into it, which only adds order. ``known``: the highest counter of each writer in the
-whole past, used alone to tell whether two writes are concurrent. ``height``: longer than that of each write
-it depends on; with the dot it is the rank, a total order that agrees with the causal one and needs no clock.
+``Seen`` holds the dependencies of a write. ``dots``: exact names of writes, so that a held write delays its
+dependents and nothing else. ``upto``: for a writer, all its writes up to a counter; where a writer has too
+many dots they are folded into it, which can only add ordering. ``known``: the highest counter of each writer
+in the whole past, used only to decide whether two writes are concurrent. ``height``: a number greater than
+the height of every write it depends on; together with the dot it is the rank, a total order that agrees with
+the causal order and needs no clock.
 
-Invariants: all four are bounded by the writers, not by callers; merging never takes a dependency away; a
-token is believed only under its tag.
+Invariants: the size of all four is bounded by the number of writers, not of callers; merging never removes a
+dependency; a token is accepted only if its tag is valid.
 
-A life is *closed* by upstream once no write of it can run any more (``marks``): of all its writes nothing is
-kept but that they are over.
+Upstream *closes* a life once no write of it can run any more (``marks``): of its writes only the fact that
+all have ended is kept.
 """
 
 import base64
@@ -31,11 +31,11 @@
 
 from beechrock.edges.errors import EdgeInvariantError, ForgedTokenError, TooMuchSeenError
 
-MOST_DOTS = 8  # of one writer; more are folded
-MOST_WRITERS = 64  # that a request waits for; beyond that it is refused
-MOST_KNOWN = 48  # lives in the past of a write; beyond that those that have ended are left out
-MOST_CLOSED = 4096  # names of closed lives
-MOST_TOKEN = 4096  # characters, all tokens of a request together
+MOST_DOTS = 8  # Maximum number of dots kept per writer; more are folded into ``upto``
+MOST_WRITERS = 64  # Maximum number of writers that a request may depend on; it is refused above that
+MOST_KNOWN = 48  # Maximum number of lives in ``known``; above it, lives whose writes have ended are omitted
+MOST_CLOSED = 4096  # Maximum number of closed lives whose names are kept
+MOST_TOKEN = 4096  # Maximum total length of the tokens of a request, in characters
 TAG_BYTES = 12
 TOKEN_FORM = 1
 
@@ -57,7 +57,7 @@
 
 
 class Spans:
-    """A set of counters as few closed spans; ``upto``: all from 1 to there are in."""
+    """A set of counters as sorted, disjoint closed ranges; all counters from 1 to ``upto`` are in it."""
 
     __slots__ = ("spans",)
 
@@ -65,7 +65,7 @@
         self.spans: list[list[int]] = [[*span] for span in spans]
 
     def __contains__(self, n: int) -> bool:
-        for a, b in self.spans:  # in order, and asked for each write by each member
+        for a, b in self.spans:  # A linear scan is enough: the spans are sorted and few
             if n <= b:
                 return n >= a
         return False
@@ -82,12 +82,12 @@
         return self.spans[-1][1] if self.spans else 0
 
     def add(self, n: int, last: int | None = None) -> None:
-        """``n``, or all from ``n`` to ``last``."""
+        """Add the counter ``n``, or all counters from ``n`` to ``last``."""
         a, b = n, n if last is None else last
-        if self.spans and self.spans[-1][1] == a - 1:  # by far the most frequent
+        if self.spans and self.spans[-1][1] == a - 1:  # Fast path: by far the most frequent case
             self.spans[-1][1] = b
             return
-        for span in self.spans:  # what is told again and again is had
+        for span in self.spans:  # Repeated gossip often adds counters that are already in the set
             if span[1] >= a:
                 if span[0] <= a and b <= span[1]:
                     return
@@ -103,11 +103,11 @@
         self.spans = kept
 
     def since(self, n: int) -> list[int]:
-        """All from ``n`` on."""
+        """Return all counters in the set that are at least ``n``."""
         return [k for a, b in self.spans for k in range(max(a, n), b + 1)]
 
     def gaps(self, other: "Spans", most: int) -> list[int]:
-        """Up to ``most`` counters that ``other`` has and this one lacks, lowest first."""
+        """Return up to ``most`` counters that ``other`` has and this set lacks, lowest first."""
         found: list[int] = []
         for a, b in other.spans:
             n = a
@@ -121,13 +121,13 @@
 
 
 class Vector:
-    """A set of dots, by writer: what is had, or what has ended; all dots of a closed life are in it."""
+    """A set of dots by writer, such as the writes held or ended; all dots of a closed life are in it."""
 
     __slots__ = ("closed", "of")
 
     def __init__(self, of: dict[str, Spans] | None = None) -> None:
         self.of = of if of is not None else {}
-        self.closed: dict[str, None] = {}  # in the order of closing
+        self.closed: dict[str, None] = {}  # Closed lives, in the order of closing
 
     def __contains__(self, dot: Dot) -> bool:
         spans = self.of.get(dot.writer)
@@ -146,7 +146,7 @@
     def merge(self, other: "Vector") -> None:
         for writer, spans in other.of.items():
             mine = self.of.get(writer)
-            # Without that one who has not heard of the closing yet would bring the life back for good.
+            # Otherwise a peer that does not know of the closing yet would bring the life back for good.
             if writer in self.closed:
                 continue
             if mine is None:
@@ -165,13 +165,13 @@
         return {writer: spans.spans for writer, spans in self.of.items()}
 
     @classmethod
-    def of_plain(cls, told: Mapping[str, Iterable[Iterable[int]]]) -> "Vector":
-        return cls({writer: Spans(spans) for writer, spans in told.items()})
+    def of_plain(cls, plain: Mapping[str, Iterable[Iterable[int]]]) -> "Vector":
+        return cls({writer: Spans(spans) for writer, spans in plain.items()})
 
 
 @dataclass(frozen=True, slots=True)
 class Seen:
-    """What a write, or a read, has to come after."""
+    """The writes that a write or a read depends on, and so has to follow."""
 
     dots: frozenset[Dot] = frozenset()
     upto: Mapping[str, int] = field(default_factory=dict)
@@ -194,12 +194,12 @@
         return Seen(*_folded(dots, upto), known, height)
 
     def of_write(self, dot: Dot) -> "Seen":
-        """What is seen by who made this write: its own past stands behind it, so the one dot is enough."""
+        """Return what the caller of the write ``dot`` has seen: the one dot, which implies this past."""
         known = {**self.known, dot.writer: max(dot.n, self.known.get(dot.writer, 0))}
         return Seen(frozenset((dot,)), {}, known, self.height + 1)
 
     def missing(self, ended: Vector) -> list[Dot]:
-        """Those not in ``ended``; of a folded writer the first one that is not."""
+        """Return the dependencies that are not in ``ended``; for a folded writer only the first of them."""
         lacking = [dot for dot in sorted(self.dots) if dot not in ended]
         for writer, n in sorted(self.upto.items()):
             if (first := ended.upto(writer) + 1) <= n:
@@ -207,11 +207,11 @@
         return lacking
 
     def less(self, ended: Vector) -> "Seen":
-        """Without what has ended: that much shorter, and the same order."""
+        """Return a copy without the dependencies that have ended, which orders writes in the same way."""
         known = {w: n for w, n in self.known.items() if w not in ended.closed} if ended.closed else self.known
         if (over := len(known) - MOST_KNOWN) > 0:
-            # Without a bound a subject's chain named each life that ever wrote to it, and its tokens were
-            # refused.
+            # Without this bound a chain of writes to one subject named every life that ever wrote to it, and
+            # its tokens grew until they were refused.
             out = set(islice((w for w, n in known.items() if ended.upto(w) >= n), over))
             known = {w: n for w, n in known.items() if w not in out}
         return Seen(
@@ -222,15 +222,15 @@
         )
 
     def knows(self, dot: Dot) -> bool:
-        """Whether the write lies in the past of this one, as far as writers tell it."""
+        """Whether the write ``dot`` is in the causal past, by the highest known counter of its writer."""
         return self.known.get(dot.writer, 0) >= dot.n
 
     def plain(self) -> list[Any]:
         return [[[d.writer, d.n] for d in sorted(self.dots)], dict(self.upto), dict(self.known), self.height]
 
     @classmethod
-    def of_plain(cls, told: list[Any]) -> "Seen":
-        dots, upto, known, height = told
+    def of_plain(cls, plain: list[Any]) -> "Seen":
+        dots, upto, known, height = plain
         return cls(frozenset(Dot(w, n) for w, n in dots), upto, known, height)
 
 
@@ -238,7 +238,7 @@
 
 
 def _folded(dots: set[Dot], upto: dict[str, int]) -> tuple[frozenset[Dot], dict[str, int]]:
-    """Folds the dots of a writer that has too many; drops those that ``upto`` has."""
+    """Fold the dots of a writer that has too many into ``upto``; drop dots that ``upto`` covers."""
     by: dict[str, list[int]] = {}
     for writer, n in dots:
         by.setdefault(writer, []).append(n)
@@ -252,10 +252,10 @@
 
 
 class Heads:
-    """The last write of each session, or of each subject: bounded, and never forgets order.
+    """A bounded table of the last writes of each session, or of each subject, which never loses ordering.
 
-    Who falls out of the table is folded into ``rest``, on which all depend that are not in it. Without that a
-    session beyond the bound would have its writes reordered in silence.
+    An evicted entry is folded into ``rest``, on which every session or subject that is not in the table
+    depends. Otherwise the writes of an evicted session could be reordered without notice.
     """
 
     def __init__(self, most: int) -> None:
@@ -270,8 +270,10 @@
         return self.held.get(place, self.rest)
 
     def put(self, place: int, after: Seen, dot: Dot, ended: Vector) -> None:
-        """``dot`` is the newest; others stay beside it unless it comes after them. ``after``: its own
-        past."""
+        """Record ``dot``, which depends on ``after``, as the newest write of ``place``.
+
+        Earlier heads that it does not depend on, and that have not ended, are kept beside it.
+        """
         before = self.held.pop(place, None)
         new = after.of_write(dot)
         if before is not None:
@@ -286,7 +288,7 @@
             self.rest = self.rest.merge(oldest)
 
     def tidy(self, ended: Vector) -> None:
-        """Forget those whose writes have ended."""
+        """Remove the entries whose writes have all ended."""
         self.rest = self.rest.less(ended)
         for place in [p for p, seen in self.held.items() if not seen.less(ended)]:
             del self.held[place]
@@ -294,7 +296,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Token:
-    """A receipt: what its caller has seen, and on which members the write lies."""
+    """The content of a receipt: what its caller has seen, and which members store the write."""
 
     seen: Seen
     places: tuple[str, ...] = ()
@@ -306,32 +308,38 @@
         return next(iter(self.seen.dots))
 
     def encode(self, key: bytes) -> str:
-        said: bytes = msgpack.packb([TOKEN_FORM, self.seen.plain(), list(self.places)])
-        return base64.urlsafe_b64encode(_tag(said, key) + said).decode().rstrip("=")
+        payload: bytes = msgpack.packb([TOKEN_FORM, self.seen.plain(), list(self.places)])
+        return base64.urlsafe_b64encode(_tag(payload, key) + payload).decode().rstrip("=")
 
     @classmethod
     def decode(cls, text: str, key: bytes) -> "Token":
-        """ForgedTokenError for all that was not encoded under this key."""
+        """Return the decoded token.
+
+        Raises ForgedTokenError for a text that was not encoded with this key.
+        """
         try:
             raw = base64.urlsafe_b64decode(text.strip() + "=" * (-len(text.strip()) % 4))
         except ValueError:
             raw = b""
-        tag, said = raw[:TAG_BYTES], raw[TAG_BYTES:]
-        # A caller who could make tokens up could hold others' reads back, or name writes that never come.
-        if not said or not hmac.compare_digest(tag, _tag(said, key)):
+        tag, payload = raw[:TAG_BYTES], raw[TAG_BYTES:]
+        # A caller that could forge tokens could delay reads of others, or depend on writes that never exist.
+        if not payload or not hmac.compare_digest(tag, _tag(payload, key)):
             raise ForgedTokenError(
                 "a token that this fleet did not give out",
                 where="X-Seen",
                 wanted="the X-Receipt of an earlier answer, unchanged",
             )
-        form, seen, places = msgpack.unpackb(said)
+        form, seen, places = msgpack.unpackb(payload)
         if form != TOKEN_FORM:
             raise ForgedTokenError(f"a token of form {form}", where="X-Seen", wanted=f"form {TOKEN_FORM}")
         return cls(Seen.of_plain(seen), tuple(places))
 
 
 def read_tokens(text: str, key: bytes) -> Seen:
-    """All tokens of a request, separated by commas. ForgedTokenError, TooMuchSeenError."""
+    """Return the merged content of the tokens of a request, which are separated by commas.
+
+    Raises ForgedTokenError or TooMuchSeenError.
+    """
     if len(text) > MOST_TOKEN:
         raise TooMuchSeenError(
             f"tokens of {len(text)} characters", where="X-Seen", wanted=f"at most {MOST_TOKEN}"
@@ -347,11 +355,11 @@
     return seen
 
 
-def _tag(said: bytes, key: bytes) -> bytes:
-    return hashlib.blake2b(said, digest_size=TAG_BYTES, key=key[:64], person=b"edge token").digest()
+def _tag(payload: bytes, key: bytes) -> bytes:
+    return hashlib.blake2b(payload, digest_size=TAG_BYTES, key=key[:64], person=b"edge token").digest()
 
 
 def check_after(seen: Seen, dot: Dot) -> None:
-    """Invariant: no write depends on itself or, of its own writer, on a later one."""
+    """Check that a write depends neither on itself nor on a later write of its own writer."""
     if dot in seen.dots or seen.upto.get(dot.writer, 0) >= dot.n or seen.known.get(dot.writer, 0) >= dot.n:
         raise EdgeInvariantError(f"{dot} would come after itself", where="edges.causal")
--- a/beechrock/edges/compacting.py
+++ b/beechrock/edges/compacting.py
@@ -1,4 +1,4 @@
-"""How an edge's log is freed of what has ended: writes that wait are written anew, then a snapshot. Pure."""
+"""Compaction of an edge's log: old waiting writes are appended again, then a snapshot is saved. Pure."""
 
 from contextlib import suppress
 from typing import TYPE_CHECKING
@@ -10,16 +10,16 @@
 if TYPE_CHECKING:
     from beechrock.edges.edge import Edge
 
-MOST_MOVED = 256  # writes that are written anew at a time
+MOST_MOVED = 256  # Maximum number of writes appended again in one pass
 
 
 def compact(edge: "Edge") -> None:
-    """Free the log's front: old writes that still wait are written anew at its end, few at a time."""
-    # A store frees whole segments: asked again before it has grown, this would cost a pass each turn.
-    least = max(3 * edge.queue.bytes_held, edge.compacted_bytes) + edge.slack_bytes
-    if edge.log.bytes_held < least:
+    """Free the front of the log by appending old waiting writes again at its end, a few at a time."""
+    # A store frees whole segments: without this threshold each turn would cost a pass that frees nothing.
+    threshold = max(3 * edge.queue.bytes_held, edge.compacted_bytes) + edge.slack_bytes
+    if edge.log.bytes_held < threshold:
         return
-    # On a full disk what can be written anew is, and the rest stays where it is.
+    # On a full disk as many writes as fit are appended again; the rest keep their place in the log.
     with suppress(StoreFullError):
         _compact(edge)
     edge.compacted_bytes = edge.log.bytes_held
@@ -35,6 +35,6 @@
         edge.have.plain(),
         edge.ended.plain(),
         [[*d, s.value, why] for d, (s, why) in edge.gone.items()],
-        [[*d, said] for d, said in edge.orders.items()],
+        [[*d, order] for d, order in edge.orders.items()],
     ]
     edge.log.save_snapshot(edge.log.last if first is None else first - 1, msgpack.packb(plain))
--- a/beechrock/edges/copies.py
+++ b/beechrock/edges/copies.py
@@ -1,13 +1,15 @@
-"""On which members of an edge an accepted write is durable, before the caller hears so. Pure.
-
-A write is *pending* from its writing here until ``copies`` members hold it on disk, this one counted. Then it
-is accepted. Before that its caller hears nothing; where it does not come to enough copies in time, the caller
-hears that it failed and may still run (it may: a copy can be out).
-Events: ``begin``, ``copied`` (a member has it durably), ``heard`` (a member lives), ``distrust``, ``tick``.
-Guards: a member whose folder was judged an older copy of itself does not count; nor does one twice. What is
-missing at a member, as after the loss of its disk, is found by comparing what each has (``Have``) and sent
-again, from whoever has it.
-Invariants: accepted means ``copies`` distinct members; a write is begun only if enough are heard.
+"""Tracks which members of an edge store a write durably before its caller is answered. Pure.
+
+A write is *pending* from its append to the local log until ``copies`` members, including this one, have it on
+disk. Then it is accepted. Until then its caller gets no answer; if it does not reach enough copies in time,
+the caller is told that the write failed but may still run, as a member may hold a copy of it.
+Events: ``begin``, ``copied`` (a member has stored it durably), ``heard`` (a member is alive), ``distrust``,
+``tick``.
+Guards: a member whose folder was found to be an older copy of itself does not count, and no member counts
+twice. Writes that a member lacks, as after the loss of its disk, are found by comparing what each member has
+(``Have``), and any member that has them sends them again.
+Invariants: an accepted write is on ``copies`` distinct members; a write is begun only if enough members were
+heard lately.
 """
 
 from dataclasses import dataclass, field
@@ -17,7 +19,7 @@
 
 RESEND_S = 0.1
 MOST_PENDING = 4096
-AGAIN_S = 2.0  # when to come back if too few members are heard
+AGAIN_S = 2.0  # Seconds after which a refused caller is told to retry
 
 
 @dataclass(slots=True)
@@ -34,36 +36,42 @@
     me: str
     members: tuple[str, ...]
     copies: int
-    heard_s: float  # a member silent for so long is not counted on
+    heard_s: float  # Seconds of silence after which a member is not expected to take copies
     without: frozenset[str] = frozenset()
     pending: dict[Dot, Pending] = field(default_factory=dict)
     last_heard: dict[str, float] = field(default_factory=dict)
     distrusted: set[str] = field(default_factory=set)
-    crowded: set[str] = field(default_factory=set)  # whose disk takes nothing, as they say
-    full: bool = False  # this node's disk takes nothing, as those round it tell
-    disk: str = "the disk of this node is full"  # what is said then
-    met: Exception | None = None  # what the log said to a write or copy; for those round it
+    crowded: set[str] = field(default_factory=set)  # Members that report that their disk takes no writes
+    full: bool = False  # Whether this node's disk takes no writes; set by the actor
+    disk: str = "the disk of this node is full"  # Error text for writes refused while ``full``
+    met: Exception | None = None  # Error of the last failed append to the log; read by the actor
 
     def others(self) -> tuple[str, ...]:
         return tuple(name for name in self.members if name != self.me)
 
     def reached(self, now: float) -> list[str]:
-        """Other members heard lately, whose folders are what they were, and have room."""
-        not_these = self.distrusted | self.crowded
+        """Return the other members that were heard lately, are trusted, and have room on their disk."""
+        excluded = self.distrusted | self.crowded
         return [
             name
             for name in self.others()
-            if now - self.last_heard.get(name, -1e9) <= self.heard_s and name not in not_these
+            if now - self.last_heard.get(name, -1e9) <= self.heard_s and name not in excluded
         ]
 
-    def _needed(self, told: int) -> int:
-        """``told``: by the write's contract; 0: as the edge has it. Never more than there are members."""
-        return min(told or self.copies, len(self.members))
+    def _needed(self, requested: int) -> int:
+        """Return the number of copies a write needs, at most the number of members.
 
-    def able(self, now: float, told: int = 0) -> None:
-        """EdgeFullError where a write could not be copied: refused before it is written anywhere.
+        ``requested`` is the number in the write's contract; 0 means the default of the edge.
+        """
+        return min(requested or self.copies, len(self.members))
+
+    def able(self, now: float, requested: int = 0) -> None:
+        """Check that a write can get its copies, before it is stored anywhere.
+
+        Otherwise each write on the small side of a split edge would wait for its whole deadline and then fail
+        with an unknown outcome.
 
-        Without it each write of the small side of a split edge would wait its whole time, then fail in doubt.
+        Raises EdgeFullError if too few members are reachable or this node's disk takes no writes.
         """
         if self.full:
             raise EdgeDiskWaitsError(
@@ -74,7 +82,7 @@
                 do="see `disk` in /edges; it goes on by itself",
             )
         reached = len(self.reached(now)) + 1
-        needed = self._needed(told)
+        needed = self._needed(requested)
         if "able" not in self.without and reached < needed:
             raise EdgeFullError(
                 f"{reached} of {needed} members for copies are heard",
@@ -90,24 +98,27 @@
         self.last_heard[member] = now
 
     def crowd(self, member: str, full: bool) -> None:
-        """Without it each write that needs a member whose disk takes nothing waits its time, then fails in
-        doubt."""
+        """Record whether a member's disk is full.
+
+        Otherwise each write that needs a copy there would wait for its deadline and then fail with an unknown
+        outcome.
+        """
         (self.crowded.add if full else self.crowded.discard)(member)
 
     def distrust(self, member: str, older: bool) -> None:
-        """``older``: its folder is an older copy than it told before; it proves itself by a new mark."""
+        """Record whether a member's folder is an older copy of the one that it reported before."""
         (self.distrusted.add if older and "folder" not in self.without else self.distrusted.discard)(member)
 
-    def begin(self, dot: Dot, packed: bytes, due_s: float, now: float, told: int = 0) -> bool:
-        """True: enough copies already (the one here)."""
-        needed = self._needed(told)
+    def begin(self, dot: Dot, packed: bytes, due_s: float, now: float, requested: int = 0) -> bool:
+        """Begin to count the copies of a write; return True if the local copy is enough."""
+        needed = self._needed(requested)
         if needed <= 1 or "copies" in self.without:
             return True
         self.pending[dot] = Pending(packed, due_s, now + RESEND_S, needed)
         return False
 
     def copied(self, member: str, dot: Dot) -> bool:
-        """True once, when the write has all its copies."""
+        """Record a copy at a member; return True exactly once, when the write has all its copies."""
         held = self.pending.get(dot)
         if held is None or member == self.me or member not in self.members or member in self.distrusted:
             return False
@@ -122,15 +133,15 @@
         return (self.me, *sorted(held.holders)) if held is not None else (self.me,)
 
     def tick(self, now: float) -> tuple[list[Dot], dict[str, list[bytes]]]:
-        """Those out of time, and what to send again, by member."""
+        """Return the writes whose deadline has passed, and the packed writes to send again, by member."""
         late = [dot for dot, held in self.pending.items() if held.due_s <= now]
         for dot in late:
             del self.pending[dot]
-        again: dict[str, list[bytes]] = {}
+        resend: dict[str, list[bytes]] = {}
         for held in self.pending.values():
             if held.resend_s <= now:
                 held.resend_s = now + RESEND_S
                 for name in self.others():
                     if name not in held.holders:
-                        again.setdefault(name, []).append(held.packed)
-        return late, again
+                        resend.setdefault(name, []).append(held.packed)
+        return late, resend
--- a/beechrock/edges/differ.py
+++ b/beechrock/edges/differ.py
@@ -1,12 +1,12 @@
-"""Concurrent writes of one subject that differ: which of them holds, the same for all who look. Pure.
+"""Resolution of conflicts between concurrent writes to one subject, with one result for all readers. Pure.
 
-Rules (``services.when_differing``): BOTH runs all. LAST: the write of the highest rank holds; rank is the
-causal height, then the dot, never a clock. FIRST: the one that upstream ran first holds; what did not know it
-is superseded. Upstream keeps, durably, the *standing* write of each subject, so one place decides and all see
-the same.
+Rules (``services.when_differing``): BOTH runs all. LAST: the write with the highest rank wins; the rank is
+the causal height, then the dot, and never a clock. FIRST: the write that upstream ran first wins, and a later
+write that did not know it is superseded. Upstream durably keeps the *standing* (winning) write of each
+subject, so the decision is made in one place.
 
-Invariants: with LAST what ran last of a subject's writes has the highest rank of all that came, in whichever
-order they came; with FIRST each write that ran knew the one that stood before it.
+Invariants: with LAST the write of a subject that ran last has the highest rank of all that arrived, whatever
+their order of arrival; with FIRST each write that ran knew the standing write before it.
 """
 
 from collections import OrderedDict
@@ -16,7 +16,9 @@
 
 from beechrock.edges.causal import Dot, Seen
 
-MOST_SUBJECTS = 16_384  # beyond it the one longest untouched is forgotten: its next write simply runs
+# Maximum number of subjects with a standing write; the least recently written one is evicted, and the next
+# write to it simply runs.
+MOST_SUBJECTS = 16_384
 
 
 class Differing(Enum):
@@ -40,7 +42,7 @@
     subjects: OrderedDict[int, Standing] = field(default_factory=OrderedDict)
 
     def superseded_by(self, rule: Differing, place: int, new: Standing) -> Dot | None:
-        """The standing write that makes ``new`` void; None: it runs."""
+        """Return the standing write that supersedes ``new``, or None if ``new`` may run."""
         held = self.subjects.get(place)
         if rule is Differing.BOTH or held is None or held.dot in new.seen.dots:
             return None
@@ -49,7 +51,7 @@
         return None if new.seen.knows(held.dot) else held.dot
 
     def ran(self, rule: Differing, place: int, new: Standing) -> None:
-        """It was applied: what stood before it stands no more."""
+        """Record that ``new`` was applied and is now the standing write of its subject."""
         if rule is Differing.BOTH:
             return
         self.subjects.pop(place, None)
@@ -58,7 +60,7 @@
             self.subjects.popitem(last=False)
 
     def forget(self, writer: str) -> None:
-        """A life that is closed: what comes now cannot say whether it came after it."""
+        """Forget the standing writes of a closed life: new writes cannot tell whether they follow them."""
         for place in [place for place, held in self.subjects.items() if held.dot.writer == writer]:
             del self.subjects[place]
 
@@ -66,7 +68,7 @@
         return [[place, list(s.dot), s.seen.plain()] for place, s in self.subjects.items()]
 
     @classmethod
-    def of_plain(cls, told: list[Any]) -> "Differ":
+    def of_plain(cls, plain: list[Any]) -> "Differ":
         return cls(
-            OrderedDict((place, Standing(Dot(*dot), Seen.of_plain(seen))) for place, dot, seen in told)
+            OrderedDict((place, Standing(Dot(*dot), Seen.of_plain(seen))) for place, dot, seen in plain)
         )
--- a/beechrock/edges/edge.py
+++ b/beechrock/edges/edge.py
@@ -1,14 +1,14 @@
-"""One member of an edge: what it accepts, sends straight, copies, and, as the duty's holder, replays. Pure.
+"""State machine of one member of an edge: accepts, forwards, copies and replays writes. Pure.
 
-Events: ``write`` (a caller's), ``hear`` (a word of another member or of upstream), ``tick``, ``duty`` (the
-fence under which this member replays, or None), ``order`` (an operator's word). Each gives actions; what was
-appended to the log meanwhile is synced before they are carried out.
+Events: ``write`` (from a caller), ``hear`` (a message from another member or from upstream), ``tick``,
+``duty`` (the fence under which this member replays, or None), ``order`` (a command of an operator). Each
+returns actions; records appended to the log meanwhile are synced before the actions are carried out.
 
-A write goes straight if the link is good and nothing that it depends on waits; else it is queued: a dot, the
-log, the other members' logs, then 202. Straight and without an answer in time it is queued under the same
-key, so it runs once.
-Invariants: 202 only with ``copies`` durable copies; a write leaves the queue only by an end of upstream's;
-nothing is offered by who holds no fence.
+A write goes straight to upstream if the link is good and none of its dependencies waits. Otherwise it is
+queued: it gets a dot, is appended to this log and to the other members' logs, and is answered with 202. A
+straight write without an answer in time is queued under the same key, so it runs once.
+Invariants: 202 is sent only with ``copies`` durable copies; a write leaves the queue only by an end decided
+upstream; a member without a fence offers nothing.
 """
 
 from collections import OrderedDict
@@ -48,10 +48,10 @@
 from beechrock.store.errors import StoreFailedError, StoreFullError
 
 GOSSIP_S = 0.5
-MOST_COPIED = 64  # writes sent to one member in one answer to what it has
+MOST_COPIED = 64  # Maximum number of writes sent to one member in one ``Copy`` message
 MOST_SESSIONS, MOST_SUBJECTS, MOST_GONE, MOST_ORDERS = 8192, 65_536, 8192, 1024
-COPY_SLACK = 1.25  # members' queues differ a little; a copy finds room where a new write does not
-STRAIGHT_S = 2.0  # a straight write without an answer is queued
+COPY_SLACK = 1.25  # Factor on the queue's bound for copies, as members' queues differ a little in size
+STRAIGHT_S = 2.0  # Seconds after which a straight write without an answer is queued
 CUT_AFTER_S, GOOD_AFTER_S = 5.0, 0.5
 ENTRY, ORDER = b"E", b"O"
 
@@ -67,38 +67,40 @@
     whom: Whom
     shares: Mapping[str, float] = field(default_factory=dict)
     without: frozenset[str] = frozenset()
-    folder: bytes = b""  # the mark of this member's store
-    older: bool = False  # upstream's marks are not what they were: to this member it is cut off
+    folder: bytes = b""  # Packed mark of this member's store
+    older: bool = False  # Whether upstream lost marks; this member then treats upstream as cut off
     have: Vector = field(default_factory=Vector)
-    ended: Vector = field(default_factory=Vector)  # as upstream told it
+    ended: Vector = field(default_factory=Vector)  # Writes that have ended, as reported by upstream
     sessions: Heads = field(default_factory=lambda: Heads(MOST_SESSIONS))
     subjects: Heads = field(default_factory=lambda: Heads(MOST_SUBJECTS))
     gone: OrderedDict[Dot, tuple[State, str]] = field(default_factory=OrderedDict)
     orders: dict[Dot, str] = field(default_factory=dict)
-    refs: dict[Dot, tuple[int, Seen]] = field(default_factory=dict)  # callers that wait for copies
+    refs: dict[Dot, tuple[int, Seen]] = field(default_factory=dict)  # Callers whose writes await copies
     straight: dict[int, Waiting] = field(default_factory=dict)
     counter: int = 0
     numbers: int = 0
     closed_at: int = 0
-    slack_bytes: int = 1 << 20  # of ended writes that the log may hold before it is compacted
+    slack_bytes: int = 1 << 20  # Bytes by which the log may grow before it is compacted again
     compacted_bytes: int = 0
     probe_at: float = 0.0
     gossip_at: float = 0.0
-    proven: set[str] = field(default_factory=set)  # members that hold all that waits here
+    proven: set[str] = field(default_factory=set)  # Members that hold every write that waits here
     out: list[Action] = field(default_factory=list)
 
-    # --- what lasts
+    # --- durable state
 
     def restore(self, snapshot: bytes | None, first: int, records: Iterable[bytes]) -> None:
-        """``records``: those of the log from index ``first`` on. What has ended shows once upstream
-        answers."""
+        """Restore the state from a snapshot and the ``records`` of the log from index ``first`` on.
+
+        Later ends of these writes become known once upstream answers.
+        """
         if snapshot is not None:
             form, have, ended, gone, orders = msgpack.unpackb(snapshot)
             if form != 1:
                 raise EdgeRecordError(f"an edge's snapshot of form {form}", wanted="form 1")
             self.have, self.ended = Vector.of_plain(have), Vector.of_plain(ended)
             self.gone = OrderedDict((Dot(w, n), (State(s), why)) for w, n, s, why in gone)
-            self.orders = {Dot(w, n): said for w, n, said in orders}
+            self.orders = {Dot(w, n): order for w, n, order in orders}
         for index, record in enumerate(records, first):
             if record[:1] == ENTRY:
                 entry = Entry.unpack(record[1:])
@@ -107,13 +109,13 @@
                 elif entry.dot not in self.ended:
                     self._hold(entry, len(record), index)
             elif record[:1] == ORDER:
-                writer, n, said = msgpack.unpackb(record[1:])
-                self.orders[Dot(writer, n)] = said
+                writer, n, order = msgpack.unpackb(record[1:])
+                self.orders[Dot(writer, n)] = order
             else:
                 raise EdgeRecordError(f"a record of kind {record[:1]!r}", do="start the newer version")
 
     def compact(self) -> None:
-        """Free the log's front, once it is worth it."""
+        """Free the front of the log, if it has grown enough since the last time."""
         compact(self)
 
     def entry(self, dot: Dot) -> Entry:
@@ -122,7 +124,7 @@
     # --- callers
 
     def write(self, now: float, now_s: float, write: Write) -> list[Action]:
-        """Straight, queued, or turned away; the answer may come with a later event."""
+        """Forward, queue or refuse a caller's write; its answer may be an action of a later event."""
         after = self._after(write)
         behind = bool(after.missing(self.ended)) and "behind" not in self.without
         if self.link.straight and not behind:
@@ -135,7 +137,7 @@
         return self._done()
 
     def reads(self, seen: Seen) -> float | None:
-        """None: a read with this token may be answered; else after how many seconds to come again."""
+        """Return None if a read that depends on ``seen`` may be answered, else its retry delay in seconds."""
         if "seen" in self.without or not seen.missing(self.ended):
             return None
         return GOOD_AFTER_S if self.link.straight else CUT_AFTER_S
@@ -149,7 +151,10 @@
         return after.less(self.ended)
 
     def _accept(self, now: float, now_s: float, write: Write, tried: bool = False) -> None:
-        """``tried``: it went straight before, and may have run; so it can no longer be turned away."""
+        """Queue a write, or refuse it.
+
+        A write that was ``tried`` straight before may have run: it fails instead of being refused.
+        """
         after = self._after(write)
         dot = Dot(self.names.writer, self.counter + 1)
         entry = write.entry(dot, after, now_s)
@@ -167,9 +172,9 @@
         check_after(after, dot)
         try:
             place = self.log.append(record)
-        except (StoreFullError, StoreFailedError) as error:  # the disk, before anything is promised
+        except (StoreFullError, StoreFailedError) as error:  # Nothing has been promised yet
             self.copies.met = error
-            # After a write that failed nobody knows what of it stands: a start may find it, whole.
+            # It is unknown how much of a failed append is on disk: a restart may find the whole record.
             self.out.append(
                 Done(write.ref, "failed", f"it may still run; {error}\n".encode())
                 if tried or isinstance(error, StoreFailedError)
@@ -195,7 +200,7 @@
         if entry.subject:
             self.subjects.put(Heads.place(entry.service, entry.subject), entry.seen, entry.dot, self.ended)
 
-    # --- what is heard
+    # --- received messages
 
     def hear(self, now: float, now_s: float, sender: str, word: Word) -> list[Action]:
         if sender in self.names.members:
@@ -216,8 +221,8 @@
             case Told(ends, orders):
                 for writer, n, value, why in ends:
                     self.end(Dot(writer, n), State(value), why)
-                for writer, n, said in orders:
-                    self._ordered(Dot(writer, n), said)
+                for writer, n, order in orders:
+                    self._ordered(Dot(writer, n), order)
             case ProbeAck(_, ended, credit, gone, closed, closed_at) if not self.older:
                 for writer, n, value in gone:
                     if Dot(writer, n) in self.queue:
@@ -225,12 +230,12 @@
                 self._ended_upstream(Vector.of_plain(ended))
                 self._close(closed, closed_at)
                 self.holder.pace.credit = credit
-                was = self.link.straight
+                was_straight = self.link.straight
                 self.link.heard(now, len(self.queue))
-                if self.link.straight and not was:
+                if self.link.straight and not was_straight:
                     self.holder.pace.begin(self.names.edge, now)
-            case Ends() as told:
-                self.holder.ends(self, now, told)
+            case Ends() as ends_word:
+                self.holder.ends(self, now, ends_word)
             case StraightDone(number, verdict, body, media, after_s):
                 if (waiting := self.straight.pop(number, None)) is not None:
                     self.out.append(Done(waiting.write.ref, verdict, body, media, after_s))
@@ -244,7 +249,7 @@
             if entry.dot not in self.have and entry.dot not in self.ended:
                 size = self.queue.bytes_held + len(packed)
                 if size > COPY_SLACK * self.queue.most_bytes or self.copies.full:
-                    continue  # not answered: it does not count as a copy
+                    continue  # It is not acknowledged, so it does not count as a copy
                 record = ENTRY + packed
                 try:
                     self._hold(entry, len(record), self.log.append(record))
@@ -256,7 +261,10 @@
             self.send(sender, Copied(tuple(held), self.folder))
 
     def _share(self, sender: str, theirs: Vector) -> None:
-        """Send what the other lacks, whoever accepted it: half replicated writes, and lost disks, heal."""
+        """Send the waiting writes that a member lacks, whoever accepted them.
+
+        This completes partly replicated writes and refills a member whose disk was lost.
+        """
         sent, size = list[bytes](), 0
         for writer, lane in self.queue.lanes.items():
             mine = Spans([(lane.base, lane.base + len(lane.states) - 1)])
@@ -274,20 +282,22 @@
 
     def _ended_upstream(self, ended: Vector) -> None:
         for writer, lane in self.queue.lanes.items():
-            told = ended.of.get(writer)
-            if told is None:
+            theirs = ended.of.get(writer)
+            if theirs is None:
                 continue
             mine = self.ended.of.get(writer)
-            for n in mine.gaps(told, 1 << 20) if mine is not None else told.since(lane.base):
+            for n in mine.gaps(theirs, 1 << 20) if mine is not None else theirs.since(lane.base):
                 dot = Dot(writer, n)
                 if self.queue.end(dot, self.gone.get(dot, (State.APPLIED, ""))[0]):
                     self._landed(dot)
         self.ended.merge(ended)
 
     def _close(self, closed: tuple[str, ...], closed_at: int) -> None:
-        """Lives of which nothing can run any more; what waits here of one is ended first, by an offer."""
+        """Close the lives that upstream has closed, except those whose writes still wait here."""
         idle = [writer for writer in closed if self.queue.idle(writer)]
-        if len(self.ended.closed) + len(idle) > MOST_CLOSED:  # no head may need a name that goes
+        if (
+            len(self.ended.closed) + len(idle) > MOST_CLOSED
+        ):  # No head may depend on a life whose name is evicted
             self.sessions.tidy(self.ended)
             self.subjects.tidy(self.ended)
         for writer in idle:
@@ -313,7 +323,7 @@
     # --- time
 
     def duty(self, fence: int | None, now: float) -> list[Action]:
-        """The fence under which this member replays; None: another does, or none."""
+        """Set the fence under which this member replays; None means that it does not hold the duty."""
         self.holder.duty(self, fence, now)
         return self._done()
 
@@ -327,15 +337,15 @@
                     name,
                     Probe(self.numbers, self.names.edge, len(self.queue), self.names.writer, self.closed_at),
                 )
-        late, again = self.copies.tick(now)
+        late, resend = self.copies.tick(now)
         for dot in late:
             if (held := self.refs.pop(dot, None)) is not None:
                 self.out.append(Done(held[0], "failed", b"too few copies in time; it may still run\n"))
-        for name, packed in again.items():
+        for name, packed in resend.items():
             self.send(name, Copy(tuple(packed[:MOST_COPIED])))
         overdue = [n for n, w in self.straight.items() if w.due_s <= now or not self.link.straight]
         for number in overdue:
-            # Whether it ran upstream is not known here; under its key it runs once, queued or not.
+            # It may have run upstream; queued under the same idempotency key, it still runs only once.
             self._accept(now, now_s, self.straight.pop(number).write, tried=True)
         if now >= self.gossip_at:
             self.gossip_at = now + GOSSIP_S
@@ -346,8 +356,11 @@
 
     # --- operators
 
-    def order(self, dot: Dot, said: str) -> list[Action]:
-        """``release`` or ``discard``, durable here, and told to all; UnknownReceiptError."""
+    def order(self, dot: Dot, order: str) -> list[Action]:
+        """Record an operator's order, ``release`` or ``discard``, durably, and send it to all members.
+
+        Raises UnknownReceiptError if the write does not wait here.
+        """
         if not self.queue.waits(dot):
             raise UnknownReceiptError(
                 f"{dot} does not wait here",
@@ -359,24 +372,27 @@
             raise UnknownReceiptError(
                 f"{MOST_ORDERS} words of operators wait already", do="wait until some have been acted on"
             )
-        self._ordered(dot, said)
+        self._ordered(dot, order)
         self.holder.order_at = 0.0
         return self._done()
 
-    def _ordered(self, dot: Dot, said: str) -> None:
-        if self.orders.get(dot) != said and self.queue.waits(dot) and len(self.orders) < MOST_ORDERS:
-            self.log.append(ORDER + msgpack.packb([dot.writer, dot.n, said]))
-            self.orders[dot] = said
-            if said == "release":
+    def _ordered(self, dot: Dot, order: str) -> None:
+        if self.orders.get(dot) != order and self.queue.waits(dot) and len(self.orders) < MOST_ORDERS:
+            self.log.append(ORDER + msgpack.packb([dot.writer, dot.n, order]))
+            self.orders[dot] = order
+            if order == "release":
                 self.holder.picker.release(dot)
 
     def state(self, dot: Dot) -> tuple[State, str]:
-        """Where a write is, and why; UnknownReceiptError where it was never here."""
+        """Return the state of a write and its reason.
+
+        Raises UnknownReceiptError if this member knows nothing of the write.
+        """
         if dot in self.gone:
             return self.gone[dot]
         if (found := self.queue.state(dot)) is not None:
             return found, ""
-        if dot.writer in self.ended.of and dot in self.ended:  # of a closed life it is not known any more
+        if dot.writer in self.ended.of and dot in self.ended:  # Writes of a closed life are no longer known
             return State.APPLIED, ""
         raise UnknownReceiptError(
             f"{dot} is not known here",
--- a/beechrock/edges/errors.py
+++ b/beechrock/edges/errors.py
@@ -1,34 +1,34 @@
-"""What of the edges reaches an operator or a caller."""
+"""Errors of the edges that reach an operator or a caller."""
 
 from beechrock.errors import OperatorError
 
 
 class EdgeError(OperatorError):
-    """Root of this package's errors."""
+    """Base class of this package's errors."""
 
     event = "edges.error"
 
 
 class EdgeSettingError(EdgeError):
-    """A key of the table ``edges`` that cannot be meant."""
+    """A key of the table ``edges`` has a value that is not valid."""
 
     event = "edges.setting"
 
 
 class ForgedTokenError(EdgeError):
-    """A token that no edge of this fleet made, or that was changed on its way."""
+    """A token was not issued by an edge of this fleet, or was changed in transit."""
 
     event = "edges.forged"
 
 
 class TooMuchSeenError(EdgeError):
-    """A caller's tokens name more than is kept for one request."""
+    """A caller's tokens are too long, or depend on more writers than one request may."""
 
     event = "edges.too_much_seen"
 
 
 class EdgeFullError(EdgeError):
-    """The queue, or a team's share of it, has no room; ``after_s`` says when to come back."""
+    """The queue or a team's share is full, or copies cannot be made; ``after_s`` is the delay of a retry."""
 
     event = "edges.full"
 
@@ -38,24 +38,24 @@
 
 
 class EdgeDiskWaitsError(EdgeFullError):
-    """This node's disk is full, or fails for now; what would need it is refused until it works again."""
+    """This node's disk is full or fails; requests that need it are refused until it works again."""
 
     event = "edges.disk_waits"
 
 
 class UnknownReceiptError(EdgeError):
-    """A receipt that this node knows nothing of, or cannot be acted on as asked."""
+    """A receipt is unknown to this node, or the requested action on it is not possible."""
 
     event = "edges.unknown_receipt"
 
 
 class EdgeInvariantError(EdgeError):
-    """What can never be was seen; the part stops taking part, the service goes on."""
+    """An invariant of the edges is broken; this part stops, and the service goes on."""
 
     event = "edges.invariant"
 
 
 class EdgeRecordError(EdgeError):
-    """A record of the edge's log that cannot be read: written by a newer version, or damaged."""
+    """A record or message of the edges cannot be read: written by a newer version, or damaged."""
 
     event = "edges.record"
--- a/beechrock/edges/holder.py
+++ b/beechrock/edges/holder.py
@@ -1,11 +1,10 @@
-"""The replayer of an edge: the member that holds the duty offers what is queued to upstream, under its fence.
-Pure.
+"""The replayer of an edge: the duty's holder offers queued writes to upstream under its fence. Pure.
 
-Events: ``duty`` (a fence, or None), ``ends`` (upstream's word on offered writes), ``tick``.
-States of it: no fence (offers nothing), a fence and a good link (offers as ``Pace`` allows), STALE heard (no
-fence until the duty gives a newer one).
-Invariants: nothing is offered without a fence, nor with something before it that is not known to have ended,
-unless its time is over and upstream has to end it.
+Events: ``duty`` (a fence, or None), ``ends`` (upstream's results for offered writes), ``tick``.
+States: without a fence it offers nothing; with a fence and a good link it offers as many writes as ``Pace``
+allows; after STALE it has no fence until the duty gives a newer one.
+Invariants: a write is offered only under a fence, and only once all its dependencies are known to have ended,
+or once its ``keep_s`` is over, so that upstream expires it.
 """
 
 from dataclasses import dataclass, field
@@ -18,9 +17,9 @@
 if TYPE_CHECKING:
     from beechrock.edges.edge import Edge
 
-FLIGHT_S = 5.0  # an offer without any answer is sent again
+FLIGHT_S = 5.0  # Seconds after which an offer without an answer is sent again
 ORDER_S = 1.0
-OFFERED, LOOKED = 64, 256  # writes of one message, and looked at for it
+OFFERED, LOOKED = 64, 256  # Maximum number of writes in one offer, and examined to fill it
 MOST_ORDERED = 64
 
 
@@ -29,12 +28,12 @@
     picker: Picker
     pace: Pace = field(default_factory=Pace)
     fence: int | None = None
-    stale: int = LEAST_FENCE  # fences up to here are not used again
+    stale: int = LEAST_FENCE  # Highest fence that upstream called stale; up to it no fence is used again
     order_at: float = 0.0
     applied: int = 0
 
     def duty(self, edge: "Edge", fence: int | None, now: float) -> None:
-        """The fence under which this member replays; None: another does, or none."""
+        """Set the fence under which this member replays; None means that it does not hold the duty."""
         if fence == self.fence or (fence is not None and fence <= self.stale):
             return
         self.picker.stop()
@@ -44,41 +43,44 @@
             self.pace.begin(edge.names.edge, now)
 
     def ends(self, edge: "Edge", now: float, word: Ends) -> None:
-        """Upstream's word on what was offered, or settled without a run."""
+        """Handle upstream's results for writes that were offered, or settled without a run."""
         self.pace.credit = word.credit or self.pace.credit
-        told = []
+        not_applied = []
         for writer, n, said_value, value, why, after_s, dots in word.ends:
             dot, said, state = Dot(writer, n), Said(said_value), State(value)
-            flies = dot in self.picker.flights
+            in_flight = dot in self.picker.flights
             if said is Said.ENDED:
                 edge.end(dot, state, why)
-                if flies:
+                if in_flight:
                     self.applied += state is State.APPLIED
                     self.pace.ended()
                 if state is not State.APPLIED:
-                    told.append((writer, n, value, why))
+                    not_applied.append((writer, n, value, why))
             elif said is Said.STALE:
-                # Of an earlier fence of this member's own it says nothing: an answer may come late.
+                # A late answer to an offer under an earlier fence says nothing about the current one.
                 if word.fence == self.fence:
                     self.picker.stop()
                     self.stale, self.fence = word.fence, None
-            elif said is Said.LATER and flies:
+            elif said is Said.LATER and in_flight:
                 self.picker.back(dot)
                 if why == NO_ROOM:
                     self.pace.full(now)
                 else:
                     self.pace.later(now, after_s)
-            elif said is Said.BUSY and flies:
+            elif said is Said.BUSY and in_flight:
                 self.picker.flights[dot].due_s = now + FLIGHT_S
-            elif flies:
+            elif in_flight:
                 entry = self.picker.flights[dot].entry
                 self.picker.park(entry, said, tuple(Dot(w, k) for w, k in dots), now)
-        if told:
+        if not_applied:
             for name in edge.copies.others():
-                edge.send(name, Told(tuple(told)))
+                edge.send(name, Told(tuple(not_applied)))
 
     def ready_count(self) -> int:
-        """What waits and is not held for something; in flight counts, as it may be silent upstream."""
+        """Return the number of writes that wait and are not parked.
+
+        Writes in flight count too, as upstream may not answer them.
+        """
         return len(self.picker.queue) - len(self.picker.parked)
 
     def tick(self, edge: "Edge", now: float, now_s: float) -> None:
@@ -92,20 +94,20 @@
         self._offer(edge, now, now_s)
 
     def _expire(self, edge: "Edge", now: float, now_s: float) -> None:
-        """What is parked for long is looked at again once its time is over, so that upstream ends it."""
+        """Offer parked writes again once their ``keep_s`` is over, so that upstream expires them."""
         for dot in [d for d, held in self.picker.parked.items() if held.until_s < now_s]:
             self.picker.parked[dot].until_s = float("inf")
             self.picker.unpark(dot, True)
 
     def _orders(self, edge: "Edge") -> None:
-        """Operators' words go to all members again until they have been acted on; discards to upstream."""
-        told = tuple((dot.writer, dot.n, said) for dot, said in edge.orders.items())
-        for name in edge.copies.others() if told else ():
-            edge.send(name, Told((), told[:MOST_ORDERED]))
+        """Send operators' orders to all members until they are carried out, and discards to upstream."""
+        orders = tuple((dot.writer, dot.n, order) for dot, order in edge.orders.items())
+        for name in edge.copies.others() if orders else ():
+            edge.send(name, Told((), orders[:MOST_ORDERED]))
         ends = tuple(
             (dot.writer, dot.n, State.DISCARDED.value, "an operator discarded it")
-            for dot, said in edge.orders.items()
-            if said == "discard" and dot not in self.picker.flights
+            for dot, order in edge.orders.items()
+            if order == "discard" and dot not in self.picker.flights
         )
         if ends and self.fence is not None and edge.link.straight:
             edge.send(edge.whom.at, Settle(edge.names.edge, self.fence, ends[:MOST_ORDERED]))
@@ -127,10 +129,11 @@
                 break
             entry = edge.entry(dot)
             if edge.orders.get(dot) == "discard":
-                # Seen with processes: a discard goes up once an ORDER_S, and its write went before it.
+                # Discards are sent only once per ORDER_S: in a run with real processes the write was offered
+                # before its discard reached upstream.
                 self.picker.park(entry, Said.HELD, (), now)
                 continue
-            free = edge.orders.get(dot) == "release"
+            is_released = edge.orders.get(dot) == "release"
             missing = entry.seen.missing(edge.ended) if "depends" not in edge.without else []
             if missing and now_s - entry.accepted_at <= entry.keep_s:
                 self.picker.park(entry, Said.HELD, tuple(missing), now)
@@ -138,7 +141,7 @@
             self.picker.fly(entry, now + FLIGHT_S)
             self.pace.sent(again=False)
             packed.append(edge.log.entry(edge.queue.place(dot))[1:])
-            released.append(free)
+            released.append(is_released)
             size += len(packed[-1])
             room -= 1
         if packed:
--- a/beechrock/edges/kept.py
+++ b/beechrock/edges/kept.py
@@ -1,8 +1,8 @@
-"""What the nodes that are named upstream say to one another: the marks on more than one disk. Pure.
+"""Messages between the named upstream nodes, which replicate the marks on several disks. Pure.
 
-A *reign* is the time of one holder of the duty ``edges:upstream`` under one fence; the first record of each
-tells its fence, so that of any record it is known who wrote it. Two logs that have the same reign at an index
-are the same up to there.
+A *reign* is the term of one holder of the duty ``edges:upstream`` under one fence. The first record of each
+reign holds its fence, so the writer of every record is known. Two logs with the same reign at an index are
+identical up to that index.
 """
 
 from dataclasses import dataclass
@@ -15,26 +15,29 @@
 
 DUTY = "edges:upstream"
 MOST_NAMED = 5
-MOST_BATCH = 900_000  # bytes of records, or of a snapshot, in one message; the link takes 1 MB
-MOST_FLYING = 64  # batches without an answer; then none until it says what it holds
-FOUND = "found at a take-over"  # why an end is told, maybe once more
-REIGN = b"\x94\xa5reign"  # how a record that begins a reign begins
+MOST_BATCH = 900_000  # Maximum bytes of records or snapshot in one message; the link's bound is 1 MB
+MOST_FLYING = 64  # Maximum number of batches in flight to one peer; then none is sent until it answers
+FOUND = "found at a take-over"  # Reason of an end that a new holder reports, perhaps a second time
+REIGN = b"\x94\xa5reign"  # First bytes of a record that begins a reign
 Spans = tuple[tuple[int, int], ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Stand:
-    """A new holder's question: what do you hold? Who hears it refuses all earlier fences."""
+    """A new holder's request for a peer's log position; the receiver then refuses all earlier fences."""
 
     fence: int
-    folder: bytes = b""  # mark of the store that holds the sender's records
+    folder: bytes = b""  # Packed mark of the store that holds the sender's records
 
 
 @dataclass(frozen=True, slots=True)
 class Stood:
-    """``spans``: (reign, its last index), the newest first. ``whole``: holds all that was ever held by a
-    majority with this folder's help. ``older``: the asker's folder is not what it was. ``highest``: the fence
-    for which the asked one is refused, or 0."""
+    """The answer to ``Stand``: the sender's log position.
+
+    ``spans``: (reign, its last index), the newest first. ``whole``: the folder still has every record that it
+    helped a majority to hold. ``older``: the requester's folder is older than it was. ``highest``: the higher
+    fence because of which the request is refused, or 0.
+    """
 
     fence: int
     spans: Spans
@@ -46,8 +49,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Keep:
-    """Records after index ``after``, which is of ``reign``; ``held``: up to there a majority has all.
-    ``marks``: short ones of the named, as the holder knows them. ``whole``: the hearer's folder is whole."""
+    """Records to append after index ``after``, whose reign is ``reign``; also the holder's heartbeat.
+
+    ``held``: index up to which a majority holds all records. ``marks``: shortened folder marks of the named
+    nodes, as the holder knows them. ``whole``: the receiver's folder is whole.
+    """
 
     fence: int
     after: int
@@ -60,8 +66,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Kept:
-    """``index``: up to there the sender's log is the holder's, durably. Not ``good``: what came does not
-    follow; send on from ``spans``, or from byte ``at`` of the snapshot ``snap``."""
+    """The answer to ``Keep`` or ``Snap``.
+
+    ``index``: index up to which the sender's log durably equals the holder's. If not ``good``, the received
+    records do not follow on the sender's log: the holder continues from ``spans``, or from byte ``at`` of the
+    snapshot ``snap``.
+    """
 
     fence: int
     index: int
@@ -76,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Snap:
-    """A part of the snapshot of all up to ``index``."""
+    """A part of the snapshot that covers all records up to ``index``."""
 
     fence: int
     index: int
@@ -87,7 +97,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Led:
-    """An answer to a probe, of the holder under this fence: where more than one is named."""
+    """A packed ``ProbeAck`` from the holder under this fence, if more than one node is named upstream."""
 
     fence: int
     word: bytes
@@ -95,14 +105,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Elsewhere:
-    """Not here: whom this node takes for the holder, and under which fence."""
+    """A redirect to the node that the sender takes for the holder, with that holder's fence."""
 
     name: str
     fence: int
 
 
 class Witnessing(Protocol):
-    """Of store.Witness, what is used here."""
+    """The part of ``store.Witness`` that is used here."""
 
     known: dict[str, Mark]
 
@@ -111,7 +121,7 @@
 
 
 class Records(Protocol):
-    """Of store.Store, what is used here."""
+    """The part of ``store.Store`` that is used here."""
 
     @property
     def first(self) -> int: ...
@@ -132,14 +142,14 @@
 
 
 def reign_of(record: bytes, before: int) -> int:
-    """The reign that a record is of; ``before``: that of the record before it."""
+    """Return the reign of a record; ``before`` is the reign of the previous record."""
     return int(msgpack.unpackb(record)[1]) if record.startswith(REIGN) else before
 
 
 def short(mark: Mark) -> bytes:
-    """Enough to tell whoever follows from it."""
+    """Return a shortened form of a mark, which is enough to tell which marks follow it."""
     return Mark(mark.id, mark.epoch, mark.synced, mark.digest, ((mark.digest, 0),)).to_bytes()
 
 
-def spans_of(told: Any) -> Spans:
-    return tuple((int(reign), int(last)) for reign, last in told)
+def spans_of(plain: Any) -> Spans:
+    return tuple((int(reign), int(last)) for reign, last in plain)
--- a/beechrock/edges/lead.py
+++ b/beechrock/edges/lead.py
@@ -1,11 +1,12 @@
-"""The holder of the duty ``edges:upstream``: upstream's log, which knows what is held where. Pure.
+"""The holder of the duty ``edges:upstream``, which replicates upstream's log to the other named nodes. Pure.
 
-States: ASKING (what the others hold, under the new fence, which shuts earlier holders out), FETCHING (from
-the one whose log is the best), LEADING.
-Events: ``stood``, ``fetched``, ``kept``, ``tick``; ``hold`` (what Upstream wants done), ``pump`` (before the
+States: ASKING (requests the others' log positions under the new fence, which excludes earlier holders),
+FETCHING (copies the best log from its node), LEADING.
+Events: ``stood``, ``fetched``, ``kept``, ``tick``; ``hold`` (actions of Upstream), ``pump`` (before the
 sync), ``release`` (after it).
-Invariants: what Upstream wants done goes out only once a majority of the named holds all records that it had
-written till then; of those that are counted each has a folder that is whole, and is what it was.
+Invariants: an action of Upstream is carried out only once a majority of the named nodes holds all records
+that were written before it; a node counts towards the majority only if its folder is whole and not an older
+copy.
 """
 
 from collections import deque
@@ -23,12 +24,12 @@
 if TYPE_CHECKING:
     from beechrock.edges.standby import Standby
 
-BEAT_S = 0.2  # between words to one that has nothing new to hear
-QUIET = 2  # beats without an answer, then no records are sent until one comes
-HEARD_S = 1.0  # without a majority heard so lately, nothing is taken from edges
-WAIT_S = 0.5  # for all to say what they hold; then a majority is enough
-MOST_REIGNS = 64  # in the log; then it is compacted early
-MOST_WAITING = 64  # turns whose records no majority holds yet; then nothing is taken from edges
+BEAT_S = 0.2  # Seconds between heartbeats to a peer
+QUIET = 2  # Heartbeats without an answer after which no records are sent until one comes
+HEARD_S = 1.0  # Seconds within which a majority must have been heard, else edges' requests are ignored
+WAIT_S = 0.5  # Seconds to wait for the log positions of all nodes; after that a majority is enough
+MOST_REIGNS = 64  # Maximum number of reigns in the log; above it the log is compacted early
+MOST_WAITING = 64  # Maximum number of turns that await a majority; at it edges' requests are ignored
 
 
 class State(Enum):
@@ -39,15 +40,15 @@
 
 @dataclass(slots=True)
 class Peer:
-    match: int = 0  # its log is this one up to here, durably
-    next: int = 1  # the next record to be sent
-    flying: int = 0  # batches without an answer
+    match: int = 0  # Index up to which the peer's log durably equals this one
+    next: int = 1  # Index of the next record to send
+    flying: int = 0  # Number of batches without an answer
     whole: bool = False
-    wrong: bool = False  # its folder is not what it was
+    wrong: bool = False  # Whether the peer's folder is an older copy or another folder
     heard_at: float = -1e18
     beat_at: float = -1e18
-    quiet: int = 0  # beats without an answer
-    asked: tuple[Any, ...] = ()  # what it last said that it lacks, and until when that is under way
+    quiet: int = 0  # Number of heartbeats without an answer
+    asked: tuple[Any, ...] = ()  # The position from which the peer last asked for records
     given_s: float = 0.0
 
     @property
@@ -59,25 +60,26 @@
 class Lead:
     standby: "Standby"
     fence: int
-    group: bytes  # a new id, used if what was before is not known to be all
-    forced: bool  # an operator's word: whoever is heard counts
+    group: bytes  # New group id, used if the records found may not be complete
+    forced: bool  # An operator's order to count every node that answers
     asked_at: float
     state: State = State.ASKING
-    heard: dict[str, tuple[Spans, bool]] = field(default_factory=dict)  # what it holds, whether it counts
-    distrusted: bool = False  # this node's own folder is not what another knew
+    # By node that answered: its log position, and whether it counts towards the majority
+    heard: dict[str, tuple[Spans, bool]] = field(default_factory=dict)
+    distrusted: bool = False  # Whether a peer found this node's own folder to be an older or other copy
     fresh: bool = False
-    closing: bool = False  # the duty is being given up: nothing new
+    closing: bool = False  # Whether the duty is being given up, so that nothing new is accepted
     source: str = ""
     goal: tuple[int, int] = (0, 0)
     beat_at: float = 0.0
     peers: dict[str, Peer] = field(default_factory=dict)
-    start: int = 0  # index of this reign's first record
+    start: int = 0  # Index of this reign's first record
     held: int = 0
     waiting: deque[tuple[int, list[Action]]] = field(default_factory=deque)
-    snap: tuple[int, bytes] | None = None  # to be saved once all of it is held
+    snap: tuple[int, bytes] | None = None  # Snapshot to save once a majority holds all its records
     upstream: Upstream | None = None
 
-    # --- as Upstream's log
+    # --- the interface of a log, for Upstream
 
     @property
     def first(self) -> int:
@@ -98,7 +100,7 @@
         return self.standby.log.entry(index)
 
     def save_snapshot(self, index: int, data: bytes) -> None:
-        """Not before a majority holds all of it: what no majority holds may be cut."""
+        """Keep a snapshot until a majority holds all its records, as other records may still be cut."""
         self.snap = index, data
 
     # --- taking over
@@ -119,7 +121,10 @@
         return self._settle(now)
 
     def _settle(self, now: float) -> list[Action]:
-        """All that a majority ever held is in the best log of a majority."""
+        """Choose the best log and begin to lead, or fetch it from its node.
+
+        The best log of a majority contains every record that a majority ever held.
+        """
         standby = self.standby
         heard = {standby.me: (standby.told(), standby.whole and not self.distrusted), **self.heard}
         every = len(heard) == len(standby.names)
@@ -127,8 +132,9 @@
             return []
         pool = [name for name, (_, counts) in heard.items() if counts]
         if len(pool) < standby.majority:
-            # All of them new, or too many disks lost: with all heard, or by an operator's word, what is here
-            # is all that there is. Edges are told by another id, and ask an operator.
+            # All nodes are new, or too many disks were lost. Once all nodes have answered, or by order of an
+            # operator, the records found are taken as complete. Edges notice the new group id and then need
+            # an operator's release.
             if not every and not (self.forced and len(heard) >= standby.majority):
                 return []
             pool, self.fresh = list(heard), True
@@ -140,7 +146,7 @@
         return [Send(best, standby.again())]
 
     def fetched(self, now: float, kept: Kept | None) -> list[Action]:
-        """Some of the best log has come."""
+        """Begin to lead if the best log is complete, else request the rest of it."""
         if self.standby.told()[0] == self.goal:
             return self._begin(now)
         return [Send(self.source, self.standby.again())] if kept is not None else []
@@ -152,13 +158,13 @@
         for index in range(standby.applied + 1, standby.log.last + 1):
             record = standby.log.entry(index)
             marks.redo(record)
-            # Seen in drawn histories (seeds 20007, 20017): the earlier holder had not said it yet, and who
-            # reads the events missed the end of a write that others had waited for.
+            # The earlier holder may not have reported the end yet: in simulated histories (seeds 20007 and
+            # 20017) the events lacked the end of a write on which other writes depended.
             if (found := marks.end_of(record)) is not None:
                 dot, state, quiet = found
                 noted.append(Noted(dot, "", state, ("superseded, " if quiet else "") + FOUND))
         standby.applied = standby.log.last
-        # What an earlier holder intended, and whose end is not here, may have run.
+        # A write with an intent of an earlier holder but without an end may have run.
         marks.restarted()
         self.state, self.source = State.LEADING, ""
         self.upstream = Upstream(
@@ -169,33 +175,36 @@
             self.upstream.records = standby.snapshot_records
         group = self.group if self.fresh or not marks.group else marks.group
         self.start = self.append(marks.reigns(self.fence, group, self.last))
-        standby.log.sync()  # before this folder is said to be whole
+        standby.log.sync()  # This has to come before the folder is marked whole
         standby.whole_now()
         for name in self.others:
-            told = self.heard.get(name)
-            peer = self.peers[name] = Peer(whole=told is not None and told[1])
-            if told is not None:
-                peer.next = (standby.match(told[0]) or 0) + 1
+            position = self.heard.get(name)
+            peer = self.peers[name] = Peer(whole=position is not None and position[1])
+            if position is not None:
+                peer.next = (standby.match(position[0]) or 0) + 1
         self.waiting.append((self.start, noted))
         return []
 
     # --- leading
 
     def able(self, now: float) -> bool:
-        """Whether what edges send is taken: a majority is heard and follows. Else they find upstream cut."""
+        """Whether edges' requests are accepted, as a majority follows and was heard lately.
+
+        Otherwise edges get no answers and treat upstream as cut off.
+        """
         if self.state is not State.LEADING or self.held < self.start or len(self.waiting) >= MOST_WAITING:
             return False
-        near = sum(peer.counts and now - peer.heard_at <= HEARD_S for peer in self.peers.values())
-        return near + 1 >= self.standby.majority
+        recent = sum(peer.counts and now - peer.heard_at <= HEARD_S for peer in self.peers.values())
+        return recent + 1 >= self.standby.majority
 
     def hold(self, actions: list[Action]) -> list[Action]:
-        """Until a majority holds what is written by now: they may say what it says."""
+        """Hold actions back until a majority holds all records written so far, which they may disclose."""
         if actions:
             led: list[Action] = [
-                Send(one.to, Led(self.fence, pack(one.word)))
-                if isinstance(one, Send) and isinstance(one.word, ProbeAck)
-                else one
-                for one in actions
+                Send(action.to, Led(self.fence, pack(action.word)))
+                if isinstance(action, Send) and isinstance(action.word, ProbeAck)
+                else action
+                for action in actions
             ]
             if self.waiting and self.waiting[-1][0] == self.last:
                 self.waiting[-1][1].extend(led)
@@ -212,17 +221,17 @@
         if self.standby.wrong(sender, word.folder) and not peer.wrong:
             peer.wrong, peer.match = True, 0
         if peer.whole and not word.whole:
-            peer.match = 0  # a new folder
+            peer.match = 0  # The peer has a new folder
         peer.whole = word.whole
         if word.good:
             peer.match = max(peer.match, min(word.index, self.last))
             peer.next = max(peer.next, peer.match + 1)
             if peer.wrong and self._all(peer):
-                self.standby.witness.forget(sender)  # it holds all that it ever promised
+                self.standby.witness.forget(sender)  # It holds every record that it ever acknowledged
                 peer.wrong = self.standby.wrong(sender, word.folder)
             return []
         asked = (word.spans, word.snap, word.at)
-        # Each batch behind one that was lost says the same.
+        # Every batch after a lost one is answered with the same request.
         if asked == peer.asked and now < peer.given_s:
             return []
         peer.asked, peer.given_s = asked, now + BEAT_S
@@ -236,7 +245,7 @@
         return peer.match >= max(self.held, self.start)
 
     def _dress(self, peer: Peer, keep: Keep) -> Keep:
-        """With what is not the records: that the folder is whole, and how far the others' are."""
+        """Return ``keep`` with ``held``, ``whole`` and the folder marks filled in for this peer."""
         standby = self.standby
         marks = [(standby.me, short(standby.log.mark()))]
         marks += [
@@ -247,7 +256,7 @@
         return replace(keep, held=self.held, whole=self._all(peer), marks=tuple(marks))
 
     def pump(self, now: float) -> list[Action]:
-        """New records for all, while this node's own disk syncs."""
+        """Send new records to all peers, so that their disks sync while this node's own disk does."""
         out: list[Action] = []
         if self.state is State.LEADING:
             for name, peer in self.peers.items():
@@ -272,42 +281,43 @@
                 continue
             peer.beat_at = now + BEAT_S
             peer.quiet += 1
-            if peer.quiet >= QUIET:  # lost on its way, maybe: from what it is known to hold
+            if peer.quiet >= QUIET:  # Batches may be lost: continue after the last acknowledged record
                 peer.next, peer.flying = max(peer.match, self.standby.base) + 1, 0
-            at = max(min(peer.next - 1, self.last), self.standby.base)  # what it lacks it says
+            at = max(min(peer.next - 1, self.last), self.standby.base)  # The peer answers if it lacks records
             out.append(
                 Send(name, self._dress(peer, Keep(self.fence, at, self.standby.reign_at(at), (), self.held)))
             )
         return out
 
     def release(self) -> list[Action]:
-        """After the sync: how far a majority holds all, and what may go out by it."""
+        """Advance ``held`` after a sync and return the actions that may now be carried out."""
         if self.state is not State.LEADING:
             return []
         have = [self.standby.log.synced, *(p.match if p.counts else 0 for p in self.peers.values())]
         upto = sorted(have, reverse=True)[self.standby.majority - 1]
         if "held" in self.standby.without:
             upto = self.standby.log.synced
-        if upto >= self.start:  # of an earlier reign a majority may hold what the next holder cuts
+        # Records of earlier reigns alone may still be cut by a later holder, even if a majority has them.
+        if upto >= self.start:
             self.held = max(self.held, upto)
             self.standby.held = max(self.standby.held, self.held)
             if self.upstream is not None:
-                # Edges remember it, as they do the mark of one node's folder: a holder that found less than
-                # was held before is found out by them.
+                # Edges remember this mark as they do the mark of a single node's folder, and so detect a
+                # holder that found fewer records than a majority held before.
                 self.upstream.folder = self.upstream.marks.mark(self.held).to_bytes()
         out: list[Action] = []
         while self.waiting and self.waiting[0][0] <= self.held:
             out += self.waiting.popleft()[1]
         if self.snap is not None and self.snap[0] <= self.held:
             (index, data), self.snap = self.snap, None
-            # The next one is tried after as many records. A disk that failed is found out by what comes next:
-            # what is released here is held by a majority, and has to go out.
+            # The released actions must still go out, as a majority holds their records. A failed disk shows
+            # at the next write, and the next snapshot is tried after as many records again.
             with suppress(StoreFullError, StoreFailedError):
                 self.standby.saved(index, data)
         return out
 
     def edge(self, now: float, now_s: float, sender: str, word: Word) -> list[Action]:
-        """What an edge's member says, or a caller at a named node."""
+        """Handle a message from an edge's member, or a caller's write from a named node."""
         if self.upstream is None or not self.able(now):
             return []
         return self.hold(self.upstream.hear(now, now_s, sender, word))
--- a/beechrock/edges/link.py
+++ b/beechrock/edges/link.py
@@ -1,19 +1,20 @@
-"""An edge's link to upstream, as one member sees it. Pure: times are monotonic seconds, handed in.
-
-States: CONNECTED (straight), DOUBTFUL (answers are late; new writes are queued), CUT (nothing comes), PROBING
-(something came again; it has to prove itself), REPLAYING (good, and writes still wait: what depends on one of
-them goes behind it, the rest straight).
-Events: ``heard`` (an answer of upstream), ``tick``, and how many writes wait.
-Hysteresis: CONNECTED ends only after DOUBT_PROBES without an answer, CUT only after ``good`` answers in a
-row; each return to CUT within FLAP_S doubles ``good`` up to MOST_GOOD. Without that a cut that flaps each
-second would begin a replay, with its slow start and its retries, each second.
-Invariant: no write goes straight in CUT, PROBING or DOUBTFUL; REPLAYING ends only with nothing waiting.
+"""State machine of an edge's link to upstream, as one member sees it. Pure: times are passed in (monotonic).
+
+States: CONNECTED (writes go straight), DOUBTFUL (answers are late; new writes are queued), CUT (no answers),
+PROBING (answers come again, but too few in a row yet), REPLAYING (the link is good but writes still wait: a
+write that depends on one of them is queued, other writes go straight).
+Events: ``heard`` (an answer of upstream), ``tick``; both are passed the number of waiting writes.
+Hysteresis: CONNECTED ends only after DOUBT_PROBES without an answer, CUT only after ``good_needed`` answers
+in a row; each return to CUT within FLAP_S doubles ``good_needed`` up to MOST_GOOD. Without this a link that
+flaps each second would begin a replay, with its slow start and its retries, each second.
+Invariants: no write goes straight in CUT, PROBING or DOUBTFUL; a good link leaves REPLAYING only with no
+write waiting.
 """
 
 from dataclasses import dataclass, field
 from enum import Enum
 
-DOUBT_PROBES, CUT_PROBES = 2.5, 5.0  # probes' time without an answer
+DOUBT_PROBES, CUT_PROBES = 2.5, 5.0  # Probe intervals without an answer until DOUBTFUL, and until CUT
 GOOD, MOST_GOOD = 2, 16
 FLAP_S = 30.0
 
@@ -33,10 +34,10 @@
 class Link:
     probe_s: float
     now: float
-    state: LinkState = LinkState.CUT  # a process that begins knows of no answer yet
+    state: LinkState = LinkState.CUT  # A new process has had no answer yet
     since: float = 0.0
     good_needed: int = GOOD
-    without: frozenset[str] = frozenset()  # guards that a test takes out
+    without: frozenset[str] = frozenset()  # Guards that a test disables
     heard_at: float = field(init=False)
     good: int = 0
     cuts: int = 0
@@ -54,7 +55,7 @@
         return self.state is LinkState.REPLAYING
 
     def heard(self, now: float, waiting: int) -> None:
-        """An answer of upstream to a probe."""
+        """Handle an answer of upstream to a probe; ``waiting`` is the number of waiting writes."""
         self.heard_at = now
         match self.state:
             case LinkState.CUT:
@@ -71,19 +72,19 @@
         self.settle(now, waiting)
 
     def settle(self, now: float, waiting: int) -> None:
-        """Between CONNECTED and REPLAYING it is what waits that decides."""
+        """Switch between CONNECTED and REPLAYING by whether any write waits."""
         if self.state is LinkState.REPLAYING and not waiting:
             self._go(LinkState.CONNECTED, now)
         elif self.state is LinkState.CONNECTED and waiting:
             self._go(LinkState.REPLAYING, now)
 
     def tick(self, now: float, waiting: int) -> None:
-        silent = (now - self.heard_at) / self.probe_s
-        if self.state is LinkState.PROBING and silent >= DOUBT_PROBES:
-            self._cut(now)  # it has proved nothing yet: no doubt about that
-        elif self.state is not LinkState.CUT and silent >= CUT_PROBES:
+        silent_probes = (now - self.heard_at) / self.probe_s
+        if self.state is LinkState.PROBING and silent_probes >= DOUBT_PROBES:
+            self._cut(now)  # The link was not yet known to be good, so DOUBTFUL is skipped
+        elif self.state is not LinkState.CUT and silent_probes >= CUT_PROBES:
             self._cut(now)
-        elif self.straight and silent >= DOUBT_PROBES:
+        elif self.straight and silent_probes >= DOUBT_PROBES:
             self._go(LinkState.DOUBTFUL, now)
         else:
             self.settle(now, waiting)
--- a/beechrock/edges/marks.py
+++ b/beechrock/edges/marks.py
@@ -1,23 +1,23 @@
 """Upstream's durable marks: which writes of each edge have ended, so that each runs once. Pure.
 
-A write's life here: unknown -> INTENT (durable before it runs) -> an end (durable before it is told). An
-intent that a restart finds without its end is in DOUBT: whether it ran cannot be known, so it never runs
-again by itself; an operator releases it (it runs) or discards it.
-
-``ended`` is a version vector with exceptions: of each writer all up to a mark, and spans beyond it. ``gone``
-names those that ended and were not applied. ``keys`` knows writes by service and nonce, so that a write that
-its caller also tried straight, or at another edge, runs once. ``fences``: the highest fence of each edge's
-replayer.
-
-A life is over once its member was heard under a newer one, and closed, so that nothing but its name is kept,
-after twice the longest ``keep_s``: a write may be accepted up to ``keep_s`` after one that it depends on, and
-waits at most its own.
-
-Events: ``judge`` (may it run?), ``intend``, ``end``, ``not_run``, ``in_doubt``, ``sweep``. Records that last:
-what ``plain`` gives, and one record an event, applied by ``redo``.
-Invariants: no dot and no key has an intent twice at a time, nor one after an end; what is judged RUN has all
-that it depends on ended; a fence only grows; a life is not closed while a write of it is under way or in
-doubt.
+States of a write: unknown -> INTENT (durable before it runs) -> an end (durable before it is reported). An
+intent that a restart finds without its end is in DOUBT: it cannot be known whether the write ran, so it never
+runs again by itself; an operator releases it (it runs) or discards it.
+
+``ended`` is a version vector with exceptions: for each writer all counters up to a mark, and ranges beyond
+it. ``gone`` holds the writes that ended without being applied. ``keys`` identifies writes by service and
+nonce, so that a write that its caller also tried straight, or at another edge, runs once. ``fences`` holds
+the highest fence of each edge's replayer.
+
+A life is over once its member was heard under a newer one. It is closed, so that only its name is kept, after
+twice the longest ``keep_s``: a write may be accepted up to ``keep_s`` after a write that it depends on, and
+then waits for at most its own ``keep_s``.
+
+Events: ``judge`` (may it run?), ``intend``, ``end``, ``not_run``, ``in_doubt``, ``sweep``. Durable state: the
+snapshot from ``plain``, and one record per event, applied by ``redo``.
+Invariants: no dot and no key has two intents at a time, nor an intent after an end; all dependencies of a
+write that is judged RUN have ended; a fence never decreases; a life is not closed while a write of it is
+under way or in doubt.
 """
 
 from collections import OrderedDict
@@ -35,19 +35,19 @@
 from beechrock.edges.words import GONE, LEAST_FENCE, Entry, Said, State, WhenGone
 from beechrock.store.codec import MAX_OPENINGS, Mark
 
-MOST_GONE = 65_536  # beyond it the oldest are taken as applied by those that come after
-MOST_KEYS = 100_000  # beyond it what is new is told to come later, unless an old one's time is over
-MOST_DEPENDS = 16  # dots told with HELD and GONE
-MOST_CLOSED_TOLD = 64  # names of closed lives in one answer
-WALL_STEP_S = 3600.0  # a wall clock may be stepped so far: forgotten early, a key would run twice
-KEY_SLACK_S = 60.0 + WALL_STEP_S  # a key is kept that much longer than any write of it may come
-LIFE_SLACK_S = 60.0  # a life that is over is closed so much later; its late writes end, and never run
+MOST_GONE = 65_536  # Maximum number of writes in ``gone``; evicted ones later count as applied
+MOST_KEYS = 100_000  # Maximum number of keys; above it new writes are told LATER until old keys expire
+MOST_DEPENDS = 16  # Maximum number of dots named in a HELD or GONE answer
+MOST_CLOSED_TOLD = 64  # Maximum number of closed lives named in one answer
+WALL_STEP_S = 3600.0  # Largest tolerated wall-clock step in seconds; a key forgotten early could run twice
+KEY_SLACK_S = 60.0 + WALL_STEP_S  # Seconds that a key is kept after the last time its write may arrive
+LIFE_SLACK_S = 60.0  # Extra seconds before a life that is over is closed; its later writes expire
 
 
 class Verdict(Enum):
     RUN = "run"
-    WAIT = "wait"  # ``said`` says why
-    END = "end"  # without a run: ``state``
+    WAIT = "wait"  # The write may not run now; ``said`` holds the reason
+    END = "end"  # The write ends without a run, in ``state``
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,16 +57,16 @@
     state: State = State.WAITING
     why: str = ""
     dots: tuple[Dot, ...] = ()
-    told: bool = False  # it had ended before: there is nothing to make durable
+    told: bool = False  # Whether the write had ended before, so that no record is needed
 
 
 @dataclass(slots=True)
 class Known:
-    """A key: its body's digest, until when it is kept (Unix seconds), how it ended."""
+    """An idempotency key: digest of its body, expiry time in Unix seconds, state of its write."""
 
     digest: bytes
     until: float
-    state: State = State.SENT  # SENT: it has an intent
+    state: State = State.SENT  # SENT means that the write has an intent but no end
 
 
 @dataclass(slots=True)
@@ -75,19 +75,20 @@
     without: frozenset[str] = frozenset()
     ended: Vector = field(default_factory=Vector)
     gone: OrderedDict[Dot, State] = field(default_factory=OrderedDict)
-    intents: dict[Dot, int] = field(default_factory=dict)  # to its key
+    intents: dict[Dot, int] = field(default_factory=dict)  # Key of each write with an intent
     keys: OrderedDict[int, Known] = field(default_factory=OrderedDict)
-    doubts: dict[int, Dot] = field(default_factory=dict)  # keys, and who intended them
+    doubts: dict[int, Dot] = field(default_factory=dict)  # By key in doubt: the write that intended it
     fences: dict[str, int] = field(default_factory=dict)
     differ: Differ = field(default_factory=Differ)
-    longest_s: float = 0.0  # the longest ``keep_s`` that any write has
+    longest_s: float = 0.0  # Longest ``keep_s`` of any write, in seconds
     slack_s: float = LIFE_SLACK_S
-    lives: dict[str, str] = field(default_factory=dict)  # by member, the newest heard
-    over: dict[str, float] = field(default_factory=dict)  # lives, and since when (Unix seconds)
+    lives: dict[str, str] = field(default_factory=dict)  # Life of each member that was heard last
+    over: dict[str, float] = field(default_factory=dict)  # Lives that are over, and since when (Unix seconds)
     closings: int = 0
-    reign: int = 0  # the fence under which the last records were written; 0: of one node alone
-    group: bytes = b""  # where more are named: an id that lasts as long as nothing of it is lost
-    begun: int = 0  # reigns under that id; of the last ones the fence, and the records it found
+    reign: int = 0  # Fence under which the last records were written; 0 if one node alone is upstream
+    group: bytes = b""  # Id of the named nodes' log; it changes only if records may have been lost
+    begun: int = 0  # Number of reigns under that group id
+    # Fence of each of the last reigns, and the number of records that it found
     openings: tuple[tuple[int, int], ...] = ()
 
     @staticmethod
@@ -97,13 +98,18 @@
     # --- questions
 
     def fenced(self, edge: str, fence: int) -> bool:
-        """Whether one who replays under this fence is heard. Late sends of an earlier holder are not: it may
-        no
-        longer know what operators have settled since, nor how fast the next one sends."""
+        """Whether messages of a replayer with this fence are accepted.
+
+        Late messages of an earlier holder are refused: it may not know what operators have settled since, nor
+        how fast its successor sends.
+        """
         return "fence" in self.without or fence >= self.fences.get(edge, LEAST_FENCE)
 
     def judge(self, entry: Entry, released: bool, now_s: float) -> Judged:
-        """``now_s``: Unix seconds. An entry with the counter 0 is a live write, which has no dot."""
+        """Decide whether a write runs, waits or ends; ``now_s`` is in Unix seconds.
+
+        An entry whose counter is 0 is a live write, which has no dot of its own.
+        """
         live = entry.dot.n == 0
         self.longest_s = max(self.longest_s, entry.keep_s)
         if not live and entry.dot.writer in self.ended.closed:
@@ -112,8 +118,8 @@
             return Judged(Verdict.END, state=self.gone.get(entry.dot, State.APPLIED), told=True)
         key = self.key(entry)
         known = self.keys.get(key) if "key" not in self.without else None
-        # Two writes under one key with differing bodies are two callers' mistake; neither is the other's
-        # repeat.
+        # Two writes with one key but different bodies are a caller's mistake; neither is a retry of the other
+        # one.
         if known is not None and known.digest != entry.digest:
             return Judged(Verdict.END, state=State.REFUSED, why="its key came with another body")
         if key in self.doubts and not released and "doubt" not in self.without:
@@ -141,19 +147,19 @@
         return Judged(Verdict.RUN)
 
     def _lost(self, seen: Seen) -> list[Dot]:
-        """What of it ended and was not applied."""
+        """Return the dependencies in ``seen`` that ended without being applied."""
         lost = [dot for dot in sorted(seen.dots) if dot in self.gone]
-        if seen.upto:  # rare: more dots of one writer than are kept
+        if seen.upto:  # Rare: only where a writer had too many dots
             lost += [dot for dot in self.gone if dot.n <= seen.upto.get(dot.writer, 0)]
         return lost
 
     def _forget_keys(self, now_s: float) -> bool:
-        over = [k for k, known in self.keys.items() if known.until < now_s and k not in self.doubts]
-        for key in over[:1024]:
+        expired = [k for k, known in self.keys.items() if known.until < now_s and k not in self.doubts]
+        for key in expired[:1024]:
             del self.keys[key]
         return len(self.keys) < MOST_KEYS
 
-    # --- what happens; each gives the record that has to be durable before anything goes out
+    # --- events; each returns the record that has to be durable before any answer is sent
 
     def fence(self, edge: str, fence: int) -> bytes | None:
         if fence <= self.fences.get(edge, LEAST_FENCE):
@@ -168,23 +174,23 @@
         return self._do(["intent", list(entry.dot), key, entry.digest, now_s + entry.keep_s + KEY_SLACK_S])
 
     def end(self, entry: Entry, state: State, why: str = "", ran: bool = False) -> bytes:
-        """How the run of an intent, or the judgement of one without a run, ended."""
+        """Record the end of a write, by its run or by a verdict without a run."""
         stands = None
         if state is State.APPLIED and entry.dot.n and entry.subject:
             rule = self.rule(entry.service)
             if rule is not Differing.BOTH:
                 stands = [Heads.place(entry.service, entry.subject), rule.value, entry.seen.plain()]
-        quiet = why.startswith("superseded")  # another write stands in its place: nothing is gone
-        key = self.key(entry) if ran else 0  # without a run the key is another try's
+        quiet = why.startswith("superseded")  # Another write replaces it, so its dependents may run
+        key = self.key(entry) if ran else 0  # Without a run the key belongs to another attempt
         return self._do(["end", list(entry.dot), key, state.value, quiet, stands])
 
     def settle(self, dot: Dot, state: State) -> bytes:
-        """An end that an edge's holder asks for: expired, or discarded by an operator."""
+        """Record an end without a run that an edge's holder requests, such as an operator's discard."""
         key = next((key for key, by in self.doubts.items() if by == dot), 0)
         return self._do(["end", list(dot), key, state.value, False, None])
 
     def sweep(self, now_s: float) -> list[bytes]:
-        """Lives that are over, and those to be closed."""
+        """Return records for the lives that are newly over, and for those that are to be closed."""
         records = []
         busy = {dot.writer for dot in (*self.intents, *self.doubts.values())}
         before = now_s - 2 * self.longest_s - self.slack_s
@@ -192,7 +198,7 @@
             newest = self.lives.get(writer.rpartition("/")[0])
             since = self.over.get(writer)
             if newest == writer:
-                if since is not None:  # a late word of an earlier life, no more
+                if since is not None:  # A late message of an earlier life had marked this one as over
                     records.append(self._do(["over", writer, None]))
             elif newest is not None and since is None:
                 records.append(self._do(["over", writer, now_s]))
@@ -201,37 +207,40 @@
         return records
 
     def closed_since(self, at: int) -> tuple[tuple[str, ...], int]:
-        """The names of some lives closed after the first ``at`` closings, and up to which that is."""
+        """Return names of lives closed after the first ``at`` closings, and the count of closings covered."""
         first = self.closings - len(self.ended.closed)
-        at = max(at, first) if at <= self.closings else first  # or its upstream was another
+        at = max(at, first) if at <= self.closings else first  # A higher ``at`` comes from another upstream
         names = tuple(islice(self.ended.closed, at - first, at - first + MOST_CLOSED_TOLD))
         return names, at + len(names)
 
     def reigns(self, fence: int, group: bytes, found: int) -> bytes:
-        """The first record of a new holder of the duty ``edges:upstream``; ``found``: records before it."""
+        """Return the first record of a new holder of ``edges:upstream``, after ``found`` earlier records."""
         return self._do(["reign", fence, group, found])
 
     @staticmethod
     def end_of(record: bytes) -> tuple[Dot, State, bool] | None:
-        """The end of an accepted write that a record tells, and whether another write stands in its place."""
+        """Return the end of an accepted write in a record, and whether another write superseded it.
+
+        Returns None for any other record.
+        """
         match msgpack.unpackb(record):
             case ["end", [writer, n], _, state, quiet, _] if n:
                 return Dot(writer, n), State(state), quiet
         return None
 
     def not_run(self, entry: Entry) -> bytes:
-        """The run that was intended did not take place: it may be intended again."""
+        """Record that the intended run did not take place, so that the write may be intended again."""
         return self._do(["not_run", list(entry.dot), self.key(entry)])
 
     def in_doubt(self, entry: Entry) -> bytes:
-        """It may have run, and nobody can tell."""
+        """Record that it is unknown whether the write ran."""
         return self._do(["doubt", list(entry.dot), self.key(entry)])
 
     def restarted(self, under_way: Collection[int] = ()) -> None:
-        """After all records are redone: an intent without an end is in doubt; but for keys of runs that this
-        process still has under way, and will hear of.
+        """Put each intent without an end in doubt; call it once all records are redone.
 
-        Without this a write that ran just before upstream died ran a second time.
+        Keys of runs that this process still has under way are left out, as it will learn their outcome.
+        Without this a write that ran just before upstream died would run a second time.
         """
         by = {key: dot for dot, key in self.intents.items()}
         open_ = [
@@ -247,9 +256,9 @@
         self.intents = {dot: key for dot, key in self.intents.items() if key in under_way}
 
     def mark(self, held: int) -> Mark:
-        """Of all that are named, as of one folder: each reign is an opening of it."""
-        told = tuple((fence.to_bytes(16, "big"), found) for fence, found in self.openings)
-        return Mark(self.group, self.begun, held, told[-1][0], told)
+        """Return one folder mark for all named nodes, in which each reign counts as an opening."""
+        openings = tuple((fence.to_bytes(16, "big"), found) for fence, found in self.openings)
+        return Mark(self.group, self.begun, held, openings[-1][0], openings)
 
     # --- records
 
@@ -314,7 +323,7 @@
             self.differ.ran(Differing(rule), place, Standing(dot, Seen.of_plain(seen)))
 
     def plain(self) -> bytes:
-        """All of it, for a snapshot."""
+        """Return the whole state, packed for a snapshot."""
         packed: bytes = msgpack.packb(
             [
                 2,
--- a/beechrock/edges/member.py
+++ b/beechrock/edges/member.py
@@ -1,4 +1,4 @@
-"""An edge's member on its node: callers' requests in, answers out; its store, and what operators ask.
+"""The actor's side of an edge's member: callers' requests and answers, its store, and operators' calls.
 Thin."""
 
 import hashlib
@@ -31,7 +31,7 @@
 
 KEEP_S = 86_400.0
 UNPROVED = b"the disk of this node failed; it may still run\n"
-MARKS = "marks"  # in place of a receipt: upstream's
+MARKS = "marks"  # In place of a receipt: names upstream's marks
 READ_AFTER_S = 0.5
 
 
@@ -41,7 +41,7 @@
     def __init__(self, part: "EdgesPart", told: Told, store: Store, witness: Witness) -> None:
         self.part, self.told, self.store, self.witness = part, told, store, witness
         self.inventory = part.inventory
-        # A life of its own for each start: an older folder can never name two writes alike.
+        # Each start draws a new life, so a folder restored from an old copy cannot reuse a write's name.
         names = Names(told.edge, part.name, secrets.token_hex(4), told.members, told.upstreams)
         self.edge = build.edge(
             names,
@@ -72,13 +72,12 @@
 
     @staticmethod
     def rules(told: Told) -> StoreLimits:
-        """The queue's bound is over what waits; ended writes and those written anew need room beside it."""
+        """Return the store's limits: the queue's bound plus room for ended and for rewritten writes."""
         return StoreLimits(max_bytes=4 * told.most_bytes + (8 << 20))
 
     @property
     def marks(self) -> str:
-        """Under which name the witness knows upstream's: those of one node's folder, or of all that are
-        named."""
+        """Name under which the witness keeps the mark of upstream's one folder, or of all the named nodes."""
         return f"{self.told.upstreams[0]} {MARKS}" if len(self.told.upstreams) == 1 else MARKS
 
     def _shares(self) -> dict[str, float]:
@@ -90,20 +89,20 @@
         return {team: share / total for team, share in found.items()} if total else {}
 
     def follow(self, inventory: "Inventory") -> None:
-        """The shares of a new generation; what waits keeps the terms that it was accepted under."""
+        """Use the shares of a new inventory; waiting writes keep the terms they were accepted under."""
         if inventory is not self.inventory:
             self.inventory, self.edge.shares = inventory, self._shares()
 
     # --- callers
 
-    def takes(self, request: Request, told: dict[str, str], say: Callable[[Reply], None]) -> bool:
-        # Steered here by upstream, it is under the marks already: queued once more, it was told as served
-        # there, and as another try of its key here, and never ran.
+    def takes(self, request: Request, headers: dict[str, str], reply: Callable[[Reply], None]) -> bool:
+        # Upstream steered this request here, so its key has an intent already. Queued again, it was reported
+        # as served upstream and as another attempt of its key here, and never ran.
         if request.generation:
             return False
         inventory, edge = self.part.inventory, self.edge
         terms = inventory.when_cut.get((self.part.team(request), request.route))
-        text = told.get("HTTP_X_SEEN", "")
+        text = headers.get("HTTP_X_SEEN", "")
         try:
             seen = read_tokens(text, self.part.key) if text else NOTHING
         except EdgeError as error:
@@ -117,7 +116,7 @@
                 return False
             self._refuse(
                 request,
-                say,
+                reply,
                 after_s,
                 "not now: what it has seen is not upstream yet\n"
                 if seen
@@ -126,7 +125,7 @@
             return True
         self.refs += 1
         request.answered = True
-        self.callers[self.refs] = request, say
+        self.callers[self.refs] = request, reply
         due_s = self.part.module.settings.classes[request.klass].deadline_s
         self.part.post(
             lambda now, now_s: edge.write(
@@ -140,7 +139,7 @@
                     request.body,
                     hashlib.blake2b(request.body, digest_size=16).digest(),
                     seen,
-                    told.get("HTTP_X_SESSION", ""),
+                    headers.get("HTTP_X_SESSION", ""),
                     request.entity or "",
                     WhenGone(terms.get("when_gone", "hold")),
                     terms.get("keep_s", KEEP_S),
@@ -155,12 +154,12 @@
     def refs_of(self, request: Request) -> int:
         return next(ref for ref, (held, _) in reversed(self.callers.items()) if held is request)
 
-    def _refuse(self, request: Request, say: Callable[[Reply], None], after_s: float, why: str) -> None:
+    def _refuse(self, request: Request, reply: Callable[[Reply], None], after_s: float, why: str) -> None:
         request.answered = True
         if self.part.runs is not None:
             self.part.runs.refused += 1
         self.part.module.table.counts.on_front_answer(request.route, Verdict.REFUSED)
-        say(
+        reply(
             Reply(
                 503,
                 why.encode(),
@@ -169,13 +168,13 @@
         )
 
     def answer(self, action: Action) -> None:
-        """Accepted, Turned, Done: the caller's answer."""
+        """Answer the caller of an Accepted, Turned or Done action."""
         match action:
             case Accepted(ref, dot, seen, places) if (caller := self.callers.pop(ref, None)) is not None:
-                request, say = caller
+                request, reply = caller
                 logs.event("edge.accepted", receipt=str(dot), nonce=request.nonce, places=list(places))
                 self.part.counters.add("edges.accepted")
-                say(
+                reply(
                     Reply(
                         202,
                         b"accepted; it runs once upstream is reached\n",
@@ -188,15 +187,15 @@
             case Done(ref, verdict, body, media, after_s) if (
                 caller := self.callers.pop(ref, None)
             ) is not None:
-                request, say = caller
+                request, reply = caller
                 if verdict == "refused":
-                    self._refuse(request, say, after_s or READ_AFTER_S, "turned away; it never ran\n")
+                    self._refuse(request, reply, after_s or READ_AFTER_S, "turned away; it never ran\n")
                     return
                 served = verdict == "served"
                 self.part.module.table.counts.on_front_answer(
                     request.route, Verdict.SERVED if served else Verdict.FAILED
                 )
-                say(
+                reply(
                     Reply(
                         200 if served else 500,
                         body or (b"" if served else b"failed\n"),
@@ -205,17 +204,17 @@
                 )
 
     def promised(self, actions: list[Action]) -> list[Action]:
-        """What may go out after the turn's sync: where that failed, nothing that rests on this disk."""
+        """Return the actions to carry out after the turn's sync, without promises if that sync failed."""
         if not self.store.failed or self.store.synced == self.store.last:
             return actions
-        # Seen with a failing sync: the turn ended there, and callers of what it had queued heard nothing.
+        # Callers still need an answer: when a failed sync ended the turn, callers of its writes got none.
         out: list[Action] = []
         for action in actions:
             match action:
                 case Accepted(ref):
                     out.append(Done(ref, "failed", UNPROVED))
                 case Send(_, Copied()):
-                    continue  # it is sent again
+                    continue  # The other member sends the copy again
                 case _:
                     out.append(action)
         return out
@@ -223,7 +222,7 @@
     # --- others
 
     def heard(self, sender: str, word: Word) -> None:
-        """What a member's folder is, or upstream's, before what it says of it counts."""
+        """Check the folder mark in a message, of a member or of upstream, before the message is handled."""
         if isinstance(word, Led) and sender in self.told.upstreams and word.fence >= self.edge.whom.fence:
             word = unpack(word.word)
         elif isinstance(word, ProbeAck) and len(self.told.upstreams) > 1:
@@ -231,7 +230,7 @@
         if isinstance(word, ProbeAck) and word.folder and sender in self.told.upstreams:
             judged = self.witness.receive(self.marks, Mark.from_bytes(word.folder))
             if judged in (Judged.OLDER, Judged.OTHER) and not self.edge.older:
-                # What ran before is not known there: replayed and tried again, it would run once more.
+                # Upstream no longer knows what ran before: a replayed or retried write could run twice.
                 self.edge.older = True
                 logs.event(
                     "edge.marks",
@@ -254,20 +253,20 @@
             self.edge.copies.distrust(sender, older=True)
 
     def proven(self) -> None:
-        """Members with another folder that hold all again: from here on their new mark is theirs."""
+        """Trust distrusted members again that now hold all waiting writes, and accept their new mark."""
         for name in self.edge.proven & self.edge.copies.distrusted:
             self.witness.forget(name)
             self.edge.copies.distrust(name, older=False)
             logs.event("edge.folder", member=name, judged="caught up")
         self.edge.proven.clear()
 
-    # --- as the duty's worker: whether it may act is asked anew each turn, so there is little to do here
+    # --- worker of the duty: it does little, as each turn checks again whether this member may act
 
     async def take_over(self, fence: int) -> None:
-        """Upstream's marks are the predecessor's state."""
+        """Do nothing: upstream's marks hold the state of the predecessor."""
 
     async def give_up(self) -> None:
-        """What is in hand ends upstream, and is known there."""
+        """Do nothing: offered writes end upstream, whose marks record it."""
 
     def lost(self) -> None:
         self.part.post(lambda now, now_s: self.edge.duty(None, now))
@@ -283,7 +282,7 @@
             {"receipt": str(dot), "said": parked.said.name.lower(), "for": [str(d) for d in parked.dots]}
             for dot, parked in list(edge.holder.picker.parked.items())[:200]
         ]
-        # Not beside a look: that puts other files in place of those that are read here.
+        # Entries are not read during a disk check, which replaces the files that hold them.
         heads = [
             (edge.entry(dot).accepted_at, dot, state)
             for dot, state in edge.queue.heads()
@@ -319,7 +318,10 @@
         }
 
     def dot(self, receipt: str) -> Dot:
-        """Of a token, or of the short form that ``/edges`` shows. UnknownReceiptError."""
+        """Return the dot of a receipt, given as a token or in the short form that ``/edges`` shows.
+
+        Raises UnknownReceiptError.
+        """
         writer, colon, n = receipt.rpartition(":")
         if colon and n.isdigit():
             return Dot(writer, int(n))
@@ -333,11 +335,11 @@
                 do="beechrock edges list",
             ) from None
 
-    def order(self, receipt: str, said: str) -> dict[str, str]:
-        if receipt == MARKS and said == "release":
+    def order(self, receipt: str, order: str) -> dict[str, str]:
+        if receipt == MARKS and order == "release":
             self.witness.forget(self.marks)
             self.edge.older = False
-            return {"receipt": MARKS, "order": said}
+            return {"receipt": MARKS, "order": order}
         dot = self.dot(receipt)
         if not self.edge.queue.waits(dot):
             raise UnknownReceiptError(
@@ -351,14 +353,14 @@
                 wanted="a disk that keeps a word",
                 do=f"{self.part.disk.do}; say it again then",
             )
-        self.part.post(lambda now, now_s: self._ordered(dot, said))
-        return {"receipt": str(dot), "order": said}
+        self.part.post(lambda now, now_s: self._ordered(dot, order))
+        return {"receipt": str(dot), "order": order}
 
-    def _ordered(self, dot: Dot, said: str) -> list[Action]:
+    def _ordered(self, dot: Dot, order: str) -> list[Action]:
         try:
-            return self.edge.order(dot, said)
+            return self.edge.order(dot, order)
         except UnknownReceiptError as error:
-            # Seen in a test on a busy machine: it ended between the call and its turn, and the part stopped.
+            # The write may end between the call and this turn; on a busy machine that once stopped the part.
             self.part.counters.record_error("edges", error)
             return []
 
--- a/beechrock/edges/named.py
+++ b/beechrock/edges/named.py
@@ -1,7 +1,7 @@
-"""The actor round ``standby`` and ``lead``: this node is one of several that are named upstream. Thin.
+"""The actor's side of ``standby`` and ``lead``, on a node that is one of several named upstream. Thin.
 
-It is the worker of the duty ``edges:upstream``. Whether it may act is asked anew before what an edge sends is
-taken, and right before each run.
+It is the worker of the duty ``edges:upstream``. It checks again that it may act before it accepts an edge's
+message, and right before each run.
 """
 
 import asyncio
@@ -32,7 +32,7 @@
 
 
 class Named:
-    """Owns this node's copy of the marks' records, and the fence that it accepts."""
+    """Owner of this node's copy of the marks' records, and of the highest fence that it accepted."""
 
     def __init__(self, runs: "Runs", store: Store, files: Files) -> None:
         self.runs, self.part, self.store = runs, runs.part, store
@@ -59,7 +59,7 @@
             Witness(files, "marks.witness"),
             runs.rule,
         )
-        self.forced = False  # an operator's word, for one take-over
+        self.forced = False  # An operator's order to lead with every node that answers; for one take-over
         self.shown = ("", 0)
         self.done = 0
         duties.declare(Duty(DUTY, Kind.FLEET), self)
@@ -74,7 +74,7 @@
 
     @property
     def holder(self) -> str:
-        """Whom callers' writes go to; empty: it is not known, or none can take them now."""
+        """Name of the node that callers' writes go to; empty if none is known or able to accept them."""
         if self.standby.lead is not None:
             return self.part.name if self.able() else ""
         return self.standby.holder if self.standby.holder != self.part.name else ""
@@ -85,7 +85,7 @@
         lead = self.standby.lead
         if self.able() and lead is not None:
             edge = lead.edge(now, now_s, sender, word)
-        elif isinstance(word, Straight) and sender in self.standby.names:  # nothing of it was taken
+        elif isinstance(word, Straight) and sender in self.standby.names:  # The write was not accepted
             edge = [Send(sender, StraightDone(word.number, "refused", b"", "", LATER_S))]
         elif isinstance(word, Offer | Settle | Straight) and self.holder not in ("", self.part.name):
             edge = [Send(sender, Elsewhere(self.holder, self.standby.fence))]
@@ -96,7 +96,10 @@
     def ran(
         self, upstream: Upstream, now: float, key: int, came: Came, body: bytes, media: str, after_s: float
     ) -> list[Action]:
-        """A run that an earlier holding of this process began is in doubt, however it came out."""
+        """Report the outcome of a run to the current lead.
+
+        A run from an earlier term of this process as holder is in doubt already, so its outcome is ignored.
+        """
         lead = self.standby.lead
         if lead is None or lead.upstream is not upstream:
             return []
@@ -104,16 +107,16 @@
         return lead.hold(upstream.ran(now, key, came, body, media, after_s))
 
     def before(self, now: float) -> list[Action]:
-        """Before the sync: what has to go out at once."""
+        """Return the actions to carry out before the sync."""
         out = self.standby.tick(now)
         lead = self.standby.lead
         return out + (lead.pump(now) if lead is not None else [])
 
     def after(self) -> list[Action]:
-        """After the sync."""
+        """Return the actions to carry out after the sync, and follow a change of the marks."""
         lead = self.standby.lead
         upstream = lead.upstream if lead is not None else None
-        # A snapshot that came, and each step down, has the marks read anew.
+        # The standby replaces its marks after it receives a snapshot and each time it stops leading.
         if upstream is None and self.runs.upstream.marks is not self.standby.marks:
             upstream = Upstream(self.store, self.standby.marks)
         if upstream is not None and upstream is not self.runs.upstream:
@@ -130,20 +133,22 @@
         self.standby.compact()
 
     def dress(self, word: Word) -> Word:
-        """With how far this folder is, now that all is synced."""
+        """Return the message with the mark of this folder, whose records are all synced now."""
         if isinstance(word, Stand | Stood | Kept):
             return replace(word, folder=self.store.mark().to_bytes())
         return word
 
     def kept_back(self, run: Run) -> None:
-        """It may not run here any more, and did not."""
+        """Report a run as not run, as this node may no longer start it."""
         self.part.counters.add("edges.runs_kept_back")
         upstream = self.runs.upstream
         self.runs.post(lambda now: self.ran(upstream, now, run.key, Came.NOT_RUN, b"", "", LATER_S))
 
     def fell(self) -> None:
-        """This disk is full: another has to lead, as its log and what led here are no longer the same. The
-        duty is asked back, as nothing of it is done."""
+        """Stop leading because this disk is full or fails, as the marks in memory no longer match the log.
+
+        The duty makes no progress here then and is taken back, so that another node can lead.
+        """
         self.standby.step_down()
 
     def _show(self) -> None:
@@ -173,8 +178,10 @@
     # --- the duty's worker
 
     async def take_over(self, fence: int) -> None:
-        """Until a majority of the named holds this reign's first record, and so all before it; where a later
-        fence is about, until it is cancelled."""
+        """Begin to lead, and wait until a majority of the named nodes holds this reign's first record.
+
+        That majority then holds all earlier records too. If a later fence is in use, wait until cancelled.
+        """
         self.runs.post(lambda now: self.standby.take(now, fence, secrets.token_bytes(16), self.forced))
         while not self._took(fence):
             await asyncio.sleep(LOOK_S)
@@ -189,7 +196,10 @@
         )
 
     async def give_up(self) -> None:
-        """What runs ends first, within what the duty's lease gives; what did not begin is not begun."""
+        """Stop leading once all running writes have ended; no new ones are begun.
+
+        The duty's lease bounds the wait.
+        """
         lead = self.standby.lead
         if lead is not None:
             lead.closing = True
@@ -204,19 +214,22 @@
         return []
 
     def lost(self) -> None:
-        """``may`` says no from here on; the same fence may come back to it."""
+        """Do nothing: ``may`` returns False from now on, and the same fence may be granted again."""
 
     def progress(self) -> tuple[int, int]:
         return self.done, int(not self.able())
 
     # --- operators
 
-    def order(self, said: str) -> dict[str, str]:
-        """Disks of a majority were lost: whoever is heard counts, and edges are told by another id."""
+    def order(self, order: str) -> dict[str, str]:
+        """Let the take-over go on though the disks of a majority were lost.
+
+        Every node that answers counts, and a new group id tells the edges that records may be lost.
+        """
         self.forced = True
         if self.standby.lead is not None:
             self.standby.lead.forced = True
-        return {"receipt": "marks", "order": said}
+        return {"receipt": "marks", "order": order}
 
     def view(self) -> dict[str, Any]:
         standby, lead, now = self.standby, self.standby.lead, clocks.mono()
--- a/beechrock/edges/part.py
+++ b/beechrock/edges/part.py
@@ -1,7 +1,7 @@
-"""The actor round an edge's member and upstream: turns of events, a sync, then what they ask for. Thin.
+"""The actor of an edge's member and of upstream: it handles events in turns. Thin.
 
-All that came in since the last turn is handed to the pure parts, then the stores are synced in a thread, once
-for the whole turn, and only then answers, messages and runs go out.
+In each turn the events since the last one are passed to the pure modules, then the stores are synced in a
+thread, once for the whole turn, and only then answers, messages and runs go out.
 """
 
 import asyncio
@@ -33,13 +33,13 @@
 
 CHANNEL = "edges"
 TICK_S = 0.02
-MOST_EVENTS = 20_000  # that wait for a turn; messages beyond it are dropped, their senders send again
-ROOM = "edges.room"  # a look at the disk writes this file, and takes it away again
+MOST_EVENTS = 20_000  # Maximum number of waiting events; further messages are dropped and sent again
+ROOM = "edges.room"  # File that a disk check writes and removes again
 Event = Callable[[float, float], list[Action]]
 
 
 class EdgesPart:
-    """``member``: this node is one of an edge; ``runs``: it is upstream. One of them, or both."""
+    """The edges on one node: ``member`` if the node belongs to an edge, ``runs`` if it is upstream, or both."""
 
     def __init__(self, told: Told, context: Context) -> None:
         self.told, self.context, self.name = told, context, context.name
@@ -94,12 +94,12 @@
 
     @property
     def broken(self) -> bool:
-        """Stopped for good."""
+        """Whether this part has stopped until the node is restarted."""
         return self.disk.state is Disk.STOPPED
 
     @property
     def inventory(self) -> "Inventory":
-        """That in force now."""
+        """The inventory in force."""
         found: Inventory = self.context.program.meaning
         return found
 
@@ -107,18 +107,18 @@
         tenants = self.module.settings.tenants
         return tenants[request.tenant].name if request.tenant is not None else ""
 
-    # --- what comes in
+    # --- incoming requests and messages
 
-    def takes(self, request: Request, told: dict[str, str], say: Callable[[Reply], None]) -> bool:
-        """Whether this part answers a request. Broken, it takes part in nothing, and the service goes on."""
+    def takes(self, request: Request, headers: dict[str, str], reply: Callable[[Reply], None]) -> bool:
+        """Return whether this part answers a request; after it has stopped, the service goes on without it."""
         if self.broken:
             terms = self.inventory.when_cut.get((self.team(request), request.route), {})
-            if terms.get("when_cut") == "queue":  # past the marks it could run twice
+            if terms.get("when_cut") == "queue":  # Without the marks it could run twice
                 raise ScgiError(503, "this node's queue has failed")
             return False
         if self.member is not None:
-            return self.member.takes(request, told, say)
-        return self.runs is not None and self.runs.takes(request, told, say)
+            return self.member.takes(request, headers, reply)
+        return self.runs is not None and self.runs.takes(request, headers, reply)
 
     def post(self, event: Event) -> None:
         self.events.append(event)
@@ -148,7 +148,7 @@
     # --- turns
 
     async def listen(self) -> None:
-        """Nothing of its own: it talks over the fleet's links."""
+        """Do nothing: this part uses the fleet's links."""
 
     async def run(self) -> None:
         while not self.broken:
@@ -158,7 +158,7 @@
             await self.step()
 
     async def step(self) -> None:
-        """A look at the disk, if it is time for one, and a turn."""
+        """Check the disk if a check is due, then take a turn."""
         try:
             if self.disk.due(clocks.mono()):
                 await self._look()
@@ -180,7 +180,7 @@
             self._unless_full(now, lambda event=event: out.extend(event(now, now_s)))  # type: ignore[misc]
         if (member := self.member) is not None:
             member.follow(self.inventory)
-            # Seen: a read that failed as a write was to be offered stopped the queue for good.
+            # A failed read of a write that was to be offered once stopped the queue for good.
             self._unless_full(now, lambda: out.extend(member.edge.duty(self._fence(), now)))
             self._unless_full(now, lambda: out.extend(member.edge.tick(now, now_s)))
             self._unless_full(now, member.proven)
@@ -201,19 +201,22 @@
             member.edge.compact()
         if self.runs is not None and self.disk.running:
             (self.named or self.runs.upstream).compact()
-        for store in self.kept:  # a snapshot or a fence that the disk did not take
+        for store in self.kept:  # A snapshot or a fence may have failed to be written
             if store.failed:
                 self.fell(now, StoreFailedError(store.failed, where=str(self.files.folder / store.prefix)))
 
     async def _synced(self, now: float) -> None:
-        """All that this turn wrote, or nothing of it counts: see ``Runs.fell`` and ``Member.promised``."""
+        """Sync the records of this turn; if that fails, none of them counts.
+
+        See ``Runs.fell`` and ``Member.promised``.
+        """
         stores = [
             store
             for store in self.stores
             if not store.failed
             and store.synced < store.last
             and (self.runs is None or store is not self.runs.store or not self.runs.fallen)
-        ]  # what is to be taken back is not made durable
+        ]  # Records that are to be cut again are not made durable
         if not stores:
             return
         for store, error in await asyncio.to_thread(self._sync, stores):
@@ -221,19 +224,19 @@
                 self.runs.fell(now, error)
             else:
                 self.fell(now, error)
-        if self.member is not None:  # what others remember of these folders
+        if self.member is not None:  # Other nodes remember the marks of these folders
             self.member.edge.folder = self.member.store.mark().to_bytes()
         if self.runs is not None and self.named is None:
             self.runs.upstream.folder = self.runs.store.mark().to_bytes()
 
     def _before(self) -> None:
-        """While this disk syncs, those of the others that are named do."""
+        """Send new records to the other named nodes, so that their disks sync while this one does."""
         if self.named is not None and self.disk.running:
             for action in self.named.before(clocks.mono()):
                 self._carry_out(action)
 
     def _sync(self, stores: list[Store]) -> list[tuple[Store, StoreFailedError]]:
-        """Those that failed."""
+        """Sync stores, and return those that failed with their errors."""
         failed = []
         for store in stores:
             try:
@@ -242,11 +245,14 @@
                 failed.append((store, error))
         return failed
 
-    # --- a disk that is full, or fails
+    # --- full or failing disks
 
     def _unless_full(self, now: float, do: Callable[[], None]) -> None:
-        """Writes and copies bear a disk that takes nothing; here it is an operator's word, what is remembered
-        of others' folders, or a read."""
+        """Call ``do`` and note a disk error that can heal, instead of raising it.
+
+        Writes and copies handle a full disk themselves. Here it is an operator's order, the mark of another
+        folder, or a read that fails.
+        """
         try:
             do()
         except (OSError, OperatorError) as error:
@@ -255,7 +261,7 @@
             self.fell(now, error)
 
     def fell(self, now: float, error: Exception) -> None:
-        """Nothing that needs the disk is taken until a look finds that it works."""
+        """Refuse everything that needs the disk until a check finds that it works again."""
         if not self.disk.fell(now, error):
             return
         name = "edges.disk_full" if no_room(error) else "edges.disk_failing"
@@ -274,7 +280,8 @@
         met: Exception | None = None
         try:
             await asyncio.to_thread(self._room)
-            # Seen: after a sync that failed the next one says yes to what the kernel had dropped.
+            # After a failed sync the next one succeeds though the kernel has dropped the data, so all records
+            # that are not known to be durable are rewritten.
             for store in self.kept:
                 await asyncio.to_thread(store.rewrite)
             if self.runs is not None:
@@ -289,7 +296,10 @@
             logs.event("edges.disk_room", looks=self.disk.looks)
 
     def _room(self) -> None:
-        """In a thread. OSError where the disk takes nothing yet."""
+        """Write, sync and remove a test file, in a thread.
+
+        Raises OSError if the disk takes no writes yet.
+        """
         try:
             self.files.write(ROOM, 0, bytes(ROOM_BYTES))
             self.files.sync(ROOM)
@@ -297,8 +307,7 @@
             self.files.remove(ROOM)
 
     def _stop(self, error: OperatorError) -> None:
-        """It takes no part any more; callers that wait hear that their write failed, and may have been
-        kept."""
+        """Stop this part for good; waiting callers are told that their write failed and may still run."""
         error.do = error.do or STOPPED_DO
         self.disk.stop(clocks.mono(), error)
         logs.event("edges.stopped", "error", **error.fields())
@@ -319,7 +328,7 @@
                     and (self.runs.answer(word))
                 ):
                     return
-                # The sync may have taken long: asked again right before the effect, as a lease may be over.
+                # The sync may have taken long and the lease may have expired, so the fence is checked again.
                 if isinstance(word, Offer | Settle) and self._fence() != word.fence:
                     self.counters.add("edges.offers_kept_back")
                     return
@@ -337,11 +346,11 @@
         if self.duties is not None:
             found: int | None = self.duties.may(f"edge:{self.told.edge}")
             return found
-        # Under every index of a log, so that a fleet may come to have duties later.
+        # Fences without duties are below every log index, so that a fleet may enable duties later.
         return int(self.talk.life) + LEAST_FENCE if self.told.replayer == self.name else None
 
     async def leave(self) -> None:
-        """What is queued stays on disk; the duty's own part gives the duty back."""
+        """Do nothing: queued writes stay on disk, and the duties part gives the duty back."""
 
     def close(self) -> None:
         for store in self.stores:
@@ -373,6 +382,9 @@
 
 
 def begin(told: object, context: Context) -> EdgesPart:
-    """EdgeSettingError; StoreDamagedError and the like for the folder."""
+    """Create the part.
+
+    Raises EdgeSettingError, or StoreDamagedError and similar errors if the state folder cannot be used.
+    """
     assert isinstance(told, Told)
     return EdgesPart(told, context)
