--- a/beechrock/edges/member.py
+++ b/beechrock/edges/member.py
@@ -95,7 +95,7 @@
 
     # --- callers
 
-    def takes(self, request: Request, headers: dict[str, str], reply: Callable[[Reply], None]) -> bool:
+    def takes(self, request: Request, headers: dict[str, str], send_reply: Callable[[Reply], None]) -> bool:
         # Upstream steered this request here, so its key has an intent already. Queued again, it was reported
         # as served upstream and as another attempt of its key here, and never ran.
         if request.generation:
@@ -116,7 +116,7 @@
                 return False
             self._refuse(
                 request,
-                reply,
+                send_reply,
                 after_s,
                 "not now: what it has seen is not upstream yet\n"
                 if seen
@@ -125,7 +125,7 @@
             return True
         self.refs += 1
         request.answered = True
-        self.callers[self.refs] = request, reply
+        self.callers[self.refs] = request, send_reply
         due_s = self.part.module.settings.classes[request.klass].deadline_s
         self.part.post(
             lambda now, now_s: edge.write(
@@ -154,12 +154,14 @@
     def refs_of(self, request: Request) -> int:
         return next(ref for ref, (held, _) in reversed(self.callers.items()) if held is request)
 
-    def _refuse(self, request: Request, reply: Callable[[Reply], None], after_s: float, why: str) -> None:
+    def _refuse(
+        self, request: Request, send_reply: Callable[[Reply], None], after_s: float, why: str
+    ) -> None:
         request.answered = True
         if self.part.runs is not None:
             self.part.runs.refused += 1
         self.part.module.table.counts.on_front_answer(request.route, Verdict.REFUSED)
-        reply(
+        send_reply(
             Reply(
                 503,
                 why.encode(),
@@ -171,10 +173,10 @@
         """Answer the caller of an Accepted, Turned or Done action."""
         match action:
             case Accepted(ref, dot, seen, places) if (caller := self.callers.pop(ref, None)) is not None:
-                request, reply = caller
+                request, send_reply = caller
                 logs.event("edge.accepted", receipt=str(dot), nonce=request.nonce, places=list(places))
                 self.part.counters.add("edges.accepted")
-                reply(
+                send_reply(
                     Reply(
                         202,
                         b"accepted; it runs once upstream is reached\n",
@@ -187,15 +189,15 @@
             case Done(ref, verdict, body, media, after_s) if (
                 caller := self.callers.pop(ref, None)
             ) is not None:
-                request, reply = caller
+                request, send_reply = caller
                 if verdict == "refused":
-                    self._refuse(request, reply, after_s or READ_AFTER_S, "turned away; it never ran\n")
+                    self._refuse(request, send_reply, after_s or READ_AFTER_S, "turned away; it never ran\n")
                     return
                 served = verdict == "served"
                 self.part.module.table.counts.on_front_answer(
                     request.route, Verdict.SERVED if served else Verdict.FAILED
                 )
-                reply(
+                send_reply(
                     Reply(
                         200 if served else 500,
                         body or (b"" if served else b"failed\n"),
--- a/beechrock/edges/part.py
+++ b/beechrock/edges/part.py
@@ -39,7 +39,7 @@
 
 
 class EdgesPart:
-    """The edges on one node: ``member`` if the node belongs to an edge, ``runs`` if it is upstream, or both."""
+    """The edges on one node: ``member`` if the node belongs to an edge, ``runs`` if it is upstream."""
 
     def __init__(self, told: Told, context: Context) -> None:
         self.told, self.context, self.name = told, context, context.name
@@ -109,16 +109,16 @@
 
     # --- incoming requests and messages
 
-    def takes(self, request: Request, headers: dict[str, str], reply: Callable[[Reply], None]) -> bool:
-        """Return whether this part answers a request; after it has stopped, the service goes on without it."""
+    def takes(self, request: Request, headers: dict[str, str], send_reply: Callable[[Reply], None]) -> bool:
+        """Return whether this part answers a request; after a stop the service goes on without it."""
         if self.broken:
             terms = self.inventory.when_cut.get((self.team(request), request.route), {})
             if terms.get("when_cut") == "queue":  # Without the marks it could run twice
                 raise ScgiError(503, "this node's queue has failed")
             return False
         if self.member is not None:
-            return self.member.takes(request, headers, reply)
-        return self.runs is not None and self.runs.takes(request, headers, reply)
+            return self.member.takes(request, headers, send_reply)
+        return self.runs is not None and self.runs.takes(request, headers, send_reply)
 
     def post(self, event: Event) -> None:
         self.events.append(event)
--- a/beechrock/edges/queue.py
+++ b/beechrock/edges/queue.py
@@ -1,14 +1,13 @@
-"""The writes that an edge's member holds: what waits, for whom, how much room is left. Pure, and small in
-memory.
+"""The queue of writes at an edge's member, with quotas by team. Pure, and small in memory.
 
 States of a write: WAITING -> SENT -> APPLIED | REFUSED | EXPIRED | DISCARDED, and DOUBT, which only an
-operator leaves (released: WAITING again; discarded). SENT is not durable: after a restart it waits again, and
-upstream's marks know what ran.
+operator ends, by release (WAITING again) or discard. SENT is not durable: after a restart the write is
+WAITING again, and upstream's marks know whether it ran.
 Events: ``add``, ``sent``, ``unsent`` (to be sent again), ``end``, ``doubt``, ``undoubt``.
-Invariants: a write leaves the queue only by an end that upstream settled; bytes by team add up to all bytes;
-what is refused for want of room is refused before it is accepted, never after.
+Invariants: a write leaves the queue only by an end that upstream settled; the bytes of all teams add up to
+``bytes_held``; a write that does not fit is refused before it is accepted, never after.
 
-Of each write 19 bytes are kept in memory (its place in the log, its size, its team, its state); the rest is
+For each write 19 bytes are kept in memory (its place in the log, its size, its team, its state); the rest is
 read from the log when its turn comes.
 """
 
@@ -20,19 +19,19 @@
 from beechrock.edges.errors import EdgeFullError, EdgeInvariantError
 from beechrock.edges.words import ENDS, State
 
-CUT_AFTER_S = 30.0  # when to come back while nothing drains
+CUT_AFTER_S = 30.0  # Retry delay in seconds for refused callers while nothing is replayed
 MOST_TEAMS = 4096
 
 
-NEVER = 255  # in a lane: a counter that is not, or not yet, had
+NEVER = 255  # State in a lane of a counter whose write is not held, or not yet
 _ENDED = frozenset((NEVER, *(state.value for state in ENDS)))
-TRIM = 256  # ended writes are forgotten in runs of this many
+TRIM = 256  # Minimum number of ended writes at the front of a lane to remove at once
 TURNS_SLACK = 8192
-_SHIFT = 40  # of a lane's number, above the counter
+_SHIFT = 40  # Bits of the counter in a turn's code; the lane's number is in the bits above
 
 
 class Lane:
-    """The writes of one writer from ``base`` on; those before have ended or were never had."""
+    """The writes of one writer from counter ``base`` on; earlier ones have ended or were never held."""
 
     __slots__ = ("base", "number", "places", "sizes", "states", "teams", "writer")
 
@@ -41,22 +40,22 @@
         self.places, self.sizes, self.teams, self.states = array("q"), array("i"), array("H"), bytearray()
 
     def find(self, n: int) -> int | None:
-        """The index of counter ``n``, if it is had and has not been trimmed."""
+        """Return the index of counter ``n``, or None if its write is not held or was trimmed."""
         at = n - self.base
         return at if 0 <= at < len(self.states) and self.states[at] != NEVER else None
 
     def reach(self, n: int) -> int:
-        """The index of counter ``n``, grown to hold it; copies may come in any order."""
-        if (lack := self.base - n) > 0:
-            self.places[0:0], self.sizes[0:0] = array("q", [0]) * lack, array("i", [0]) * lack
-            self.teams[0:0] = array("H", [0]) * lack
-            self.states[0:0] = bytes([NEVER]) * lack
+        """Return the index of counter ``n``, growing the lane to hold it; copies may come in any order."""
+        if (missing := self.base - n) > 0:
+            self.places[0:0], self.sizes[0:0] = array("q", [0]) * missing, array("i", [0]) * missing
+            self.teams[0:0] = array("H", [0]) * missing
+            self.states[0:0] = bytes([NEVER]) * missing
             self.base = n
-        if (lack := n - self.base + 1 - len(self.states)) > 0:
-            self.places.extend(array("q", [0]) * lack)
-            self.sizes.extend(array("i", [0]) * lack)
-            self.teams.extend(array("H", [0]) * lack)
-            self.states.extend(bytes([NEVER]) * lack)
+        if (missing := n - self.base + 1 - len(self.states)) > 0:
+            self.places.extend(array("q", [0]) * missing)
+            self.sizes.extend(array("i", [0]) * missing)
+            self.teams.extend(array("H", [0]) * missing)
+            self.states.extend(bytes([NEVER]) * missing)
         return n - self.base
 
     def trim(self) -> None:
@@ -69,7 +68,7 @@
 
 
 class Turns:
-    """A team's writes in the order they came in."""
+    """The writes of one team, in order of arrival."""
 
     __slots__ = ("at", "codes")
 
@@ -93,13 +92,13 @@
     without: frozenset[str] = frozenset()
     lanes: dict[str, Lane] = field(default_factory=dict)
     by_number: list[Lane] = field(default_factory=list)
-    free: list[int] = field(default_factory=list)  # numbers of lanes that were forgotten
+    free: list[int] = field(default_factory=list)  # Numbers of forgotten lanes, for reuse
     teams: list[str] = field(default_factory=list)
-    used: dict[str, int] = field(default_factory=dict)  # bytes by team
-    counts: dict[str, int] = field(default_factory=dict)  # writes by team that have not ended
+    used: dict[str, int] = field(default_factory=dict)  # Bytes of waiting writes by team
+    counts: dict[str, int] = field(default_factory=dict)  # Number of writes by team that have not ended
     turns: dict[str, Turns] = field(default_factory=dict)
     bytes_held: int = 0
-    drained_per_s: float = 0.0  # bytes, as the replay measures it
+    drained_per_s: float = 0.0  # Measured replay rate in bytes per second; 0 if unknown
 
     def __len__(self) -> int:
         return sum(self.counts.values())
@@ -108,10 +107,12 @@
         return self.state(dot) is not None
 
     def admit(self, team: str, size: int, shares: Mapping[str, float]) -> None:
-        """EdgeFullError unless there is room: within its share a team always has it, beyond only in what is
-        free.
+        """Check that there is room for a write of a team.
 
-        Without shares one team's flood during a cut turned all others' writes away.
+        Within its share a team always has room; beyond it, only in bytes that no other team's share reserves.
+        Without shares one team's flood during a cut caused the refusal of all other teams' writes.
+
+        Raises EdgeFullError if there is no room.
         """
         used, promised = self.used.get(team, 0), 0.0
         if "shares" not in self.without and used + size > shares.get(team, 0.0) * self.most_bytes:
@@ -131,7 +132,7 @@
             )
 
     def add(self, dot: Dot, team: str, size: int, place: int) -> bool:
-        """False: it was there. ``place``: its index in the log; ``size``: its bytes there."""
+        """Add a write of ``size`` bytes at index ``place`` of the log; return False if it is held already."""
         lane = self.lanes.get(dot.writer)
         if lane is None:
             number = self.free.pop() if self.free else len(self.by_number)
@@ -153,13 +154,13 @@
         return True
 
     def state(self, dot: Dot) -> State | None:
-        """None: not had, or ended so long ago that it is trimmed."""
+        """Return the state of a write, or None if it was never held or has ended and been trimmed."""
         lane = self.lanes.get(dot.writer)
         at = lane.find(dot.n) if lane is not None else None
         return State(lane.states[at]) if lane is not None and at is not None else None
 
     def waits(self, dot: Dot) -> bool:
-        """It is here and has not ended."""
+        """Whether the write is held here and has not ended."""
         state = self.state(dot)
         return state is not None and state not in ENDS
 
@@ -172,12 +173,12 @@
         return self.teams[lane.teams[lane.reach(dot.n)]]
 
     def moved(self, dot: Dot, place: int) -> None:
-        """It stands at another index of the log."""
+        """Record that the write is now at index ``place`` of the log."""
         lane = self.lanes[dot.writer]
         lane.places[lane.reach(dot.n)] = place
 
     def take(self, team: str) -> Dot | None:
-        """The team's next write that waits; it is the caller's until it ends, or ``rewind``."""
+        """Take the team's next waiting write; it is not returned again unless ``rewind`` is called."""
         turns = self.turns[team]
         while (code := turns.take()) is not None:
             dot = self._dot(code)
@@ -192,17 +193,17 @@
         self._to(dot, State.DOUBT)
 
     def unsent(self, dot: Dot) -> None:
-        """It waits again; who took it offers it again."""
+        """Set a sent write to WAITING again; the caller that took it offers it again."""
         if self.state(dot) is State.SENT:
             self._to(dot, State.WAITING)
 
     def undoubt(self, dot: Dot) -> None:
-        """An operator released it."""
+        """Set a write in doubt to WAITING again, after an operator released it."""
         if self.state(dot) is State.DOUBT:
             self._to(dot, State.WAITING)
 
     def rewind(self) -> None:
-        """Begin at the oldest again; nobody holds a write that was taken."""
+        """Start again at the oldest write, as if none had been taken."""
         for turns in self.turns.values():
             turns.codes, turns.at = array("q"), 0
         for dot, state, _ in sorted(self.live(), key=lambda found: found[2]):
@@ -211,7 +212,7 @@
             self.turns[self.team(dot)].codes.append(self.lanes[dot.writer].number << _SHIFT | dot.n)
 
     def end(self, dot: Dot, state: State) -> bool:
-        """False: it is not here, or has ended before."""
+        """End a write in ``state``; return False if it is not held here or has ended before."""
         lane = self.lanes.get(dot.writer)
         at = lane.find(dot.n) if lane is not None else None
         if state not in ENDS:
@@ -227,7 +228,7 @@
             raise EdgeInvariantError(f"team {team} holds less than nothing", where="edges.queue")
         lane.trim()
         turns = self.turns[team]
-        if len(turns.codes) > 4 * self.counts[team] + TURNS_SLACK:  # who never replays takes none
+        if len(turns.codes) > 4 * self.counts[team] + TURNS_SLACK:  # A member that never replays takes none
             turns.codes = array(
                 "q", [code for code in turns.codes[turns.at :] if self.waits(self._dot(code))]
             )
@@ -235,31 +236,31 @@
         return True
 
     def idle(self, writer: str) -> bool:
-        """None of its writes waits here."""
+        """Whether no write of this writer waits here."""
         lane = self.lanes.get(writer)
         return lane is None or all(value in _ENDED for value in lane.states)
 
     def forget(self, writers: list[str]) -> None:
-        """Idle ones, of which nothing can come any more."""
+        """Remove the lanes of idle writers that cannot write any more."""
         gone = {lane.number for writer in writers if (lane := self.lanes.pop(writer, None)) is not None}
         if not gone:
             return
         for number in gone:
             self.by_number[number] = Lane("", number, 0)
             self.free.append(number)
-        for turns in self.turns.values():  # the numbers will be another's
+        for turns in self.turns.values():  # The numbers will be reused for other lanes
             turns.codes = array("q", [c for c in turns.codes[turns.at :] if c >> _SHIFT not in gone])
             turns.at = 0
 
     def live(self) -> Iterator[tuple[Dot, State, int]]:
-        """All that have not ended: dot, state, index in the log."""
+        """Iterate over all writes that have not ended, as dot, state and index in the log."""
         for lane in self.by_number:
             for at, value in enumerate(lane.states):
                 if value not in _ENDED:
                     yield Dot(lane.writer, lane.base + at), State(value), lane.places[at]
 
     def heads(self) -> Iterator[tuple[Dot, State]]:
-        """The first of each writer that has not ended."""
+        """Iterate over the first write of each writer that has not ended."""
         for lane in self.by_number:
             for at, value in enumerate(lane.states):
                 if value not in _ENDED:
@@ -267,7 +268,7 @@
                     break
 
     def oldest_place(self) -> int | None:
-        """The lowest index of the log that is still needed."""
+        """Return the lowest index of the log that is still needed, or None."""
         return min((place for _, _, place in self.live()), default=None)
 
     def _dot(self, code: int) -> Dot:
--- a/beechrock/edges/recovering.py
+++ b/beechrock/edges/recovering.py
@@ -1,13 +1,13 @@
-"""Whether this node's disk takes what its queue, or upstream's marks, have to keep. Pure.
-
-States: RUNNING; FULL (no room) and FAILING (a write, sync or read failed): nothing that needs the disk is
-taken, until ``try_at``; TRYING (one look at the disk is under way); STOPPED (no disk mends it: an operator
-has to).
-Events: ``fell`` (an error that ``heals``), ``stop`` (another), ``due`` (by time), ``tried``.
-Guards: a look counts only once all that the stores had not proved is written anew and synced. A store that is
-damaged, or an invariant that is broken, is not what is read from it, and stays STOPPED.
-Invariants: STOPPED is never left; a look at the disk is not begun before ``try_at``, nor while one is under
-way; who falls again soon after a look that went well waits longer, not from the first wait on.
+"""State machine of this node's disk, which stores its queue or upstream's marks. Pure.
+
+States: RUNNING; FULL (no room) and FAILING (a write, sync or read failed): requests that need the disk are
+refused, at least until ``try_at``; TRYING (a check of the disk is under way); STOPPED (a working disk does
+not help: an operator has to act).
+Events: ``fell`` (an error that ``heals``), ``stop`` (any other error), ``due`` (by time), ``tried``.
+Guards: a check succeeds only once all records that may not be durable are rewritten and synced. After damage
+to a store or a broken invariant the state stays STOPPED.
+Invariants: STOPPED is never left; a check begins neither before ``try_at`` nor while another is under way; a
+disk that fails again soon after a successful check waits longer, instead of from the first wait on.
 """
 
 from dataclasses import dataclass
@@ -18,9 +18,9 @@
 from beechrock.store.errors import StoreFailedError, StoreFullError
 from beechrock.store.failure import NO_SPACE_ERRNOS
 
-FIRST_S, MOST_S = 0.5, 8.0  # waits before a look: doubled from the first to the most
-CALM_S = 30.0  # running for so long, the next wait is the first again
-ROOM_BYTES = 256 << 10  # a look writes and syncs so much: a few bytes free are soon full again
+FIRST_S, MOST_S = 0.5, 8.0  # First and longest wait before a check, in seconds; it doubles in between
+CALM_S = 30.0  # Seconds in RUNNING after which the next wait is the first one again
+ROOM_BYTES = 256 << 10  # Bytes that a check writes and syncs, as a few free bytes are soon used up
 MAKE_ROOM = "make room on the disk; it goes on by itself"
 MEND_DISK = "look at the disk and the kernel's log; it goes on by itself once the disk writes again"
 STOPPED_DO = "keep the state folder and the log, start the node again; if it stops again: docs/edges.md"
@@ -35,12 +35,12 @@
 
 
 def heals(error: Exception) -> bool:
-    """Whether a disk that works again is all that is wanted."""
+    """Whether the part can go on after this error once the disk works again."""
     return isinstance(error, OSError | StoreFullError | StoreFailedError | FenceUnkeptError)
 
 
 def no_room(error: Exception) -> bool:
-    """Of an error that heals: whether room on the disk mends it."""
+    """Whether an error that heals was caused by a full disk."""
     return error.errno in NO_SPACE_ERRNOS if isinstance(error, OSError) else isinstance(error, StoreFullError)
 
 
@@ -50,18 +50,18 @@
     since: float = 0.0
     wait_s: float = 0.0
     try_at: float = 0.0
-    looks: int = 0  # of this time
-    times: int = 0  # that it was full, or failed
+    looks: int = 0  # Number of checks since the last failure began
+    times: int = 0  # Number of times that the disk became full or failed
     why: str = ""
     do: str = ""
-    waits: Disk = Disk.FULL  # what it is while it waits
+    waits: Disk = Disk.FULL  # State between two checks: FULL or FAILING
 
     @property
     def running(self) -> bool:
         return self.state is Disk.RUNNING
 
     def fell(self, now: float, error: Exception) -> bool:
-        """Whether this is news: what comes while it waits changes nothing, the look decides."""
+        """Record an error that heals; return False if the state was not RUNNING, as then a check decides."""
         if not self.running:
             return False
         calm = now - self.since >= CALM_S or not self.times
@@ -72,18 +72,18 @@
         return True
 
     def stop(self, now: float, error: OperatorError) -> None:
-        """What no disk mends."""
+        """Stop for good after an error that a working disk does not resolve."""
         self.state, self.since, self.why, self.do = Disk.STOPPED, now, str(error), error.do or STOPPED_DO
 
     def due(self, now: float) -> bool:
-        """True once for each look: it is TRYING from here on."""
+        """Return True, once, when a check is due; the state is TRYING from then on."""
         if self.state not in (Disk.FULL, Disk.FAILING) or now < self.try_at:
             return False
         self.state, self.looks = Disk.TRYING, self.looks + 1
         return True
 
     def tried(self, now: float, room: bool, met: Exception | None = None) -> None:
-        """How the look came out; ``met``: the error that it met, which is said from here on."""
+        """Record the result of a check; ``met`` is the error it met, which callers are told from then on."""
         if self.state is not Disk.TRYING:
             return
         if room:
@@ -101,7 +101,7 @@
 
     @property
     def said(self) -> str:
-        """What callers hear of it."""
+        """Text for callers about the state of the disk."""
         return {Disk.RUNNING: "", Disk.STOPPED: "this node's queue has failed"}.get(
             self.state,
             "the disk of this node is full" if self.waits is Disk.FULL else "the disk of this node fails",
--- a/beechrock/edges/replay.py
+++ b/beechrock/edges/replay.py
@@ -1,18 +1,19 @@
-"""Which queued write is offered next, how many at once, and when again. Pure.
-
-``Pace``: how many offered writes may be without an end. Upstream's credit bounds it always (what it has to
-spare beside live traffic, parted among the edges that replay); inside that it starts at 1, doubles a round
-trip until the first LATER, then grows by one a round trip and halves at each LATER or silence (AIMD). A
-replay begins after a delay drawn from the edge's name, so that edges back at once do not begin at once.
-Sending again what was not answered is under a budget of RETRY_PART of what is sent.
-
-``Picker``: teams in turn, each its oldest write that is ready. A write is ready if nothing that it depends on
-is known to wait. What is not ready, or was answered HELD, GONE or DOUBT, is parked, and looked at again when
-what it waits for ends, or after RECHECK_S. Parked writes are at most MOST_PARKED; a team that would park more
-stands still, no other.
-
-Invariants: what is in flight is never over credit; a parked write holds back none but those that depend on
-it.
+"""Selection and rate of the replay: which write is offered next, how many are in flight, when to retry. Pure.
+
+``Pace`` bounds the number of offered writes without a result. The bound is always at most upstream's credit
+(its spare capacity beside live traffic, divided among the edges that replay). Within the credit the window
+starts at 1, doubles each round trip until the first LATER, then grows by one per round trip and halves at
+each LATER or timeout (AIMD). A replay begins after a delay derived from the edge's name, so that edges that
+reconnect together do not begin together. Retries of unanswered offers have a budget of RETRY_PART of the
+offers sent.
+
+``Picker`` takes the teams in turn, and of each its oldest write that is ready. A write is ready if none of
+its dependencies is known to wait. A write that is not ready, or was answered HELD, GONE or DOUBT, is parked
+and examined again when its dependency ends, or after RECHECK_S. While MOST_PARKED writes are parked, no
+others are taken from the queue.
+
+Invariants: the number of writes in flight never exceeds the credit; a parked write delays only writes that
+depend on it.
 """
 
 import hashlib
@@ -27,7 +28,7 @@
 MOST_PARKED = 4096
 RETRY_PART, RETRY_FREE = 0.1, 16
 RECHECK_S = 1.0
-PAUSE_S = 0.05  # after a LATER that says no time
+PAUSE_S = 0.05  # Seconds to pause after a timeout, or after a LATER without a delay
 FULL_S = 0.01
 SPREAD_S = 1.0
 
@@ -37,12 +38,12 @@
     credit: int = 0
     window: float = 1.0
     slow_start: bool = True
-    until_s: float = 0.0  # nothing is sent before
+    until_s: float = 0.0  # Time before which nothing is sent, in monotonic seconds
     budget: float = RETRY_FREE
     without: frozenset[str] = frozenset()
 
     def begin(self, edge: str, now: float, spread_s: float = SPREAD_S) -> None:
-        """A replay starts: slowly, and not all edges at the same moment."""
+        """Start a replay with a small window, after a delay that differs by edge."""
         part = int.from_bytes(hashlib.blake2b(edge.encode(), digest_size=2).digest()) / 65536
         self.window, self.slow_start = 1.0, True
         self.until_s = now + part * spread_s
@@ -55,7 +56,7 @@
         return min(int(self.window), self.credit, MOST_WINDOW)
 
     def sent(self, again: bool) -> bool:
-        """Whether one more may be sent; what is sent again needs budget."""
+        """Account for one more offer; return False if it is a retry and the retry budget is used up."""
         if not again:
             self.budget = min(10 * RETRY_FREE, self.budget + RETRY_PART)
             return True
@@ -68,15 +69,16 @@
         self.window = min(MOST_WINDOW, self.window + (1.0 if self.slow_start else 1.0 / self.window))
 
     def later(self, now: float, after_s: float) -> None:
-        if now < self.until_s:  # of the same round: once is enough
+        if now < self.until_s:  # The window was already halved in this round trip
             return
         self.window, self.slow_start = max(1.0, self.window / 2), False
         self.until_s = now + (after_s or PAUSE_S)
 
     def full(self, now: float) -> None:
-        """Live requests came in meanwhile; the credit says so, and there is nothing to learn for the window.
+        """Pause shortly, without halving the window, when live requests took the spare capacity.
 
-        Seen in the benchmark: halved at each of these, a replay took 0.65 of what upstream had to spare.
+        The credit already reflects them. In the benchmark a replay that halved its window each time used only
+        0.65 of upstream's spare capacity.
         """
         self.until_s = max(self.until_s, now + FULL_S)
 
@@ -89,7 +91,7 @@
     said: Said
     dots: tuple[Dot, ...]
     look_at_s: float
-    until_s: float = float("inf")  # Unix seconds: its keep_s is over then
+    until_s: float = float("inf")  # End of the write's ``keep_s``, in Unix seconds
 
 
 @dataclass(slots=True)
@@ -100,18 +102,18 @@
 
 @dataclass(slots=True)
 class Picker:
-    """What of a queue is in flight, and what is parked for what."""
+    """The writes of a queue that are in flight or parked, and the next one to offer."""
 
     queue: Queue
     flights: dict[Dot, Flight] = field(default_factory=dict)
     parked: dict[Dot, Parked] = field(default_factory=dict)
-    waits: dict[Dot, list[Dot]] = field(default_factory=dict)  # by what they wait for
+    waits: dict[Dot, list[Dot]] = field(default_factory=dict)  # Parked writes by the write they wait for
     ring: deque[str] = field(default_factory=deque)
     looked_s: float = 0.0
-    ready: deque[Dot] = field(default_factory=deque)  # unparked, to be offered before others
+    ready: deque[Dot] = field(default_factory=deque)  # Writes to offer before others, such as unparked ones
 
     def next(self, now: float) -> Dot | None:
-        """The next write whose turn it is; it has to be given to ``fly`` or ``park``."""
+        """Return the next write to offer, or None; the caller has to pass it to ``fly`` or ``park``."""
         while self.ready:
             dot = self.ready.popleft()
             if self.queue.state(dot) is State.WAITING and dot not in self.parked and dot not in self.flights:
@@ -146,7 +148,7 @@
             self.waits.setdefault(other, []).append(dot)
 
     def land(self, dot: Dot) -> None:
-        """It ended: those that wait for it may be ready."""
+        """Handle the end of a write: unpark the writes that wait for it."""
         self.flights.pop(dot, None)
         self.parked.pop(dot, None)
         for other in self.waits.pop(dot, ()):
@@ -159,15 +161,17 @@
             self.ready.append(dot)
 
     def release(self, dot: Dot) -> None:
-        """An operator's word: it goes though something before it was not applied, or though it may have
-        run."""
+        """Make a parked write ready by an operator's order.
+
+        It is then offered although a dependency was not applied, or although it may have run before.
+        """
         if (held := self.parked.pop(dot, None)) is not None:
             if held.said is Said.DOUBT:
                 self.queue.undoubt(dot)
             self.ready.append(dot)
 
     def progress(self, ended: Vector, now: float) -> None:
-        """Look again at what is parked for what has ended meanwhile, elsewhere too."""
+        """Unpark writes whose dependency has ended, also at other edges, or that are due for a recheck."""
         for other in [o for o in self.waits if o in ended]:
             for dot in self.waits.pop(other):
                 self.unpark(dot)
@@ -183,12 +187,15 @@
         return [f for f in self.flights.values() if f.due_s <= now]
 
     def back(self, dot: Dot) -> None:
-        """It is to be sent again."""
+        """Take a write out of flight, to be offered again."""
         if self.flights.pop(dot, None) is not None:
             self.queue.unsent(dot)
             self.ready.append(dot)
 
     def stop(self) -> None:
-        """No longer the holder, or cut: what is in flight waits again; upstream's marks know what ran."""
+        """Return all writes in flight to the queue, after the loss of the duty or of the link.
+
+        Upstream's marks know which of them ran.
+        """
         for dot in list(self.flights):
             self.back(dot)
--- a/beechrock/edges/room.py
+++ b/beechrock/edges/room.py
@@ -1,11 +1,11 @@
-"""How many replayed runs upstream lets be under way beside live ones. Pure.
+"""Adaptive limit of the replayed runs that upstream allows beside live ones. Pure.
 
-What live ones leave (``spare_of``) is an estimate: the module turns requests away by its own reckoning. So a
-part of it is taken, which falls by a third when live requests were turned away while replayed ones ran, once
-a FALL_S, and grows again slowly.
+The capacity left by live runs (``spare_of``) is an estimate, as the module refuses requests by its own rules.
+So only a share of it is used. The share falls by a third when live requests were refused while replayed ones
+ran, at most once per FALL_S, and rises again slowly.
 
-Events: ``spare`` (the time, the limit of runs, live and replayed runs, live requests turned away so far).
-Invariants: at least 1, so that a replay never stands for good; at most what ``spare_of`` says.
+Events: ``spare`` (the time, the limit of runs, live and replayed runs, live requests refused so far).
+Invariants: the result is at least 1, so that a replay never stalls for good, and at most ``spare_of``.
 """
 
 from dataclasses import dataclass
@@ -14,18 +14,18 @@
 
 FIRST, LEAST, MOST = 0.7, 0.1, 1.0
 FALL, RISE = 2 / 3, 0.01
-FALL_S = 0.5  # a run's time or so: what was offered before the fall ends meanwhile
+FALL_S = 0.5  # Seconds between changes, about one run, so that writes offered before a fall can end
 
 
 @dataclass(slots=True)
 class Room:
     part: float = FIRST
     refused: int = 0
-    fall_s: float = 0.0  # falls again from then on
-    next_s: float = 0.0  # and rises
+    fall_s: float = 0.0  # Monotonic time from which the share may fall again
+    next_s: float = 0.0  # Monotonic time from which the share may rise again
 
     def spare(self, now: float, limit: float, live: int, replayed: int, refused: int) -> int:
-        # Seen with real processes: replays at all that live ones left had 9% of those turned away.
+        # With real processes, replays that used all the spare capacity had 9% of live requests refused.
         if refused > self.refused and replayed:
             if now >= self.fall_s:
                 self.part, self.fall_s = max(LEAST, self.part * FALL), now + FALL_S
--- a/beechrock/edges/runs.py
+++ b/beechrock/edges/runs.py
@@ -1,4 +1,4 @@
-"""Upstream on its node: what edges send runs through the module's actor, which settles admission. Thin."""
+"""The actor's side of upstream: edges' writes run through the module's actor, which admits them. Thin."""
 
 import asyncio
 import hashlib
@@ -32,40 +32,40 @@
     from beechrock.edges.part import EdgesPart
 
 LATER_S = 0.2
-CALLER_S = 10.0  # where more are named, a caller's write waits so long for the holder
-MOST_CALLERS = 4096  # of those
+CALLER_S = 10.0  # Seconds that a caller's write waits for the holder, if several nodes are named upstream
+MOST_CALLERS = 4096  # Maximum number of callers that wait for the holder
 CHANNEL = "edges"
-KEEP_S = 86_400.0  # of a contract that says nothing
-RUNS_A_CORE = 1.2  # runs at once for each core, the module's first limit with SCGI servers
+KEEP_S = 86_400.0  # Default ``keep_s`` in seconds, of a contract without one
+RUNS_A_CORE = 1.2  # Concurrent runs per core: the module's initial limit with SCGI servers
 OTHER_KEY = b"this key came with another body"
 
 
 @dataclass(slots=True)
 class Flight:
-    """A run that is under way, and how it came out, until its end is durable."""
+    """A run that is under way, and then its outcome until the end is durable."""
 
     running: Running
     came: tuple[Came, bytes, str, float] | None = None
 
 
 class Runs:
-    """Owns upstream's state machine and its store on this node.
+    """Owner of upstream's state machine and its store on this node.
 
-    A turn counts as a whole: where the disk has no room for all that it wrote, nothing of it goes out, and
-    what it wrote is taken back once there is room (``again``).
+    A turn is atomic: if the disk fails for some of its records, none of its actions is carried out, and its
+    records are cut again once the disk works (``again``).
     """
 
     def __init__(self, part: "EdgesPart", store: Store, files: Files) -> None:
         self.part, self.store = part, store
-        self.out: list[Action] = []  # of this turn
-        self.upto = store.last  # what stood before this turn; after a fall, before that one
-        self.fallen = False  # the marks in memory are ahead of what the disk took
-        self.flights: dict[int, Flight] = {}  # by key
-        self.ended: list[Flight] = []  # whose ends this turn wrote
+        self.out: list[Action] = []  # Actions of this turn
+        self.upto = store.last  # Last log index before this turn, or before the turn that failed
+        self.fallen = False  # Whether the marks in memory are ahead of those on disk
+        self.flights: dict[int, Flight] = {}  # By key
+        self.ended: list[Flight] = []  # Runs whose ends were written in this turn
         self.callers: dict[int, Callable[[Reply], None]] = {}
         self.numbers = 0
-        self.named: Named | None = None  # more than one node is upstream, and this is one of them
-        self.due: dict[int, float] = {}  # its callers' writes, which may be lost with a holder
+        self.named: Named | None = None  # Set if this is one of several nodes named upstream
+        self.due: dict[int, float] = {}  # Deadlines by number of callers' writes that a holder may lose
         if len(part.told.upstreams) > 1:
             from beechrock.edges import named
 
@@ -82,7 +82,7 @@
             )
         self.inventory: object = None
         self.room = Room()
-        self.refused = 0  # turned away, and not for want of room beside replays
+        self.refused = 0  # Number of refusals that do not show a lack of capacity for live requests
         logs.event(
             "edge.upstream",
             ended=sum(map(len, self.upstream.ended.of.values())),
@@ -98,7 +98,7 @@
         return Differing(self.part.inventory.differing.get(service, "both"))
 
     def follow(self, upstream: Upstream) -> None:
-        """Another holding begins, or ends, at this node."""
+        """Use another upstream state machine, as this node begins or stops to hold the marks."""
         self.upstream, self.inventory = upstream, None
 
     def hear(self, now: float, now_s: float, sender: str, word: Word) -> None:
@@ -114,8 +114,10 @@
             self.upto = self.store.last
 
     def turn(self, now: float, event: Callable[[], list[Action]]) -> bool:
-        """One event of it, and whether all of it is written. On a full disk none is taken: who asked asks
-        again."""
+        """Handle one event; return whether all its records were written.
+
+        While the disk takes no writes the event is dropped: its sender sends again.
+        """
         if not self.part.disk.running:
             return False
         try:
@@ -127,14 +129,14 @@
         return not self.fallen
 
     def fell(self, now: float, error: Exception) -> None:
-        """The marks have it, and the log has not: nothing that they say now may go out, nor run."""
+        """Drop the actions of this turn, as the marks in memory are now ahead of the log on disk."""
         self.fallen = True
         self.out.clear()
         self.ended.clear()
         self.part.fell(now, error)
 
     def wrote(self) -> list[Action]:
-        """After the sync: what may go out now."""
+        """Return the actions to carry out after the sync."""
         for flight in self.ended:
             self.flights.pop(self.upstream.marks.key(flight.running.entry), None)
         self.ended.clear()
@@ -142,18 +144,18 @@
         return out
 
     def hold(self) -> None:
-        """The disk takes nothing, or the part has stopped: callers that wait do not wait for that."""
-        said = f"{self.part.disk.said}; it may have run\n".encode()
+        """Answer all waiting callers, as the disk takes no writes or the part has stopped."""
+        body = f"{self.part.disk.said}; it may have run\n".encode()
         for number in list(self.callers):
-            self.answer(StraightDone(number, "failed", said, "", 0.0))
+            self.answer(StraightDone(number, "failed", body, "", 0.0))
         if self.named is not None:
             self.named.fell()
 
     async def again(self) -> None:
-        """The disk works: the marks as it has them, without the turn that it did not take.
+        """Reload the marks from the disk, which works again, without the turn that failed.
 
-        What was under way goes on, as its intent is there; how it came out meanwhile is written now. Of an
-        intent without either nobody can tell what became of it: it is in doubt. Errors that ``heals`` knows.
+        Runs under way go on, as their intents are on disk; outcomes that arrived meanwhile are written now.
+        An intent without a run under way or an outcome is in doubt. Errors are those that ``heals`` accepts.
         """
         store = self.store
         if self.named is not None:
@@ -169,7 +171,7 @@
             )
             upstream.folder = store.mark().to_bytes()
             upstream.records = store.last - store.first + 1
-            if store.bytes_held + ROOM_BYTES > store.limits.max_bytes:  # a snapshot makes room there
+            if store.bytes_held + ROOM_BYTES > store.limits.max_bytes:  # A snapshot frees room
                 upstream.records = upstream.snapshot_records
             self.follow(upstream)
         self.fallen = False
@@ -186,17 +188,17 @@
         )
 
     def expire(self, now: float) -> None:
-        """Callers whose write's holder died, or lost the duty."""
+        """Answer callers whose deadline has passed, as the holder of their write died or lost the duty."""
         while self.due and (number := next(iter(self.due))) and self.due[number] <= now:
             self.answer(StraightDone(number, "failed", b"no answer in time; it may have run\n", "", 0.0))
 
     def spare(self) -> None:
-        """What the cores have beside live requests; the module has the last word on each."""
+        """Update upstream's spare capacity beside live requests; the module still decides on each run."""
         inventory = self.part.inventory
         if inventory is not self.inventory:
             self.inventory = inventory
-            kept = [float(terms.get("keep_s", KEEP_S)) for terms in inventory.when_cut.values()]
-            self.upstream.marks.longest_s = max([self.upstream.marks.longest_s, KEEP_S, *kept])
+            keep_times = [float(terms.get("keep_s", KEEP_S)) for terms in inventory.when_cut.values()]
+            self.upstream.marks.longest_s = max([self.upstream.marks.longest_s, KEEP_S, *keep_times])
         module = self.part.module
         replayed = self.upstream.replaying
         live = sum(r.running for r in module.table.by_id.values()) - replayed
@@ -215,7 +217,7 @@
         if self.named is None:
             by = self.flights[run.key] = Flight(self.upstream.running[run.key])
         klass = inventory.classes.get((entry.team, entry.service))
-        if klass is None:  # a contract that was taken away while its writes waited
+        if klass is None:  # The contract was removed while its writes waited
             self._came(run, by, Came.SAID_NO, Answer(Verdict.FAILED, b"no contract any more"))
             return
         request = Request(
@@ -245,35 +247,37 @@
                 came = Came.KEPT
             case _ if request.replied < 0 or not request.launched_at:
                 came = Came.NOT_RUN
-            case _:  # it was launched, and nobody knows what became of it
+            case _:  # It was launched, and its outcome is unknown
                 came = Came.UNKNOWN
         self._came(run, by, came, answer)
 
     def _came(self, run: Run, by: "Upstream | Flight", came: Came, answer: Answer) -> None:
-        told = (came, answer.body, answer.media, answer.retry_after_s or LATER_S)
+        outcome = (came, answer.body, answer.media, answer.retry_after_s or LATER_S)
         if isinstance(by, Flight):
-            by.came = told
+            by.came = outcome
             self._end(by)
         else:
-            self.post(lambda now: self.named.ran(by, now, run.key, *told) if self.named is not None else [])
+            self.post(
+                lambda now: self.named.ran(by, now, run.key, *outcome) if self.named is not None else []
+            )
 
     def _end(self, flight: Flight) -> None:
-        """Writes how a run came out. Where the disk has no room for that, it is written once there is."""
+        """Write the outcome of a run; if the disk has no room, it is written once there is some."""
         key = self.upstream.marks.key(flight.running.entry)
 
         def end(now: float, now_s: float) -> list[Action]:
-            told = flight.came
-            # Told twice, a late one would be taken for how the next run of its key came out.
-            if told is None or self.flights.get(key) is not flight or flight in self.ended:
+            outcome = flight.came
+            # A duplicate report would be taken for the outcome of the next run of its key.
+            if outcome is None or self.flights.get(key) is not flight or flight in self.ended:
                 return []
-            if self.turn(now, lambda: self.upstream.ran(now, key, *told)):
+            if self.turn(now, lambda: self.upstream.ran(now, key, *outcome)):
                 self.ended.append(flight)
             return []
 
         self.part.post(end)
 
     def post(self, event: Callable[[float], list[Action]]) -> None:
-        """An event of upstream's, for the next turn."""
+        """Queue an event of upstream for the next turn."""
 
         def turn(now: float, now_s: float) -> list[Action]:
             self.turn(now, lambda: event(now))
@@ -291,23 +295,26 @@
 
     # --- callers at this node itself
 
-    def takes(self, request: Request, told: dict[str, str], say: Callable[[Reply], None]) -> bool:
-        """Live writes of contracts that may queue share the marks: their caller may have tried at an edge."""
+    def takes(self, request: Request, headers: dict[str, str], send_reply: Callable[[Reply], None]) -> bool:
+        """Return whether this node answers a caller's request here.
+
+        Live writes of contracts that may queue use the marks, as their caller may have tried at an edge too.
+        """
         team = self.part.team(request)
         terms = self.part.inventory.when_cut.get((team, request.route), {})
         keyed = self.part.module.settings.classes[request.klass].idempotency is Idempotency.KEYED
         marked = terms.get("when_cut") == "queue" and keyed
         if marked and not self.part.disk.running:
-            self._refuse(request, say, self.part.disk.said)
+            self._refuse(request, send_reply, self.part.disk.said)
             return True
-        text = told.get("HTTP_X_SEEN", "")
+        text = headers.get("HTTP_X_SEEN", "")
         if text:
             try:
                 seen = read_tokens(text, self.part.key)
             except EdgeError as error:
                 raise ScgiError(400, str(error)) from None
             if seen.missing(self.upstream.ended):
-                self._refuse(request, say, "what it has seen is not here yet")
+                self._refuse(request, send_reply, "what it has seen is not here yet")
                 return True
         if not marked:
             return False
@@ -315,11 +322,11 @@
         if self.named is not None:
             holder, life = self.named.holder, f"{self.part.talk.life:x}"
             if not holder or len(self.callers) >= MOST_CALLERS:
-                self._refuse(request, say, "no node holds the marks")
+                self._refuse(request, send_reply, "no node holds the marks")
                 return True
         self.numbers += 1
         number = self.numbers
-        self.callers[number] = say
+        self.callers[number] = send_reply
         request.answered = True
         entry = Entry(
             Dot(f"{self.part.name}/-/{life}", 0),
@@ -344,24 +351,26 @@
             self.part.talk.send(holder, CHANNEL, pack(straight))
         return True
 
-    def _refuse(self, request: Request, say: Callable[[Reply], None], why: str) -> None:
+    def _refuse(self, request: Request, send_reply: Callable[[Reply], None], why: str) -> None:
         request.answered = True
         self.refused += 1
         self.part.module.table.counts.on_front_answer(request.route, Verdict.REFUSED)
-        say(Reply(503, f"not now: {why}\n".encode(), (("Retry-After", "1"), ("X-Retry-After-Ms", "500"))))
+        send_reply(
+            Reply(503, f"not now: {why}\n".encode(), (("Retry-After", "1"), ("X-Retry-After-Ms", "500")))
+        )
 
     def answer(self, word: StraightDone) -> bool:
-        """The answer of a live write that came in at this node; False: it is another's."""
-        say = self.callers.pop(word.number, None)
+        """Answer a caller's live write at this node; return False if no such write waits here."""
+        send_reply = self.callers.pop(word.number, None)
         self.due.pop(word.number, None)
-        if say is None:
+        if send_reply is None:
             return False
         status = {"served": 200, "refused": 503}.get(word.verdict, 500)
         headers: tuple[tuple[str, str], ...] = (("Content-Type", word.media or "application/octet-stream"),)
         if status == 503:
             after_ms = round(1000 * (word.after_s or LATER_S))
             headers += (("Retry-After", "1"), ("X-Retry-After-Ms", str(after_ms)))
-        say(Reply(status, word.body or (b"" if status == 200 else b"failed\n"), headers))
+        send_reply(Reply(status, word.body or (b"" if status == 200 else b"failed\n"), headers))
         return True
 
     def view(self) -> dict[str, Any]:
--- a/beechrock/edges/standby.py
+++ b/beechrock/edges/standby.py
@@ -1,13 +1,14 @@
-"""One of the nodes that are named upstream, where there are more: its copy of the marks' records. Pure.
+"""One of several nodes named upstream: its replica of the marks' records. Pure.
 
 States: standby; or, with the duty ``edges:upstream``, ``lead`` (lead.py): asking, fetching, leading.
-Events: ``hear`` (a word of another named node), ``take`` (the duty is this node's, under a fence), ``tick``;
-what was appended meanwhile is synced before the actions are carried out, but for ``Keep`` (lead.py).
-Marks are kept up to what a majority holds (``held``), which no later holder cuts; so a snapshot needs no
-holder, and a take-over only the rest.
-Invariants: nothing is taken under a fence below the highest, which is durable (duties/fences.py); what a
-majority held is never cut here; the folder counts as ``whole`` only once a holder said so, which it does when
-this folder holds all that a majority does.
+Events: ``hear`` (a message of another named node), ``take`` (this node got the duty, under a fence),
+``tick``. Records appended meanwhile are synced before the actions are carried out, except for ``Keep``
+(lead.py).
+The marks in memory include the records up to ``held``, which a majority holds and no later holder cuts. So a
+standby can save snapshots by itself, and a take-over has to apply only the later records.
+Invariants: no record is accepted under a fence below the highest one, which is durable (duties/fences.py);
+records that a majority held are never cut here; the folder counts as ``whole`` only once a holder said so,
+which it does when this folder holds all records that a majority holds.
 """
 
 from collections import OrderedDict
@@ -41,7 +42,7 @@
 from beechrock.store.errors import StoreFullError
 from beechrock.store.witness import Verdict
 
-WHOLE = "edges:upstream whole"  # kept beside the fence: above 0 once a holder said so
+WHOLE = "edges:upstream whole"  # Key beside the fence; above 0 once a holder found this folder whole
 MOST_SNAPSHOT = 64 << 20
 WRONG = (Verdict.OLDER, Verdict.OTHER)
 
@@ -57,24 +58,24 @@
     without: frozenset[str] = frozenset()
     snapshot_records: int = SNAPSHOT_RECORDS
     marks: Marks = field(init=False)
-    applied: int = 0  # the marks are those up to this index
-    held: int = 0  # a majority holds all up to this index, as far as is known here
-    spans: list[tuple[int, int]] = field(default_factory=list)  # reign, its first index
+    applied: int = 0  # Index of the last record that the marks include
+    held: int = 0  # Highest known index up to which a majority holds all records
+    spans: list[tuple[int, int]] = field(default_factory=list)  # Reigns, each with its first index
     fence: int = 0
-    holder: str = ""  # whom it last heard under that fence
+    holder: str = ""  # Node that was last heard under ``fence``
     lead: Lead | None = None
-    compacted: int = 0  # up to here a snapshot was tried last
-    left: int = 0  # up to this fence it does not lead
+    compacted: int = 0  # Index of the last attempt to save a snapshot
+    left: int = 0  # Highest fence under which this node may not lead again
     turned: OrderedDict[tuple[str, int], None] = field(default_factory=OrderedDict)
-    parts: bytearray = field(default_factory=bytearray)  # of a snapshot that comes
-    snap: tuple[int, int] = (0, 0)  # its index and size
+    parts: bytearray = field(default_factory=bytearray)  # Received bytes of a snapshot in transfer
+    snap: tuple[int, int] = (0, 0)  # Index and size of that snapshot
 
     def __post_init__(self) -> None:
         self.fence = self.fences.highest.get(DUTY, 0)
         self.restore()
 
     def restore(self) -> None:
-        """From the log as it stands; what is behind the snapshot waits until it is known to be held."""
+        """Reload the marks from the log; records beyond ``held`` are applied once a majority holds them."""
         self.marks = Marks(self.rule, self.without)
         found = self.log.snapshot()
         if found is not None:
@@ -86,7 +87,7 @@
         held, self.held = min(self.held, self.log.last), self.applied
         self._hold(held)
 
-    # --- what the log holds
+    # --- contents of the log
 
     @property
     def majority(self) -> int:
@@ -98,7 +99,7 @@
 
     @property
     def base(self) -> int:
-        """Up to here there is the snapshot alone."""
+        """Index up to which the log has only the snapshot."""
         return self.log.first - 1
 
     def append(self, record: bytes) -> int:
@@ -112,7 +113,7 @@
             self.spans.append((reign, index))
 
     def reign_at(self, index: int) -> int:
-        """-1: before the snapshot, so it is not known."""
+        """Return the reign of the record at an index; -1 if unknown, as it is before the snapshot."""
         return next((reign for reign, first in reversed(self.spans) if first <= index), -1)
 
     def told(self) -> Spans:
@@ -123,7 +124,10 @@
         return tuple(out)
 
     def match(self, spans: Spans) -> int | None:
-        """The last index up to which a log of these spans is this one; None: not known, send the snapshot."""
+        """Return the last index up to which a log with these spans equals this one.
+
+        Returns None if that is unknown, so that the snapshot has to be sent.
+        """
         mine = dict(self.told())
         for reign, last in spans:
             if reign in mine and self.reign_at(index := min(last, mine[reign])) == reign:
@@ -133,11 +137,11 @@
     # --- events
 
     def take(self, now: float, fence: int, group: bytes, forced: bool) -> list[Action]:
-        """The duty is this node's. The same fence again: nobody led in between, so it goes on."""
+        """Begin to lead under a fence of the duty, or go on if this node leads under that fence already."""
         if self.lead is not None and self.lead.fence == fence:
             self.lead.closing = False
             return []
-        # Two reigns of one fence would be two logs that are taken for the same.
+        # Two reigns under one fence would make two different logs look identical.
         if fence <= self.left:
             return []
         if not self._accept(self.me, fence):
@@ -165,12 +169,12 @@
                     return self.lead.fetched(now, kept)
                 return [Send(sender, kept)] if kept is not None else []
             case Stood() | Kept() if self.lead is not None and max(word.highest, 0) > self.lead.fence:
-                self.down()  # another leads, or will
+                self.down()  # Another node leads, or is about to
             case Stood() if self.lead is not None and word.fence == self.lead.fence:
                 return self.lead.stood(now, sender, word, self.wrong(sender, word.folder))
             case Kept() if self.lead is not None and word.fence == self.lead.fence:
                 return self.lead.kept(now, sender, word)
-            # It takes over, and this log is the best.
+            # The sender takes over and fetches this log, which is the best.
             case Kept(fence) if fence == self.fence and sender == self.holder and not word.good:
                 return [Send(sender, self.give(word, fence)[0])]
         return []
@@ -179,7 +183,7 @@
         return self.lead.tick(now) if self.lead is not None else []
 
     def down(self) -> None:
-        """No holder any more: what no majority held may be cut, so the marks are read anew."""
+        """Stop leading and reload the marks, as records without a majority may be cut."""
         if self.lead is not None:
             if self.lead.upstream is not None:
                 self.turned = self.lead.upstream.turned
@@ -187,13 +191,18 @@
             self.restore()
 
     def step_down(self) -> None:
-        """It leads no more, nor under this fence again: the disk did not take all that was written. The marks
-        are read anew (``restore``) by who knows that there is room."""
+        """Stop leading, for good under this fence, because the disk failed to store all records.
+
+        The actor reloads the marks (``restore``) once the disk works.
+        """
         if self.lead is not None:
             self.left, self.lead = self.lead.fence, None
 
     def _accept(self, sender: str, fence: int) -> bool:
-        """Whether the fence is the highest; durable before it is."""
+        """Accept a message under a fence; return False if a higher fence is known.
+
+        A new highest fence is made durable before it is used.
+        """
         if "fence" not in self.without and (fence < self.fence or not self.fences.accept(DUTY, fence)):
             return False
         if fence > self.fence or self.holder != sender:
@@ -204,12 +213,12 @@
         return True
 
     def whole_now(self) -> None:
-        """All that a majority holds is here, and synced."""
+        """Mark this folder as whole: all records that a majority holds are here, and synced."""
         if not self.whole:
             self.fences.accept(WHOLE, 1)
 
     def wrong(self, sender: str, folder: bytes) -> bool:
-        """Whether its folder is not what it was."""
+        """Whether the sender's folder is an older copy or another folder."""
         return self._judge(sender, folder) in WRONG
 
     def _judge(self, sender: str, folder: bytes) -> Verdict:
@@ -234,22 +243,22 @@
                 if index <= self.log.last:
                     if self.reign_at(index) == reign or "tail" in self.without:
                         continue
-                    self._cut(index - 1)  # of an earlier holder, and no majority held it
+                    self._cut(index - 1)  # A record of an earlier holder that no majority held
                 self.append(record)
         except StoreFullError:
-            return None  # it is sent again
+            return None  # The holder sends the records again
         index = max(index, self.base)
         self._hold(min(index, word.held))
         if word.whole:
             self.whole_now()
         for name, mark in word.marks:
             if name != self.me and self.wrong(name, mark):
-                self.witness.forget(name)  # the holder has seen that it holds all again
+                self.witness.forget(name)  # The holder has checked that the node holds all records again
                 self._judge(name, mark)
         return Kept(word.fence, index, True, whole=self.whole)
 
     def again(self) -> Kept:
-        """What came does not follow, or is not all: send on from here."""
+        """Return a request to continue from the end of this log, or of the received part of a snapshot."""
         return Kept(self.fence, 0, False, self.told(), *self._snap_at(), self.whole)
 
     def _snap_at(self) -> tuple[int, int]:
@@ -262,10 +271,10 @@
         self.spans = [span for span in self.spans if span[1] <= index]
 
     def _part(self, word: Snap) -> Kept:
-        told = (word.index, word.size)
+        index_and_size = (word.index, word.size)
         if word.at == 0 and word.size <= MOST_SNAPSHOT and word.index > self.held:
-            self.parts, self.snap = bytearray(), told
-        if told != self.snap or word.at != len(self.parts):
+            self.parts, self.snap = bytearray(), index_and_size
+        if index_and_size != self.snap or word.at != len(self.parts):
             return self.again()
         self.parts += word.data
         if len(self.parts) < word.size:
@@ -284,13 +293,13 @@
             self.marks.redo(self.log.entry(self.applied))
 
     def compact(self) -> None:
-        """As a standby; the holder's snapshot is made by Upstream."""
+        """Save a snapshot on a standby if enough records came; on the holder Upstream saves it."""
         base = max(self.base, self.compacted)
         if self.lead is None and (
             self.applied - base >= self.snapshot_records
             or (len(self.spans) > MOST_REIGNS and self.applied > base)
         ):
-            self.compacted = self.applied  # without room the next try is after as many records
+            self.compacted = self.applied  # On a full disk the next attempt is after as many records again
             with suppress(StoreFullError):
                 self.saved(self.applied, SNAPSHOT + self.marks.plain())
 
@@ -299,10 +308,13 @@
         self.log.save_snapshot(index, data)
         self.spans = [(reign, index), *((r, first) for r, first in self.spans if first > index)]
 
-    # --- what another lacks
+    # --- records for another node
 
     def give(self, word: Kept, fence: int, held: int = 0) -> tuple[Keep | Snap, int]:
-        """And the index that it has then, if it takes that."""
+        """Return the records or the part of the snapshot that another node lacks.
+
+        The second value is the index that the node will have after the records.
+        """
         after = self.match(spans_of(word.spans))
         found = self.log.snapshot() if after is None else None
         if after is None and found is not None:
@@ -312,7 +324,7 @@
         return self.batch(after or 0, fence, held)
 
     def batch(self, after: int, fence: int, held: int) -> tuple[Keep, int]:
-        """Records behind the index, and the last one's."""
+        """Return a batch of the records after an index, and the index of the last of them."""
         records: list[bytes] = []
         size, index = 0, after
         while index < self.log.last:
--- a/beechrock/edges/told.py
+++ b/beechrock/edges/told.py
@@ -1,4 +1,4 @@
-"""The table ``[edges]`` of the operator's file."""
+"""Settings of the edges, read from the table ``[edges]`` of the operator's file."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -15,21 +15,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Told:
-    """``edge`` and all after it mean nothing to a node that is upstream alone."""
+    """Settings of the edges.
+
+    A node that is only upstream uses ``upstreams`` and ``most_bytes``, but no other field from ``edge`` on.
+    """
 
     at_edge: bool
     upstream_here: bool
     edge: str = ""
     members: tuple[str, ...] = ()
-    upstreams: tuple[str, ...] = ()  # one, or up to 5 that keep the marks together
+    upstreams: tuple[str, ...] = ()  # Names of the upstream nodes: one, or up to 5 that replicate the marks
     copies: int = 1
     most_bytes: int = int(MOST_MB * 2**20)
     probe_s: float = PROBE_S
-    replayer: str = ""  # without the table ``duties``: the one member that replays
+    replayer: str = ""  # Name of the only member that replays, if the table ``duties`` is missing
 
 
 def read(table: Mapping[str, Any], where: str, root: Path) -> Told:
-    """ConfigError names file, table and key."""
+    """Return the settings in a table.
+
+    Raises ConfigError, which names file, table and key.
+    """
     role = table.get("role")
     if role not in ROLES:
         raise ConfigError(f"{where}: role: {role!r} is none of {', '.join(ROLES)}")
@@ -66,13 +72,13 @@
 
 
 def _upstreams(value: object, where: str) -> tuple[str, ...]:
-    """One name, or a list of them; where nothing is told, none."""
-    named = value if isinstance(value, list) else [value] if value is not None else []
-    if isinstance(value, list) and len(set(map(str, named))) not in range(1, MOST_NAMED + 1):
+    """Return the upstream names from one name or a list of names; none if the key is missing."""
+    listed = value if isinstance(value, list) else [value] if value is not None else []
+    if isinstance(value, list) and len(set(map(str, listed))) not in range(1, MOST_NAMED + 1):
         raise ConfigError(f"{where}: upstream: a name, or a list of 1 to {MOST_NAMED} names, is needed")
-    if len(set(map(str, named))) < len(named):
+    if len(set(map(str, listed))) < len(listed):
         raise ConfigError(f"{where}: upstream: each name once")
-    return tuple(_word(name, f"{where}: upstream") for name in named)
+    return tuple(_word(name, f"{where}: upstream") for name in listed)
 
 
 def _word(value: object, where: str) -> str:
--- a/beechrock/edges/upstream.py
+++ b/beechrock/edges/upstream.py
@@ -1,12 +1,13 @@
-"""What upstream does with what edges send: judge, make durable, run, tell. Pure; the log is handed in.
+"""Upstream's handling of edges' writes: judge, make durable, run, answer. Pure; the log is passed in.
 
-Events: ``hear`` (a word of an edge's member), ``ran`` (how a run came out), ``tick``.
-Of an offered write: STALE (fence), ENDED, HELD, GONE, DOUBT, BUSY, LATER, or it runs: its intent is in the
-log, which is synced before the run begins. Its end is in the log before it is told.
-Credit: what the node can spare beside its live requests, parted among the edges that have something to
+Events: ``hear`` (a message of an edge's member), ``ran`` (the outcome of a run).
+An offered write is answered with STALE (an old fence), ENDED, HELD, GONE, DOUBT, BUSY or LATER, or it runs:
+then its intent is in the log, which is synced before the run begins. Its end is in the log before it is
+reported.
+Credit: the node's spare capacity beside its live requests, divided among the edges that have writes to
 replay.
-Invariants: a key runs once at a time; nothing runs without an intent; replayed runs are never over what can
-be spared.
+Invariants: a key has at most one run at a time; no write runs without an intent; no replayed run begins while
+as many run as can be spared.
 """
 
 from collections import OrderedDict
@@ -37,33 +38,34 @@
 )
 from beechrock.store.errors import StoreFullError
 
-ACTIVE_S = 3.0  # an edge that said so lately that it has something to replay
+ACTIVE_S = 3.0  # Seconds for which an edge counts as replaying after it last reported waiting writes
 LATER_S = 0.05
-MOST_RESULTS, MOST_RESULT = 1024, 4096  # results of live writes kept for their repeats; bytes of one
+MOST_RESULTS, MOST_RESULT = 1024, 4096  # Maximum number of results kept for retries, and bytes of one
 MOST_GONE_TOLD = 256
-MOST_TURNED = 8192  # live writes that were turned away, so that a late copy does not run
+MOST_TURNED = 8192  # Maximum number of refused live writes kept, so that late duplicates do not run
 SNAPSHOT_RECORDS = 16_384
-SWEEP_S = 30.0  # between looks for lives that are over
-# Over what runs at once: so much waits at the servers' side while the next offers are on their way. Seen in
-# the benchmark: without it a replay took 0.81 of the spare rate, as each slot that came free waited a round
-# trip.
+SWEEP_S = 30.0  # Seconds between checks for lives that are over
+# Share of runs allowed above the limit: they wait at the servers while the next offers are in transit. In the
+# benchmark a replay without it used 0.81 of the spare rate, as each freed slot stayed empty for a round trip.
 MARGIN = 0.15
 SNAPSHOT = b"upstream 1\n"
 
 
 def spare_of(limit: float, live: int) -> int:
-    """Replayed runs that may be under way beside so many live ones, running or waiting; ``limit``: runs at
-    once."""
+    """Return how many replayed runs may be under way beside ``live`` ones, running or waiting.
+
+    ``limit`` is the number of runs that the module executes concurrently.
+    """
     return max(1, int(limit * (1 + MARGIN)) - live)
 
 
 class Came(Enum):
-    """How a run came out."""
+    """The outcome of a run."""
 
     SERVED = "served"
-    NOT_RUN = "not_run"  # the module turned it away, or no server took it
-    KEPT = "kept"  # the module answered from its key, which it keeps as failed; nothing was launched
-    SAID_NO = "said_no"  # the service ran it, and said no
+    NOT_RUN = "not_run"  # The module refused it, or no server took it
+    KEPT = "kept"  # The module answered from its key, which it keeps as failed; nothing was launched
+    SAID_NO = "said_no"  # The service ran it and refused it
     UNKNOWN = "unknown"
 
 
@@ -71,29 +73,34 @@
 class Running:
     entry: Entry
     live: bool
-    straight: list[tuple[str, int, str]] = field(default_factory=list)  # member, its number, its writer
-    offered: list[tuple[str, Dot, str]] = field(default_factory=list)  # member, its dot, its edge
+    straight: list[tuple[str, int, str]] = field(
+        default_factory=list
+    )  # Live requests: member, its number, its writer
+    offered: list[tuple[str, Dot, str]] = field(default_factory=list)  # Offers: member, dot, edge
 
 
 @dataclass(slots=True)
 class Upstream:
     log: Log
     marks: Marks
-    spare: int = 1  # runs that can begin beside live ones; told by those round it
+    spare: int = 1  # Number of replayed runs that may be under way beside live ones; set by the actor
     running: dict[int, Running] = field(default_factory=dict)
     active: dict[str, float] = field(default_factory=dict)
     turned: OrderedDict[tuple[str, int], None] = field(default_factory=OrderedDict)
     results: OrderedDict[int, tuple[bytes, str]] = field(default_factory=OrderedDict)
     records: int = 0
     snapshot_records: int = SNAPSHOT_RECORDS
-    folder: bytes = b""  # the mark of this log
+    folder: bytes = b""  # Packed mark of this log
     sweep_s: float = SWEEP_S
     sweep_at: float = 0.0
 
     def restore(
         self, snapshot: bytes | None, records: Iterable[bytes], flights: Mapping[int, Running] | None = None
     ) -> None:
-        """``flights``: runs that this process has under way, by key; their ends are still to be heard."""
+        """Restore the marks from a snapshot and later records.
+
+        ``flights`` are the runs that this process has under way, by key; their outcomes are still to come.
+        """
         if snapshot is not None:
             self.marks.restore(snapshot.removeprefix(SNAPSHOT))
         for record in records:
@@ -102,7 +109,10 @@
         self.marks.restarted(self.running)
 
     def anew(self, log: Log, marks: Marks) -> "Upstream":
-        """One whose marks are to be read from the log, with what needs no log to be known."""
+        """Return a new state machine for ``marks``, which are yet to be restored from the log.
+
+        It takes over the state of this one that is not in the log.
+        """
         marks.lives, marks.longest_s = self.marks.lives, self.marks.longest_s
         return Upstream(
             log,
@@ -117,10 +127,10 @@
         )
 
     def compact(self) -> None:
-        """Once so many records have come, a snapshot takes their place. All of them have to be synced."""
+        """Replace the records with a snapshot once there are enough; all of them have to be synced."""
         if self.records >= self.snapshot_records:
             self.records = 0
-            # Without room the records stay what they are, and as many more come before the next try.
+            # On a full disk the records stay, and the next attempt is after as many more.
             with suppress(StoreFullError):
                 self.log.save_snapshot(self.log.last, SNAPSHOT + self.marks.plain())
 
@@ -133,7 +143,7 @@
         return max(1, self.spare // max(1, edges))
 
     def hear(self, now: float, now_s: float, sender: str, word: Word) -> list[Action]:
-        """``now``: monotonic, ``now_s``: Unix seconds."""
+        """Handle a message; ``now`` is in monotonic and ``now_s`` in Unix seconds."""
         match word:
             case Probe(number, edge, waiting, writer, closed_at):
                 if writer:
@@ -213,8 +223,10 @@
         return out
 
     def _settle(self, now: float, sender: str, word: Settle) -> list[Action]:
-        """Ends without a run that an edge's holder asks for. What has ended otherwise stays so; what runs,
-        runs."""
+        """Record ends without a run that an edge's holder requests.
+
+        A write that has ended before keeps its end, and one that is running is left to run.
+        """
         said = []
         out: list[Action] = []
         fenced = self.marks.fenced(word.edge, word.fence)
@@ -240,8 +252,8 @@
     def _straight(self, now_s: float, sender: str, word: Straight) -> list[Action]:
         entry = Entry.unpack(word.entry)
         key, writer = self.marks.key(entry), entry.dot.writer
-        # Seen in a drawn history (seed 20108): a doubled message came after its write had been told as turned
-        # away, and ran.
+        # In a simulated history (seed 20108) a duplicate message ran after its write had been reported as
+        # refused.
         if (writer, word.number) in self.turned:
             return []
         judged = self.marks.judge(entry, False, now_s)
@@ -262,7 +274,7 @@
         verdict = "served" if judged.state is State.APPLIED else "failed"
         return [Send(sender, StraightDone(word.number, verdict, body or judged.why.encode(), media, 0.0))]
 
-    # --- how runs came out
+    # --- outcomes of runs
 
     def ran(
         self,
@@ -287,8 +299,8 @@
                 state, why = State.REFUSED, "the service refused it"
                 self._record(self.marks.end(entry, state, why, ran=True))
             case Came.NOT_RUN | Came.KEPT:
-                # Seen in the run of all parts (seed 27): LATER has it offered again before all others, and in
-                # a window of 1 nothing else of its edge went up for minutes. HELD lets others pass.
+                # LATER has the write offered again before all others. In the run of all parts (seed 27), with
+                # a window of 1, it blocked its edge's replay for minutes. HELD lets other writes pass.
                 said = Said.LATER if came is Came.NOT_RUN else Said.HELD
                 self._record(self.marks.not_run(entry))
             case Came.UNKNOWN:
@@ -298,7 +310,7 @@
         if said is Said.ENDED:
             out.append(Noted(entry.dot, entry.nonce, state, why))
         for member, dot, edge in run.offered:
-            if said is Said.ENDED and dot != entry.dot:  # another try of the key, with a dot of its own
+            if said is Said.ENDED and dot != entry.dot:  # Another attempt of the key, with its own dot
                 self._record(self.marks.settle(dot, state))
                 out.append(Noted(dot, entry.nonce, state, "as another try of its key"))
             out.append(
@@ -320,7 +332,7 @@
         return out
 
     def _turn_away(self, writer: str, number: int) -> None:
-        """Its caller hears that this try never ran: so a late copy of it must not."""
+        """Remember a live write reported as refused, so that a late duplicate of it does not run."""
         self.turned[writer, number] = None
         if len(self.turned) > MOST_TURNED:
             self.turned.popitem(last=False)
@@ -330,7 +342,7 @@
         return self.marks.ended
 
     def _intend(self, entry: Entry, now_s: float) -> None:
-        """Durable before the run: without it a restart would not know that the write may have run."""
+        """Record an intent, so that after a restart it is known that the write may have run."""
         record = self.marks.intend(entry, now_s)
         if "intent" not in self.marks.without:
             self._record(record)
--- a/beechrock/edges/whom.py
+++ b/beechrock/edges/whom.py
@@ -1,8 +1,8 @@
-"""Which of the nodes that are named upstream an edge's member speaks to. Pure.
+"""Selection of the upstream node that an edge's member sends to. Pure.
 
-States: the one that is named, where there is one; else whoever answered a probe under the highest fence, and
-before any answer the first that is named. All are probed.
-Invariant: an answer under a lower fence than the highest heard says nothing of the link.
+If one node is named it is that one; else the node that answered a probe under the highest fence, or to which
+a redirect points, and the first named node before any answer. All named nodes are probed.
+Invariant: an answer under a fence below the highest known one is ignored.
 """
 
 from dataclasses import dataclass
@@ -21,7 +21,7 @@
         self.at = self.at or self.named[0]
 
     def hear(self, sender: str, word: Word) -> Word | None:
-        """The word to be taken; None: it says nothing that counts."""
+        """Return the message to handle, or None if it is stale or only a redirect."""
         match word:
             case Led(fence, packed):
                 if sender not in self.named or fence < self.fence:
--- a/beechrock/edges/words.py
+++ b/beechrock/edges/words.py
@@ -1,7 +1,7 @@
-"""What members of an edge and upstream say to one another, what their logs hold, and how it is packed. Pure.
+"""Messages between members of an edge and upstream, entries of their logs, and their encoding. Pure.
 
-Each word is a list: its place in ``KINDS``, then its fields. A list may be longer than is known here: a newer
-version adds at the end. What cannot be read is an EdgeRecordError.
+Each message is packed as a list: its index in ``KINDS``, then its fields. A list may have extra fields at the
+end, which a newer version added. Unreadable data raises EdgeRecordError.
 """
 
 from dataclasses import dataclass, fields
@@ -14,14 +14,13 @@
 from beechrock.edges.errors import EdgeRecordError
 from beechrock.edges.kept import Elsewhere, Keep, Kept, Led, Snap, Stand, Stood
 
-NO_ROOM = "no room"  # why a write is LATER: live ones took what the credit was told from
+NO_ROOM = "no room"  # Reason of a LATER because live requests took the capacity that was given as credit
 LEAST_FENCE = -(1 << 62)
-MOST_MESSAGE = 900_000  # bytes, under the link's bound of 1 MB
+MOST_MESSAGE = 900_000  # Maximum bytes of a message; the link's bound is 1 MB
 
 
 class State(Enum):
-    """Where an accepted write is. The last four are ends that are told; APPLIED is the one that is wished
-    for."""
+    """The state of an accepted write; the states in ``ENDS`` are final, and APPLIED is the success."""
 
     WAITING = 0
     SENT = 1
@@ -29,7 +28,7 @@
     REFUSED = 3
     EXPIRED = 4
     DISCARDED = 5
-    DOUBT = 6  # upstream cannot tell whether it ran; an operator has to
+    DOUBT = 6  # Upstream does not know whether it ran; an operator has to decide
 
 
 ENDS = (State.APPLIED, State.REFUSED, State.EXPIRED, State.DISCARDED)
@@ -37,7 +36,7 @@
 
 
 class WhenGone(Enum):
-    """What a write does if one that it depends on ended and was not applied."""
+    """What happens to a write if one of its dependencies ended without being applied."""
 
     HOLD = "hold"
     SKIP = "skip"
@@ -46,8 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """One accepted write, with the terms of its contract as they were then: a later change does not move
-    them."""
+    """One accepted write with the terms of its contract at that time, which later changes do not affect."""
 
     dot: Dot
     seen: Seen
@@ -59,7 +57,7 @@
     subject: str = ""
     when_gone: WhenGone = WhenGone.HOLD
     keep_s: float = 86_400.0
-    accepted_at: float = 0.0  # Unix seconds, for ``keep_s`` and for people; no order hangs on it
+    accepted_at: float = 0.0  # Unix seconds; used for ``keep_s`` and for display, never for ordering
 
     def pack(self) -> bytes:
         packed: bytes = msgpack.packb(
@@ -83,8 +81,8 @@
     @classmethod
     def unpack(cls, data: bytes) -> "Entry":
         try:
-            told = msgpack.unpackb(data)[:12]
-            writer, n, seen, team, service, nonce, body, digest, subject, gone, keep, at = told
+            values = msgpack.unpackb(data)[:12]
+            writer, n, seen, team, service, nonce, body, digest, subject, gone, keep, at = values
             return cls(
                 Dot(writer, n),
                 Seen.of_plain(seen),
@@ -102,12 +100,12 @@
             raise EdgeRecordError(f"a write that cannot be read: {error}") from None
 
 
-# Between members of an edge.
+# Messages between members of an edge.
 
 
 @dataclass(frozen=True, slots=True)
 class Copy:
-    """Writes to be made durable; answered by ``Copied``."""
+    """Writes for the receiver to make durable; answered by ``Copied``."""
 
     entries: tuple[bytes, ...]
 
@@ -115,28 +113,28 @@
 @dataclass(frozen=True, slots=True)
 class Copied:
     dots: tuple[tuple[str, int], ...]
-    folder: bytes = b""  # mark of the store that holds them
+    folder: bytes = b""  # Packed mark of the store that holds the writes
 
 
 @dataclass(frozen=True, slots=True)
 class Have:
-    """What a member holds or knows to have ended; who has more sends it."""
+    """The writes that a member holds or knows to have ended; a peer that has others sends them."""
 
     have: dict[str, list[list[int]]]
     ended: dict[str, list[list[int]]]
     folder: bytes = b""
-    full: bool = False  # its disk takes no copies
+    full: bool = False  # Whether the sender's disk takes no copies
 
 
 @dataclass(frozen=True, slots=True)
 class Told:
-    """Ends that are not the wished one, and operators' words, for all members: dot, state, why."""
+    """Ends other than APPLIED (dot, state, reason), and operators' orders (dot, order), for all members."""
 
     ends: tuple[tuple[str, int, int, str], ...] = ()
     orders: tuple[tuple[str, int, str], ...] = ()
 
 
-# Between a member and upstream.
+# Messages between a member and upstream.
 
 
 @dataclass(frozen=True, slots=True)
@@ -144,16 +142,18 @@
     number: int
     edge: str
     waiting: int
-    writer: str = ""  # the sender's life
-    closed_at: int = 0  # how many closings of lives it has heard of
+    writer: str = ""  # Name of the sender's life, ``edge/member/life``
+    closed_at: int = 0  # Number of closings of lives that the sender knows of
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeAck:
-    """``ended``: upstream's marks. ``credit``: how many replayed writes this edge may have running. ``gone``:
-    of
-    this edge's writes the last that ended and were not applied. ``closed``: lives closed, up to the closing
-    ``closed_at``. ``folder``: mark of the store that the marks lie in."""
+    """Upstream's answer to ``Probe``.
+
+    ``ended``: upstream's marks. ``credit``: number of replayed writes that this edge may have running.
+    ``gone``: this edge's last writes that ended without being applied. ``closed``: lives closed, up to the
+    closing number ``closed_at``. ``folder``: packed mark of the store that holds the marks.
+    """
 
     number: int
     ended: dict[str, list[list[int]]]
@@ -166,7 +166,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Offer:
-    """Writes to be run, by the holder of the edge's duty under its fence; ``released`` by an operator."""
+    """Writes to run, sent by the holder of the edge's duty under its fence.
+
+    ``released`` says for each write whether an operator released it.
+    """
 
     edge: str
     fence: int
@@ -176,7 +179,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settle:
-    """Ends without a run, which upstream has to agree to: dot, state, why."""
+    """Requested ends without a run (dot, state, reason), which upstream has to accept."""
 
     edge: str
     fence: int
@@ -184,41 +187,44 @@
 
 
 class Said(Enum):
-    """Upstream's word on an offered write that has not ended."""
+    """Upstream's result for an offered write."""
 
     ENDED = 0
-    LATER = 1  # not now: after ``after_s``
-    BUSY = 2  # it runs
-    HELD = 3  # waits for ``dots``, which have not ended
-    GONE = 4  # held for an operator, as ``dots`` ended and were not applied
+    LATER = 1  # The write may be offered again after ``after_s`` seconds
+    BUSY = 2  # The write is running
+    HELD = 3  # The write depends on ``dots``, which have not ended
+    GONE = 4  # The write needs an operator, as ``dots`` ended without being applied
     DOUBT = 5
-    STALE = 6  # the fence is not the newest
+    STALE = 6  # The fence of the offer is not the newest
 
 
 @dataclass(frozen=True, slots=True)
 class Ends:
-    """Of each write: dot, said, state, why, after how many seconds again, and which dots it waits for."""
+    """Upstream's results for writes.
+
+    Each holds dot, result, state, reason, retry delay in seconds, and the dots that the write waits for.
+    """
 
     edge: str
     ends: tuple[tuple[str, int, int, int, str, float, list[list[Any]]], ...]
     credit: int = 0
-    fence: int = 0  # the one that STALE is said of
+    fence: int = 0  # Fence that a STALE result refers to
 
 
 @dataclass(frozen=True, slots=True)
 class Straight:
-    """A live write of a contract that may queue: run once, by its key, before any mark of the edge's."""
+    """A live write of a contract that may queue; it runs once, by its key, and has no dot of its own."""
 
     number: int
     edge: str
-    entry: bytes  # its dot has the counter 0: it has not been accepted
+    entry: bytes  # Packed ``Entry``; the counter of its dot is 0, as the write has not been accepted
     retry: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class StraightDone:
     number: int
-    verdict: str  # served, refused, failed
+    verdict: str  # One of served, refused, failed
     body: bytes
     media: str
     after_s: float
@@ -274,12 +280,15 @@
 
 
 def unpack(data: bytes) -> Word:
-    """EdgeRecordError where it is no word of ours."""
+    """Return the decoded message.
+
+    Raises EdgeRecordError if it cannot be read.
+    """
     try:
-        place, *told = msgpack.unpackb(data, use_list=True)
+        place, *plain = msgpack.unpackb(data, use_list=True)
         kind = KINDS[place]
         names = _FIELDS[kind]
-        values = [tuple(v) if isinstance(v, list) else v for v in told[: len(names)]]
+        values = [tuple(v) if isinstance(v, list) else v for v in plain[: len(names)]]
         made: Word = kind(*values)
     except (ValueError, TypeError, IndexError, msgpack.UnpackException) as error:
         raise EdgeRecordError(f"a message that cannot be read: {error}") from None
@@ -287,7 +296,7 @@
 
 
 class Log(Protocol):
-    """What the parts need of a store; it is synced by those round them."""
+    """The part of a store that the pure modules use; the actor syncs it."""
 
     @property
     def first(self) -> int: ...
@@ -302,7 +311,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Write:
-    """A caller's, with its contract's terms; ``ref`` names it to those round this part."""
+    """A caller's write with the terms of its contract; ``ref`` identifies the caller to the actor."""
 
     ref: int
     team: str
@@ -315,12 +324,12 @@
     subject: str = ""
     when_gone: WhenGone = WhenGone.HOLD
     keep_s: float = 86_400.0
-    copies: int = 0  # 0: as the edge has it
+    copies: int = 0  # Number of durable copies required; 0 means the edge's default
     retry: bool = False
-    due_s: float = 1e18  # monotonic: until then it has to have its answer
+    due_s: float = 1e18  # Deadline of the answer, in monotonic seconds
 
     def entry(self, dot: Dot, after: Seen, accepted_at: float) -> Entry:
-        """Return what is kept of this write as ``dot``; ``accepted_at`` in Unix seconds."""
+        """Return the entry that stores this write as ``dot``; ``accepted_at`` is in Unix seconds."""
         return Entry(
             dot,
             after,
@@ -338,7 +347,7 @@
 
 @dataclass(slots=True)
 class Waiting:
-    """A straight write on its way."""
+    """A straight write that awaits upstream's answer."""
 
     write: Write
     due_s: float
@@ -346,13 +355,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Names:
-    """Who this member is: ``writer`` is ``edge/member/life``."""
+    """The identity of an edge's member, and the names of its peers; ``writer`` is ``edge/member/life``."""
 
     edge: str
     me: str
     life: str
     members: tuple[str, ...]
-    upstream: str | tuple[str, ...]  # 1 to 5 names
+    upstream: str | tuple[str, ...]  # Names of the upstream nodes, 1 to 5
 
     @property
     def writer(self) -> str:
