--- a/beechrock/edges/causal.py
+++ b/beechrock/edges/causal.py
@@ -31,11 +31,11 @@
 
 from beechrock.edges.errors import EdgeInvariantError, ForgedTokenError, TooMuchSeenError
 
-MOST_DOTS = 8  # Maximum number of dots kept per writer; more are folded into ``upto``
-MOST_WRITERS = 64  # Maximum number of writers that a request may depend on; it is refused above that
-MOST_KNOWN = 48  # Maximum number of lives in ``known``; above it, lives whose writes have ended are omitted
-MOST_CLOSED = 4096  # Maximum number of closed lives whose names are kept
-MOST_TOKEN = 4096  # Maximum total length of the tokens of a request, in characters
+MAX_DOTS = 8  # Maximum number of dots kept per writer; more are folded into ``upto``
+MAX_WRITERS = 64  # Maximum number of writers that a request may depend on; it is refused above that
+MAX_KNOWN = 48  # Maximum number of lives in ``known``; above it, lives whose writes have ended are omitted
+MAX_CLOSED = 4096  # Maximum number of closed lives whose names are kept
+MAX_TOKEN_CHARS = 4096  # Maximum total length of the tokens of a request, in characters
 TAG_BYTES = 12
 TOKEN_FORM = 1
 
@@ -140,7 +140,7 @@
     def close(self, writer: str) -> None:
         self.of.pop(writer, None)
         self.closed[writer] = None
-        if len(self.closed) > MOST_CLOSED:
+        if len(self.closed) > MAX_CLOSED:
             del self.closed[next(iter(self.closed))]
 
     def merge(self, other: "Vector") -> None:
@@ -209,7 +209,7 @@
     def less(self, ended: Vector) -> "Seen":
         """Return a copy without the dependencies that have ended, which orders writes in the same way."""
         known = {w: n for w, n in self.known.items() if w not in ended.closed} if ended.closed else self.known
-        if (over := len(known) - MOST_KNOWN) > 0:
+        if (over := len(known) - MAX_KNOWN) > 0:
             # Without this bound a chain of writes to one subject named every life that ever wrote to it, and
             # its tokens grew until they were refused.
             out = set(islice((w for w, n in known.items() if ended.upto(w) >= n), over))
@@ -244,7 +244,7 @@
         by.setdefault(writer, []).append(n)
     kept: set[Dot] = set()
     for writer, found in by.items():
-        if len(found) > MOST_DOTS:
+        if len(found) > MAX_DOTS:
             upto[writer] = max(*found, upto.get(writer, 0))
             continue
         kept |= {Dot(writer, n) for n in found if n > upto.get(writer, 0)}
@@ -340,16 +340,16 @@
 
     Raises ForgedTokenError or TooMuchSeenError.
     """
-    if len(text) > MOST_TOKEN:
+    if len(text) > MAX_TOKEN_CHARS:
         raise TooMuchSeenError(
-            f"tokens of {len(text)} characters", where="X-Seen", wanted=f"at most {MOST_TOKEN}"
+            f"tokens of {len(text)} characters", where="X-Seen", wanted=f"at most {MAX_TOKEN_CHARS}"
         )
     seen = NOTHING.merge(*(Token.decode(part, key).seen for part in text.split(",") if part.strip()))
-    if (writers := len({dot.writer for dot in seen.dots} | set(seen.upto))) > MOST_WRITERS:
+    if (writers := len({dot.writer for dot in seen.dots} | set(seen.upto))) > MAX_WRITERS:
         raise TooMuchSeenError(
             f"writes of {writers} members' lives",
             where="X-Seen",
-            wanted=f"at most {MOST_WRITERS}",
+            wanted=f"at most {MAX_WRITERS}",
             do="hand back the newest receipts alone",
         )
     return seen
--- a/beechrock/edges/compacting.py
+++ b/beechrock/edges/compacting.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from beechrock.edges.edge import Edge
 
-MOST_MOVED = 256  # Maximum number of writes appended again in one pass
+MAX_REWRITTEN = 256  # Maximum number of writes appended again in one pass
 
 
 def compact(edge: "Edge") -> None:
@@ -27,7 +27,7 @@
 
 def _compact(edge: "Edge") -> None:
     oldest = sorted((place, dot) for dot, _, place in edge.queue.live())
-    for place, dot in oldest[:MOST_MOVED] if oldest and oldest[0][0] - edge.log.first < 1024 else ():
+    for place, dot in oldest[:MAX_REWRITTEN] if oldest and oldest[0][0] - edge.log.first < 1024 else ():
         edge.queue.moved(dot, edge.log.append(edge.log.entry(place)))
     first = edge.queue.oldest_place()
     plain = [
--- a/beechrock/edges/copies.py
+++ b/beechrock/edges/copies.py
@@ -18,8 +18,8 @@
 from beechrock.edges.errors import EdgeDiskWaitsError, EdgeFullError
 
 RESEND_S = 0.1
-MOST_PENDING = 4096
-AGAIN_S = 2.0  # Seconds after which a refused caller is told to retry
+MAX_PENDING = 4096
+RETRY_AFTER_S = 2.0  # Seconds after which a refused caller is told to retry
 
 
 @dataclass(slots=True)
@@ -76,7 +76,7 @@
         if self.full:
             raise EdgeDiskWaitsError(
                 self.disk,
-                AGAIN_S,
+                RETRY_AFTER_S,
                 where="edges",
                 wanted="a disk with room that writes",
                 do="see `disk` in /edges; it goes on by itself",
@@ -86,13 +86,13 @@
         if "able" not in self.without and reached < needed:
             raise EdgeFullError(
                 f"{reached} of {needed} members for copies are heard",
-                AGAIN_S,
+                RETRY_AFTER_S,
                 where="edges.copies",
                 wanted=f"{needed} members",
                 do="start or reach the other members of this edge",
             )
-        if len(self.pending) >= MOST_PENDING:
-            raise EdgeFullError("too many writes wait for their copies", AGAIN_S, where="edges.copies")
+        if len(self.pending) >= MAX_PENDING:
+            raise EdgeFullError("too many writes wait for their copies", RETRY_AFTER_S, where="edges.copies")
 
     def heard(self, member: str, now: float) -> None:
         self.last_heard[member] = now
--- a/beechrock/edges/differ.py
+++ b/beechrock/edges/differ.py
@@ -18,7 +18,7 @@
 
 # Maximum number of subjects with a standing write; the least recently written one is evicted, and the next
 # write to it simply runs.
-MOST_SUBJECTS = 16_384
+MAX_SUBJECTS = 16_384
 
 
 class Differing(Enum):
@@ -56,7 +56,7 @@
             return
         self.subjects.pop(place, None)
         self.subjects[place] = new
-        if len(self.subjects) > MOST_SUBJECTS:
+        if len(self.subjects) > MAX_SUBJECTS:
             self.subjects.popitem(last=False)
 
     def forget(self, writer: str) -> None:
--- a/beechrock/edges/edge.py
+++ b/beechrock/edges/edge.py
@@ -18,7 +18,7 @@
 import msgpack
 
 from beechrock.edges.actions import Accepted, Action, Done, Send, Turned
-from beechrock.edges.causal import MOST_CLOSED, NOTHING, Dot, Heads, Seen, Spans, Vector, check_after
+from beechrock.edges.causal import MAX_CLOSED, NOTHING, Dot, Heads, Seen, Spans, Vector, check_after
 from beechrock.edges.compacting import compact
 from beechrock.edges.copies import Copies
 from beechrock.edges.errors import EdgeFullError, EdgeRecordError, UnknownReceiptError
@@ -27,7 +27,7 @@
 from beechrock.edges.queue import Queue
 from beechrock.edges.whom import Whom
 from beechrock.edges.words import (
-    MOST_MESSAGE,
+    MAX_MESSAGE_BYTES,
     Copied,
     Copy,
     Ends,
@@ -48,8 +48,8 @@
 from beechrock.store.errors import StoreFailedError, StoreFullError
 
 GOSSIP_S = 0.5
-MOST_COPIED = 64  # Maximum number of writes sent to one member in one ``Copy`` message
-MOST_SESSIONS, MOST_SUBJECTS, MOST_GONE, MOST_ORDERS = 8192, 65_536, 8192, 1024
+MAX_COPIES_SENT = 64  # Maximum number of writes sent to one member in one ``Copy`` message
+MAX_SESSIONS, MAX_SUBJECTS, MAX_GONE, MAX_ORDERS = 8192, 65_536, 8192, 1024
 COPY_SLACK = 1.25  # Factor on the queue's bound for copies, as members' queues differ a little in size
 STRAIGHT_S = 2.0  # Seconds after which a straight write without an answer is queued
 CUT_AFTER_S, GOOD_AFTER_S = 5.0, 0.5
@@ -71,8 +71,8 @@
     older: bool = False  # Whether upstream lost marks; this member then treats upstream as cut off
     have: Vector = field(default_factory=Vector)
     ended: Vector = field(default_factory=Vector)  # Writes that have ended, as reported by upstream
-    sessions: Heads = field(default_factory=lambda: Heads(MOST_SESSIONS))
-    subjects: Heads = field(default_factory=lambda: Heads(MOST_SUBJECTS))
+    sessions: Heads = field(default_factory=lambda: Heads(MAX_SESSIONS))
+    subjects: Heads = field(default_factory=lambda: Heads(MAX_SUBJECTS))
     gone: OrderedDict[Dot, tuple[State, str]] = field(default_factory=OrderedDict)
     orders: dict[Dot, str] = field(default_factory=dict)
     refs: dict[Dot, tuple[int, Seen]] = field(default_factory=dict)  # Callers whose writes await copies
@@ -269,7 +269,7 @@
         for writer, lane in self.queue.lanes.items():
             mine = Spans([(lane.base, lane.base + len(lane.states) - 1)])
             for n in theirs.of.get(writer, Spans()).gaps(mine, 1 << 20):
-                if len(sent) >= MOST_COPIED or size > MOST_MESSAGE // 2:
+                if len(sent) >= MAX_COPIES_SENT or size > MAX_MESSAGE_BYTES // 2:
                     break
                 if self.queue.waits(Dot(writer, n)):
                     packed = self.log.entry(lane.places[n - lane.base])[1:]
@@ -295,9 +295,8 @@
     def _close(self, closed: tuple[str, ...], closed_at: int) -> None:
         """Close the lives that upstream has closed, except those whose writes still wait here."""
         idle = [writer for writer in closed if self.queue.idle(writer)]
-        if (
-            len(self.ended.closed) + len(idle) > MOST_CLOSED
-        ):  # No head may depend on a life whose name is evicted
+        # No head may depend on a life whose name is evicted.
+        if len(self.ended.closed) + len(idle) > MAX_CLOSED:
             self.sessions.tidy(self.ended)
             self.subjects.tidy(self.ended)
         for writer in idle:
@@ -314,7 +313,7 @@
     def end(self, dot: Dot, state: State, why: str) -> None:
         if state is not State.APPLIED:
             self.gone[dot] = state, why
-            if len(self.gone) > MOST_GONE:
+            if len(self.gone) > MAX_GONE:
                 self.gone.popitem(last=False)
         self.queue.end(dot, state)
         self.ended.add(dot)
@@ -342,7 +341,7 @@
             if (held := self.refs.pop(dot, None)) is not None:
                 self.out.append(Done(held[0], "failed", b"too few copies in time; it may still run\n"))
         for name, packed in resend.items():
-            self.send(name, Copy(tuple(packed[:MOST_COPIED])))
+            self.send(name, Copy(tuple(packed[:MAX_COPIES_SENT])))
         overdue = [n for n, w in self.straight.items() if w.due_s <= now or not self.link.straight]
         for number in overdue:
             # It may have run upstream; queued under the same idempotency key, it still runs only once.
@@ -368,16 +367,16 @@
                 wanted="the receipt of a write that waits",
                 do="beechrock edges list",
             )
-        if len(self.orders) >= MOST_ORDERS:
+        if len(self.orders) >= MAX_ORDERS:
             raise UnknownReceiptError(
-                f"{MOST_ORDERS} words of operators wait already", do="wait until some have been acted on"
+                f"{MAX_ORDERS} words of operators wait already", do="wait until some have been acted on"
             )
         self._ordered(dot, order)
         self.holder.order_at = 0.0
         return self._done()
 
     def _ordered(self, dot: Dot, order: str) -> None:
-        if self.orders.get(dot) != order and self.queue.waits(dot) and len(self.orders) < MOST_ORDERS:
+        if self.orders.get(dot) != order and self.queue.waits(dot) and len(self.orders) < MAX_ORDERS:
             self.log.append(ORDER + msgpack.packb([dot.writer, dot.n, order]))
             self.orders[dot] = order
             if order == "release":
--- a/beechrock/edges/holder.py
+++ b/beechrock/edges/holder.py
@@ -12,15 +12,25 @@
 
 from beechrock.edges.causal import Dot
 from beechrock.edges.replay import Pace, Picker
-from beechrock.edges.words import LEAST_FENCE, MOST_MESSAGE, NO_ROOM, Ends, Offer, Said, Settle, State, Told
+from beechrock.edges.words import (
+    MAX_MESSAGE_BYTES,
+    MIN_FENCE,
+    NO_ROOM,
+    Ends,
+    Offer,
+    Said,
+    Settle,
+    State,
+    Told,
+)
 
 if TYPE_CHECKING:
     from beechrock.edges.edge import Edge
 
-FLIGHT_S = 5.0  # Seconds after which an offer without an answer is sent again
-ORDER_S = 1.0
-OFFERED, LOOKED = 64, 256  # Maximum number of writes in one offer, and examined to fill it
-MOST_ORDERED = 64
+OFFER_TIMEOUT_S = 5.0  # Seconds after which an offer without an answer is sent again
+ORDERS_INTERVAL_S = 1.0
+MAX_OFFERED, MAX_EXAMINED = 64, 256  # Maximum number of writes in one offer, and examined to fill it
+MAX_ORDERS_SENT = 64
 
 
 @dataclass(slots=True)
@@ -28,7 +38,7 @@
     picker: Picker
     pace: Pace = field(default_factory=Pace)
     fence: int | None = None
-    stale: int = LEAST_FENCE  # Highest fence that upstream called stale; up to it no fence is used again
+    stale: int = MIN_FENCE  # Highest fence that upstream called stale; up to it no fence is used again
     order_at: float = 0.0
     applied: int = 0
 
@@ -68,7 +78,7 @@
                 else:
                     self.pace.later(now, after_s)
             elif said is Said.BUSY and in_flight:
-                self.picker.flights[dot].due_s = now + FLIGHT_S
+                self.picker.flights[dot].due_s = now + OFFER_TIMEOUT_S
             elif in_flight:
                 entry = self.picker.flights[dot].entry
                 self.picker.park(entry, said, tuple(Dot(w, k) for w, k in dots), now)
@@ -87,7 +97,7 @@
         if not edge.link.replays and self.picker.flights:
             self.picker.stop()
         if now >= self.order_at:
-            self.order_at = now + ORDER_S
+            self.order_at = now + ORDERS_INTERVAL_S
             self._orders(edge)
         self.picker.progress(edge.ended, now)
         self._expire(edge, now, now_s)
@@ -103,14 +113,14 @@
         """Send operators' orders to all members until they are carried out, and discards to upstream."""
         orders = tuple((dot.writer, dot.n, order) for dot, order in edge.orders.items())
         for name in edge.copies.others() if orders else ():
-            edge.send(name, Told((), orders[:MOST_ORDERED]))
+            edge.send(name, Told((), orders[:MAX_ORDERS_SENT]))
         ends = tuple(
             (dot.writer, dot.n, State.DISCARDED.value, "an operator discarded it")
             for dot, order in edge.orders.items()
             if order == "discard" and dot not in self.picker.flights
         )
         if ends and self.fence is not None and edge.link.straight:
-            edge.send(edge.whom.at, Settle(edge.names.edge, self.fence, ends[:MOST_ORDERED]))
+            edge.send(edge.whom.at, Settle(edge.names.edge, self.fence, ends[:MAX_ORDERS_SENT]))
 
     def _offer(self, edge: "Edge", now: float, now_s: float) -> None:
         if self.fence is None or not edge.link.replays:
@@ -123,14 +133,16 @@
         packed: list[bytes] = []
         released: list[bool] = []
         size, looked = 0, 0
-        while room > 0 and len(packed) < OFFERED and size < MOST_MESSAGE // 2 and looked < LOOKED:
+        while (
+            room > 0 and len(packed) < MAX_OFFERED and size < MAX_MESSAGE_BYTES // 2 and looked < MAX_EXAMINED
+        ):
             looked += 1
             if (dot := self.picker.next(now)) is None:
                 break
             entry = edge.entry(dot)
             if edge.orders.get(dot) == "discard":
-                # Discards are sent only once per ORDER_S: in a run with real processes the write was offered
-                # before its discard reached upstream.
+                # Discards are sent only once per ORDERS_INTERVAL_S: in a run with real processes the write was
+                # offered before its discard reached upstream.
                 self.picker.park(entry, Said.HELD, (), now)
                 continue
             is_released = edge.orders.get(dot) == "release"
@@ -138,7 +150,7 @@
             if missing and now_s - entry.accepted_at <= entry.keep_s:
                 self.picker.park(entry, Said.HELD, tuple(missing), now)
                 continue
-            self.picker.fly(entry, now + FLIGHT_S)
+            self.picker.fly(entry, now + OFFER_TIMEOUT_S)
             self.pace.sent(again=False)
             packed.append(edge.log.entry(edge.queue.place(dot))[1:])
             released.append(is_released)
--- a/beechrock/edges/kept.py
+++ b/beechrock/edges/kept.py
@@ -14,11 +14,13 @@
 from beechrock.store.witness import Verdict
 
 DUTY = "edges:upstream"
-MOST_NAMED = 5
-MOST_BATCH = 900_000  # Maximum bytes of records or snapshot in one message; the link's bound is 1 MB
-MOST_FLYING = 64  # Maximum number of batches in flight to one peer; then none is sent until it answers
-FOUND = "found at a take-over"  # Reason of an end that a new holder reports, perhaps a second time
-REIGN = b"\x94\xa5reign"  # First bytes of a record that begins a reign
+MAX_NAMED = 5
+MAX_BATCH_BYTES = 900_000  # Maximum bytes of records or snapshot in one message; the link's bound is 1 MB
+MAX_IN_FLIGHT = 64  # Maximum number of batches in flight to one peer; then none is sent until it answers
+FOUND_AT_TAKE_OVER = (
+    "found at a take-over"  # Reason of an end that a new holder reports, perhaps a second time
+)
+REIGN_PREFIX = b"\x94\xa5reign"  # First bytes of a record that begins a reign
 Spans = tuple[tuple[int, int], ...]
 
 
@@ -143,7 +145,7 @@
 
 def reign_of(record: bytes, before: int) -> int:
     """Return the reign of a record; ``before`` is the reign of the previous record."""
-    return int(msgpack.unpackb(record)[1]) if record.startswith(REIGN) else before
+    return int(msgpack.unpackb(record)[1]) if record.startswith(REIGN_PREFIX) else before
 
 
 def short(mark: Mark) -> bytes:
--- a/beechrock/edges/lead.py
+++ b/beechrock/edges/lead.py
@@ -16,7 +16,18 @@
 from typing import TYPE_CHECKING, Any
 
 from beechrock.edges.actions import Action, Noted, Send
-from beechrock.edges.kept import FOUND, MOST_FLYING, Keep, Kept, Led, Spans, Stand, Stood, short, spans_of
+from beechrock.edges.kept import (
+    FOUND_AT_TAKE_OVER,
+    MAX_IN_FLIGHT,
+    Keep,
+    Kept,
+    Led,
+    Spans,
+    Stand,
+    Stood,
+    short,
+    spans_of,
+)
 from beechrock.edges.upstream import Upstream
 from beechrock.edges.words import ProbeAck, Word, pack
 from beechrock.store.errors import StoreFailedError, StoreFullError
@@ -24,12 +35,12 @@
 if TYPE_CHECKING:
     from beechrock.edges.standby import Standby
 
-BEAT_S = 0.2  # Seconds between heartbeats to a peer
-QUIET = 2  # Heartbeats without an answer after which no records are sent until one comes
+HEARTBEAT_S = 0.2  # Seconds between heartbeats to a peer
+MAX_UNANSWERED = 2  # Heartbeats without an answer after which no records are sent until one comes
 HEARD_S = 1.0  # Seconds within which a majority must have been heard, else edges' requests are ignored
 WAIT_S = 0.5  # Seconds to wait for the log positions of all nodes; after that a majority is enough
-MOST_REIGNS = 64  # Maximum number of reigns in the log; above it the log is compacted early
-MOST_WAITING = 64  # Maximum number of turns that await a majority; at it edges' requests are ignored
+MAX_REIGNS = 64  # Maximum number of reigns in the log; above it the log is compacted early
+MAX_WAITING = 64  # Maximum number of turns that await a majority; at it edges' requests are ignored
 
 
 class State(Enum):
@@ -110,7 +121,7 @@
         return [name for name in self.standby.names if name != self.standby.me]
 
     def ask(self, now: float) -> list[Action]:
-        self.beat_at = now + BEAT_S
+        self.beat_at = now + HEARTBEAT_S
         return [Send(name, Stand(self.fence)) for name in self.others if name not in self.heard]
 
     def stood(self, now: float, sender: str, word: Stood, wrong: bool) -> list[Action]:
@@ -162,7 +173,7 @@
             # 20017) the events lacked the end of a write on which other writes depended.
             if (found := marks.end_of(record)) is not None:
                 dot, state, quiet = found
-                noted.append(Noted(dot, "", state, ("superseded, " if quiet else "") + FOUND))
+                noted.append(Noted(dot, "", state, ("superseded, " if quiet else "") + FOUND_AT_TAKE_OVER))
         standby.applied = standby.log.last
         # A write with an intent of an earlier holder but without an end may have run.
         marks.restarted()
@@ -171,7 +182,7 @@
             self, marks, turned=standby.turned, snapshot_records=standby.snapshot_records
         )
         self.upstream.records = standby.log.last - standby.base + 1
-        if len(standby.spans) > MOST_REIGNS:
+        if len(standby.spans) > MAX_REIGNS:
             self.upstream.records = standby.snapshot_records
         group = self.group if self.fresh or not marks.group else marks.group
         self.start = self.append(marks.reigns(self.fence, group, self.last))
@@ -192,7 +203,7 @@
 
         Otherwise edges get no answers and treat upstream as cut off.
         """
-        if self.state is not State.LEADING or self.held < self.start or len(self.waiting) >= MOST_WAITING:
+        if self.state is not State.LEADING or self.held < self.start or len(self.waiting) >= MAX_WAITING:
             return False
         recent = sum(peer.counts and now - peer.heard_at <= HEARD_S for peer in self.peers.values())
         return recent + 1 >= self.standby.majority
@@ -234,7 +245,7 @@
         # Every batch after a lost one is answered with the same request.
         if asked == peer.asked and now < peer.given_s:
             return []
-        peer.asked, peer.given_s = asked, now + BEAT_S
+        peer.asked, peer.given_s = asked, now + HEARTBEAT_S
         given, index = self.standby.give(word, self.fence, self.held)
         if isinstance(given, Keep):
             given, peer.next = self._dress(peer, given), index + 1
@@ -260,7 +271,7 @@
         out: list[Action] = []
         if self.state is State.LEADING:
             for name, peer in self.peers.items():
-                most = MOST_FLYING if peer.quiet < QUIET else 0
+                most = MAX_IN_FLIGHT if peer.quiet < MAX_UNANSWERED else 0
                 while peer.flying < most and self.standby.base < peer.next <= self.last:
                     keep, index = self.standby.batch(peer.next - 1, self.fence, self.held)
                     out.append(Send(name, self._dress(peer, keep)))
@@ -271,7 +282,7 @@
         if self.state is not State.LEADING:
             if now < self.beat_at:
                 return []
-            self.beat_at = now + BEAT_S
+            self.beat_at = now + HEARTBEAT_S
             if self.state is State.FETCHING:
                 return [Send(self.source, self.standby.again())]
             return self._settle(now) or self.ask(now) if self.state is State.ASKING else []
@@ -279,9 +290,11 @@
         for name, peer in self.peers.items():
             if now < peer.beat_at:
                 continue
-            peer.beat_at = now + BEAT_S
+            peer.beat_at = now + HEARTBEAT_S
             peer.quiet += 1
-            if peer.quiet >= QUIET:  # Batches may be lost: continue after the last acknowledged record
+            if (
+                peer.quiet >= MAX_UNANSWERED
+            ):  # Batches may be lost: continue after the last acknowledged record
                 peer.next, peer.flying = max(peer.match, self.standby.base) + 1, 0
             at = max(min(peer.next - 1, self.last), self.standby.base)  # The peer answers if it lacks records
             out.append(
--- a/beechrock/edges/link.py
+++ b/beechrock/edges/link.py
@@ -5,7 +5,7 @@
 write that depends on one of them is queued, other writes go straight).
 Events: ``heard`` (an answer of upstream), ``tick``; both are passed the number of waiting writes.
 Hysteresis: CONNECTED ends only after DOUBT_PROBES without an answer, CUT only after ``good_needed`` answers
-in a row; each return to CUT within FLAP_S doubles ``good_needed`` up to MOST_GOOD. Without this a link that
+in a row; each return to CUT within FLAP_S doubles ``good_needed`` up to MAX_GOOD. Without this a link that
 flaps each second would begin a replay, with its slow start and its retries, each second.
 Invariants: no write goes straight in CUT, PROBING or DOUBTFUL; a good link leaves REPLAYING only with no
 write waiting.
@@ -15,7 +15,7 @@
 from enum import Enum
 
 DOUBT_PROBES, CUT_PROBES = 2.5, 5.0  # Probe intervals without an answer until DOUBTFUL, and until CUT
-GOOD, MOST_GOOD = 2, 16
+GOOD, MAX_GOOD = 2, 16
 FLAP_S = 30.0
 
 
@@ -93,7 +93,7 @@
 
     def _cut(self, now: float) -> None:
         if self.came_back_at is not None and now - self.came_back_at <= FLAP_S:
-            self.good_needed = min(MOST_GOOD, 2 * self.good_needed)
+            self.good_needed = min(MAX_GOOD, 2 * self.good_needed)
         self.cuts += 1
         self._go(LinkState.CUT, now)
 
--- a/beechrock/edges/marks.py
+++ b/beechrock/edges/marks.py
@@ -32,13 +32,13 @@
 from beechrock.edges.causal import Dot, Heads, Seen, Vector
 from beechrock.edges.differ import Differ, Differing, Standing
 from beechrock.edges.errors import EdgeInvariantError, EdgeRecordError
-from beechrock.edges.words import GONE, LEAST_FENCE, Entry, Said, State, WhenGone
+from beechrock.edges.words import GONE, MIN_FENCE, Entry, Said, State, WhenGone
 from beechrock.store.codec import MAX_OPENINGS, Mark
 
-MOST_GONE = 65_536  # Maximum number of writes in ``gone``; evicted ones later count as applied
-MOST_KEYS = 100_000  # Maximum number of keys; above it new writes are told LATER until old keys expire
-MOST_DEPENDS = 16  # Maximum number of dots named in a HELD or GONE answer
-MOST_CLOSED_TOLD = 64  # Maximum number of closed lives named in one answer
+MAX_GONE = 65_536  # Maximum number of writes in ``gone``; evicted ones later count as applied
+MAX_KEYS = 100_000  # Maximum number of keys; above it new writes are told LATER until old keys expire
+MAX_DEPENDS = 16  # Maximum number of dots named in a HELD or GONE answer
+MAX_CLOSED_SENT = 64  # Maximum number of closed lives named in one answer
 WALL_STEP_S = 3600.0  # Largest tolerated wall-clock step in seconds; a key forgotten early could run twice
 KEY_SLACK_S = 60.0 + WALL_STEP_S  # Seconds that a key is kept after the last time its write may arrive
 LIFE_SLACK_S = 60.0  # Extra seconds before a life that is over is closed; its later writes expire
@@ -103,7 +103,7 @@
         Late messages of an earlier holder are refused: it may not know what operators have settled since, nor
         how fast its successor sends.
         """
-        return "fence" in self.without or fence >= self.fences.get(edge, LEAST_FENCE)
+        return "fence" in self.without or fence >= self.fences.get(edge, MIN_FENCE)
 
     def judge(self, entry: Entry, released: bool, now_s: float) -> Judged:
         """Decide whether a write runs, waits or ends; ``now_s`` is in Unix seconds.
@@ -131,18 +131,18 @@
         if not live and now_s - entry.accepted_at > entry.keep_s:
             return Judged(Verdict.END, state=State.EXPIRED, why=f"older than keep_s {entry.keep_s:g}")
         if "depends" not in self.without and (held := entry.seen.missing(self.ended)):
-            return Judged(Verdict.WAIT, Said.HELD, dots=tuple(held[:MOST_DEPENDS]))
+            return Judged(Verdict.WAIT, Said.HELD, dots=tuple(held[:MAX_DEPENDS]))
         lost = [] if released else self._lost(entry.seen)
         if lost and entry.when_gone is not WhenGone.SKIP:
             if entry.when_gone is WhenGone.CASCADE:
                 return Judged(Verdict.END, state=State.DISCARDED, why=f"{lost[0]} was not applied")
-            return Judged(Verdict.WAIT, Said.GONE, dots=tuple(lost[:MOST_DEPENDS]))
+            return Judged(Verdict.WAIT, Said.GONE, dots=tuple(lost[:MAX_DEPENDS]))
         if not live and entry.subject:
             place = Heads.place(entry.service, entry.subject)
             by = self.differ.superseded_by(self.rule(entry.service), place, Standing(entry.dot, entry.seen))
             if by is not None:
                 return Judged(Verdict.END, state=State.REFUSED, why=f"superseded by {by}")
-        if known is None and len(self.keys) >= MOST_KEYS and not self._forget_keys(now_s):
+        if known is None and len(self.keys) >= MAX_KEYS and not self._forget_keys(now_s):
             return Judged(Verdict.WAIT, Said.LATER, why="too many keys are kept")
         return Judged(Verdict.RUN)
 
@@ -157,12 +157,12 @@
         expired = [k for k, known in self.keys.items() if known.until < now_s and k not in self.doubts]
         for key in expired[:1024]:
             del self.keys[key]
-        return len(self.keys) < MOST_KEYS
+        return len(self.keys) < MAX_KEYS
 
     # --- events; each returns the record that has to be durable before any answer is sent
 
     def fence(self, edge: str, fence: int) -> bytes | None:
-        if fence <= self.fences.get(edge, LEAST_FENCE):
+        if fence <= self.fences.get(edge, MIN_FENCE):
             return None
         return self._do(["fence", edge, fence])
 
@@ -210,7 +210,7 @@
         """Return names of lives closed after the first ``at`` closings, and the count of closings covered."""
         first = self.closings - len(self.ended.closed)
         at = max(at, first) if at <= self.closings else first  # A higher ``at`` comes from another upstream
-        names = tuple(islice(self.ended.closed, at - first, at - first + MOST_CLOSED_TOLD))
+        names = tuple(islice(self.ended.closed, at - first, at - first + MAX_CLOSED_SENT))
         return names, at + len(names)
 
     def reigns(self, fence: int, group: bytes, found: int) -> bytes:
@@ -270,7 +270,7 @@
     def redo(self, data: bytes) -> None:
         match msgpack.unpackb(data):
             case ["fence", edge, fence]:
-                self.fences[edge] = max(fence, self.fences.get(edge, LEAST_FENCE))
+                self.fences[edge] = max(fence, self.fences.get(edge, MIN_FENCE))
             case ["intent", [writer, n], key, digest, until]:
                 self.keys[key] = Known(digest, until)
                 self.doubts.pop(key, None)
@@ -316,7 +316,7 @@
         self.ended.add(dot)
         if state in GONE and not quiet:
             self.gone[dot] = state
-            if len(self.gone) > MOST_GONE:
+            if len(self.gone) > MAX_GONE:
                 self.gone.popitem(last=False)
         if stands is not None:
             place, rule, seen = stands
--- a/beechrock/edges/member.py
+++ b/beechrock/edges/member.py
@@ -30,7 +30,7 @@
     from beechrock.inventory.model import Inventory
 
 KEEP_S = 86_400.0
-UNPROVED = b"the disk of this node failed; it may still run\n"
+SYNC_FAILED = b"the disk of this node failed; it may still run\n"
 MARKS = "marks"  # In place of a receipt: names upstream's marks
 READ_AFTER_S = 0.5
 
@@ -214,7 +214,7 @@
         for action in actions:
             match action:
                 case Accepted(ref):
-                    out.append(Done(ref, "failed", UNPROVED))
+                    out.append(Done(ref, "failed", SYNC_FAILED))
                 case Send(_, Copied()):
                     continue  # The other member sends the copy again
                 case _:
--- a/beechrock/edges/named.py
+++ b/beechrock/edges/named.py
@@ -27,7 +27,7 @@
 if TYPE_CHECKING:
     from beechrock.edges.runs import Runs
 
-LOOK_S = 0.02
+POLL_S = 0.02
 LATER_S = 0.5
 
 
@@ -184,7 +184,7 @@
         """
         self.runs.post(lambda now: self.standby.take(now, fence, secrets.token_bytes(16), self.forced))
         while not self._took(fence):
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_S)
 
     def _took(self, fence: int) -> bool:
         lead = self.standby.lead
@@ -204,7 +204,7 @@
         if lead is not None:
             lead.closing = True
             while lead is self.standby.lead and (lead.waiting or (lead.upstream and lead.upstream.running)):
-                await asyncio.sleep(LOOK_S)
+                await asyncio.sleep(POLL_S)
             self.runs.post(self._down)
 
     def _down(self, now: float) -> list[Action]:
--- a/beechrock/edges/part.py
+++ b/beechrock/edges/part.py
@@ -14,10 +14,10 @@
 from beechrock.edges.actions import Accepted, Action, Done, Noted, Run, Send, Turned
 from beechrock.edges.errors import EdgeError, EdgeSettingError, UnknownReceiptError
 from beechrock.edges.member import MARKS, Member
-from beechrock.edges.recovering import ROOM_BYTES, STOPPED_DO, Disk, Recovering, heals, no_room
+from beechrock.edges.recovering import CHECK_BYTES, STOPPED_DO, Disk, Recovering, heals, no_room
 from beechrock.edges.runs import Runs
 from beechrock.edges.told import Told
-from beechrock.edges.words import LEAST_FENCE, Offer, Settle, StraightDone, pack, unpack
+from beechrock.edges.words import MIN_FENCE, Offer, Settle, StraightDone, pack, unpack
 from beechrock.errors import OperatorError
 from beechrock.net.scgi import Reply
 from beechrock.net.scgi_codec import ScgiError
@@ -33,8 +33,8 @@
 
 CHANNEL = "edges"
 TICK_S = 0.02
-MOST_EVENTS = 20_000  # Maximum number of waiting events; further messages are dropped and sent again
-ROOM = "edges.room"  # File that a disk check writes and removes again
+MAX_EVENTS = 20_000  # Maximum number of waiting events; further messages are dropped and sent again
+CHECK_FILE = "edges.room"  # File that a disk check writes and removes again
 Event = Callable[[float, float], list[Action]]
 
 
@@ -66,7 +66,7 @@
         folder = self.talk.told.state
         with at_start(folder):
             at = self.files = state_folder.open_folder(folder)
-            at.remove(ROOM)
+            at.remove(CHECK_FILE)
         self.member: Member | None = None
         self.runs: Runs | None = None
         if told.at_edge:
@@ -125,7 +125,7 @@
         self.wake.set()
 
     def _heard(self, sender: str, life: int, message: bytes) -> None:
-        if len(self.events) > MOST_EVENTS:
+        if len(self.events) > MAX_EVENTS:
             self.counters.add("edges.dropped")
             return
         try:
@@ -301,10 +301,10 @@
         Raises OSError if the disk takes no writes yet.
         """
         try:
-            self.files.write(ROOM, 0, bytes(ROOM_BYTES))
-            self.files.sync(ROOM)
+            self.files.write(CHECK_FILE, 0, bytes(CHECK_BYTES))
+            self.files.sync(CHECK_FILE)
         finally:
-            self.files.remove(ROOM)
+            self.files.remove(CHECK_FILE)
 
     def _stop(self, error: OperatorError) -> None:
         """Stop this part for good; waiting callers are told that their write failed and may still run."""
@@ -347,7 +347,7 @@
             found: int | None = self.duties.may(f"edge:{self.told.edge}")
             return found
         # Fences without duties are below every log index, so that a fleet may enable duties later.
-        return int(self.talk.life) + LEAST_FENCE if self.told.replayer == self.name else None
+        return int(self.talk.life) + MIN_FENCE if self.told.replayer == self.name else None
 
     async def leave(self) -> None:
         """Do nothing: queued writes stay on disk, and the duties part gives the duty back."""
--- a/beechrock/edges/queue.py
+++ b/beechrock/edges/queue.py
@@ -20,14 +20,14 @@
 from beechrock.edges.words import ENDS, State
 
 CUT_AFTER_S = 30.0  # Retry delay in seconds for refused callers while nothing is replayed
-MOST_TEAMS = 4096
+MAX_TEAMS = 4096
 
 
-NEVER = 255  # State in a lane of a counter whose write is not held, or not yet
-_ENDED = frozenset((NEVER, *(state.value for state in ENDS)))
-TRIM = 256  # Minimum number of ended writes at the front of a lane to remove at once
+NOT_HELD = 255  # State in a lane of a counter whose write is not held, or not yet
+_ENDED = frozenset((NOT_HELD, *(state.value for state in ENDS)))
+MIN_TRIM = 256  # Minimum number of ended writes at the front of a lane to remove at once
 TURNS_SLACK = 8192
-_SHIFT = 40  # Bits of the counter in a turn's code; the lane's number is in the bits above
+_COUNTER_BITS = 40  # Bits of the counter in a turn's code; the lane's number is in the bits above
 
 
 class Lane:
@@ -42,27 +42,27 @@
     def find(self, n: int) -> int | None:
         """Return the index of counter ``n``, or None if its write is not held or was trimmed."""
         at = n - self.base
-        return at if 0 <= at < len(self.states) and self.states[at] != NEVER else None
+        return at if 0 <= at < len(self.states) and self.states[at] != NOT_HELD else None
 
     def reach(self, n: int) -> int:
         """Return the index of counter ``n``, growing the lane to hold it; copies may come in any order."""
         if (missing := self.base - n) > 0:
             self.places[0:0], self.sizes[0:0] = array("q", [0]) * missing, array("i", [0]) * missing
             self.teams[0:0] = array("H", [0]) * missing
-            self.states[0:0] = bytes([NEVER]) * missing
+            self.states[0:0] = bytes([NOT_HELD]) * missing
             self.base = n
         if (missing := n - self.base + 1 - len(self.states)) > 0:
             self.places.extend(array("q", [0]) * missing)
             self.sizes.extend(array("i", [0]) * missing)
             self.teams.extend(array("H", [0]) * missing)
-            self.states.extend(bytes([NEVER]) * missing)
+            self.states.extend(bytes([NOT_HELD]) * missing)
         return n - self.base
 
     def trim(self) -> None:
         at, most = 0, len(self.states)
         while at < most and self.states[at] in _ENDED:
             at += 1
-        if at >= TRIM or at == most:
+        if at >= MIN_TRIM or at == most:
             del self.places[:at], self.sizes[:at], self.teams[:at], self.states[:at]
             self.base += at
 
@@ -120,7 +120,7 @@
                 if other != team:
                     promised += max(0.0, share * self.most_bytes - self.used.get(other, 0))
         over = self.bytes_held + size + promised - self.most_bytes
-        if over > 0 or (team not in self.counts and len(self.teams) >= MOST_TEAMS):
+        if over > 0 or (team not in self.counts and len(self.teams) >= MAX_TEAMS):
             after = over / self.drained_per_s if self.drained_per_s > 0 else CUT_AFTER_S
             raise EdgeFullError(
                 f"the queue holds {self.bytes_held >> 10} KB of {self.most_bytes >> 10} KB; "
@@ -150,7 +150,7 @@
         self.used[team] += size
         self.counts[team] += 1
         self.bytes_held += size
-        self.turns[team].codes.append(lane.number << _SHIFT | dot.n)
+        self.turns[team].codes.append(lane.number << _COUNTER_BITS | dot.n)
         return True
 
     def state(self, dot: Dot) -> State | None:
@@ -209,7 +209,7 @@
         for dot, state, _ in sorted(self.live(), key=lambda found: found[2]):
             if state is State.SENT:
                 self._to(dot, State.WAITING)
-            self.turns[self.team(dot)].codes.append(self.lanes[dot.writer].number << _SHIFT | dot.n)
+            self.turns[self.team(dot)].codes.append(self.lanes[dot.writer].number << _COUNTER_BITS | dot.n)
 
     def end(self, dot: Dot, state: State) -> bool:
         """End a write in ``state``; return False if it is not held here or has ended before."""
@@ -249,7 +249,7 @@
             self.by_number[number] = Lane("", number, 0)
             self.free.append(number)
         for turns in self.turns.values():  # The numbers will be reused for other lanes
-            turns.codes = array("q", [c for c in turns.codes[turns.at :] if c >> _SHIFT not in gone])
+            turns.codes = array("q", [c for c in turns.codes[turns.at :] if c >> _COUNTER_BITS not in gone])
             turns.at = 0
 
     def live(self) -> Iterator[tuple[Dot, State, int]]:
@@ -272,7 +272,7 @@
         return min((place for _, _, place in self.live()), default=None)
 
     def _dot(self, code: int) -> Dot:
-        return Dot(self.by_number[code >> _SHIFT].writer, code & ((1 << _SHIFT) - 1))
+        return Dot(self.by_number[code >> _COUNTER_BITS].writer, code & ((1 << _COUNTER_BITS) - 1))
 
     def _to(self, dot: Dot, state: State) -> None:
         lane = self.lanes[dot.writer]
--- a/beechrock/edges/recovering.py
+++ b/beechrock/edges/recovering.py
@@ -18,9 +18,12 @@
 from beechrock.store.errors import StoreFailedError, StoreFullError
 from beechrock.store.failure import NO_SPACE_ERRNOS
 
-FIRST_S, MOST_S = 0.5, 8.0  # First and longest wait before a check, in seconds; it doubles in between
+FIRST_WAIT_S, MAX_WAIT_S = (
+    0.5,
+    8.0,
+)  # First and longest wait before a check, in seconds; it doubles in between
 CALM_S = 30.0  # Seconds in RUNNING after which the next wait is the first one again
-ROOM_BYTES = 256 << 10  # Bytes that a check writes and syncs, as a few free bytes are soon used up
+CHECK_BYTES = 256 << 10  # Bytes that a check writes and syncs, as a few free bytes are soon used up
 MAKE_ROOM = "make room on the disk; it goes on by itself"
 MEND_DISK = "look at the disk and the kernel's log; it goes on by itself once the disk writes again"
 STOPPED_DO = "keep the state folder and the log, start the node again; if it stops again: docs/edges.md"
@@ -65,7 +68,7 @@
         if not self.running:
             return False
         calm = now - self.since >= CALM_S or not self.times
-        self.wait_s = FIRST_S if calm else min(2 * self.wait_s, MOST_S)
+        self.wait_s = FIRST_WAIT_S if calm else min(2 * self.wait_s, MAX_WAIT_S)
         self.since, self.try_at = now, now + self.wait_s
         self._say(error)
         self.looks, self.times = 0, self.times + 1
@@ -89,7 +92,7 @@
         if room:
             self.state, self.since, self.why, self.do = Disk.RUNNING, now, "", ""
             return
-        self.wait_s = min(2 * self.wait_s, MOST_S)
+        self.wait_s = min(2 * self.wait_s, MAX_WAIT_S)
         self.state, self.try_at = self.waits, now + self.wait_s
         if met is not None:
             self._say(met)
--- a/beechrock/edges/replay.py
+++ b/beechrock/edges/replay.py
@@ -4,12 +4,12 @@
 (its spare capacity beside live traffic, divided among the edges that replay). Within the credit the window
 starts at 1, doubles each round trip until the first LATER, then grows by one per round trip and halves at
 each LATER or timeout (AIMD). A replay begins after a delay derived from the edge's name, so that edges that
-reconnect together do not begin together. Retries of unanswered offers have a budget of RETRY_PART of the
+reconnect together do not begin together. Retries of unanswered offers have a budget of RETRY_SHARE of the
 offers sent.
 
 ``Picker`` takes the teams in turn, and of each its oldest write that is ready. A write is ready if none of
 its dependencies is known to wait. A write that is not ready, or was answered HELD, GONE or DOUBT, is parked
-and examined again when its dependency ends, or after RECHECK_S. While MOST_PARKED writes are parked, no
+and examined again when its dependency ends, or after RECHECK_S. While MAX_PARKED writes are parked, no
 others are taken from the queue.
 
 Invariants: the number of writes in flight never exceeds the credit; a parked write delays only writes that
@@ -24,12 +24,12 @@
 from beechrock.edges.queue import Queue
 from beechrock.edges.words import Entry, Said, State
 
-MOST_WINDOW = 512
-MOST_PARKED = 4096
-RETRY_PART, RETRY_FREE = 0.1, 16
+MAX_WINDOW = 512
+MAX_PARKED = 4096
+RETRY_SHARE, RETRY_BURST = 0.1, 16
 RECHECK_S = 1.0
 PAUSE_S = 0.05  # Seconds to pause after a timeout, or after a LATER without a delay
-FULL_S = 0.01
+NO_ROOM_PAUSE_S = 0.01
 SPREAD_S = 1.0
 
 
@@ -39,7 +39,7 @@
     window: float = 1.0
     slow_start: bool = True
     until_s: float = 0.0  # Time before which nothing is sent, in monotonic seconds
-    budget: float = RETRY_FREE
+    budget: float = RETRY_BURST
     without: frozenset[str] = frozenset()
 
     def begin(self, edge: str, now: float, spread_s: float = SPREAD_S) -> None:
@@ -52,13 +52,13 @@
         if now < self.until_s:
             return 0
         if "credit" in self.without:
-            return MOST_WINDOW
-        return min(int(self.window), self.credit, MOST_WINDOW)
+            return MAX_WINDOW
+        return min(int(self.window), self.credit, MAX_WINDOW)
 
     def sent(self, again: bool) -> bool:
         """Account for one more offer; return False if it is a retry and the retry budget is used up."""
         if not again:
-            self.budget = min(10 * RETRY_FREE, self.budget + RETRY_PART)
+            self.budget = min(10 * RETRY_BURST, self.budget + RETRY_SHARE)
             return True
         if self.budget < 1:
             return False
@@ -66,7 +66,7 @@
         return True
 
     def ended(self) -> None:
-        self.window = min(MOST_WINDOW, self.window + (1.0 if self.slow_start else 1.0 / self.window))
+        self.window = min(MAX_WINDOW, self.window + (1.0 if self.slow_start else 1.0 / self.window))
 
     def later(self, now: float, after_s: float) -> None:
         if now < self.until_s:  # The window was already halved in this round trip
@@ -80,7 +80,7 @@
         The credit already reflects them. In the benchmark a replay that halved its window each time used only
         0.65 of upstream's spare capacity.
         """
-        self.until_s = max(self.until_s, now + FULL_S)
+        self.until_s = max(self.until_s, now + NO_ROOM_PAUSE_S)
 
     def silent(self, now: float) -> None:
         self.later(now, PAUSE_S)
@@ -118,7 +118,7 @@
             dot = self.ready.popleft()
             if self.queue.state(dot) is State.WAITING and dot not in self.parked and dot not in self.flights:
                 return dot
-        if len(self.parked) >= MOST_PARKED:
+        if len(self.parked) >= MAX_PARKED:
             return None
         for name in self.queue.teams[len(self.ring) :]:
             self.ring.append(name)
--- a/beechrock/edges/runs.py
+++ b/beechrock/edges/runs.py
@@ -13,9 +13,9 @@
 from beechrock.edges.causal import NOTHING, Dot, read_tokens
 from beechrock.edges.differ import Differing
 from beechrock.edges.errors import EdgeError
-from beechrock.edges.kept import FOUND
+from beechrock.edges.kept import FOUND_AT_TAKE_OVER
 from beechrock.edges.marks import Marks
-from beechrock.edges.recovering import ROOM_BYTES, heals
+from beechrock.edges.recovering import CHECK_BYTES, heals
 from beechrock.edges.room import Room
 from beechrock.edges.upstream import Came, Running, Upstream
 from beechrock.edges.words import Entry, State, Straight, StraightDone, Word, pack
@@ -32,11 +32,13 @@
     from beechrock.edges.part import EdgesPart
 
 LATER_S = 0.2
-CALLER_S = 10.0  # Seconds that a caller's write waits for the holder, if several nodes are named upstream
-MOST_CALLERS = 4096  # Maximum number of callers that wait for the holder
+CALLER_TIMEOUT_S = (
+    10.0  # Seconds that a caller's write waits for the holder, if several nodes are named upstream
+)
+MAX_CALLERS = 4096  # Maximum number of callers that wait for the holder
 CHANNEL = "edges"
 KEEP_S = 86_400.0  # Default ``keep_s`` in seconds, of a contract without one
-RUNS_A_CORE = 1.2  # Concurrent runs per core: the module's initial limit with SCGI servers
+RUNS_PER_CORE = 1.2  # Concurrent runs per core: the module's initial limit with SCGI servers
 OTHER_KEY = b"this key came with another body"
 
 
@@ -171,7 +173,7 @@
             )
             upstream.folder = store.mark().to_bytes()
             upstream.records = store.last - store.first + 1
-            if store.bytes_held + ROOM_BYTES > store.limits.max_bytes:  # A snapshot frees room
+            if store.bytes_held + CHECK_BYTES > store.limits.max_bytes:  # A snapshot frees room
                 upstream.records = upstream.snapshot_records
             self.follow(upstream)
         self.fallen = False
@@ -206,7 +208,11 @@
             n for (_, verdict), n in module.table.counts.replies.items() if verdict is Verdict.REFUSED
         )
         self.upstream.spare = self.room.spare(
-            clocks.mono(), RUNS_A_CORE * module.settings.cores, max(0, live), replayed, refused - self.refused
+            clocks.mono(),
+            RUNS_PER_CORE * module.settings.cores,
+            max(0, live),
+            replayed,
+            refused - self.refused,
         )
 
     # --- runs
@@ -286,7 +292,7 @@
         self.part.post(turn)
 
     def note(self, action: Noted) -> None:
-        here = action.state is State.APPLIED and not action.why.endswith(FOUND)
+        here = action.state is State.APPLIED and not action.why.endswith(FOUND_AT_TAKE_OVER)
         name = "edge.applied" if here else "edge.ended"
         logs.event(
             name, receipt=str(action.dot), nonce=action.nonce, state=action.state.name.lower(), why=action.why
@@ -321,7 +327,7 @@
         holder, life = self.part.name, "-"
         if self.named is not None:
             holder, life = self.named.holder, f"{self.part.talk.life:x}"
-            if not holder or len(self.callers) >= MOST_CALLERS:
+            if not holder or len(self.callers) >= MAX_CALLERS:
                 self._refuse(request, send_reply, "no node holds the marks")
                 return True
         self.numbers += 1
@@ -339,7 +345,7 @@
         )
         straight = Straight(number, "", entry.pack(), request.retry)
         if self.named is not None:
-            self.due[number] = clocks.mono() + CALLER_S
+            self.due[number] = clocks.mono() + CALLER_TIMEOUT_S
         if holder == self.part.name:
 
             def hear(now: float, now_s: float) -> list[Action]:
--- a/beechrock/edges/standby.py
+++ b/beechrock/edges/standby.py
@@ -22,7 +22,7 @@
 from beechrock.edges.errors import EdgeInvariantError
 from beechrock.edges.kept import (
     DUTY,
-    MOST_BATCH,
+    MAX_BATCH_BYTES,
     Keep,
     Kept,
     Records,
@@ -34,7 +34,7 @@
     reign_of,
     spans_of,
 )
-from beechrock.edges.lead import MOST_REIGNS, Lead, State
+from beechrock.edges.lead import MAX_REIGNS, Lead, State
 from beechrock.edges.marks import Marks
 from beechrock.edges.upstream import SNAPSHOT, SNAPSHOT_RECORDS
 from beechrock.edges.words import Word
@@ -43,8 +43,8 @@
 from beechrock.store.witness import Verdict
 
 WHOLE = "edges:upstream whole"  # Key beside the fence; above 0 once a holder found this folder whole
-MOST_SNAPSHOT = 64 << 20
-WRONG = (Verdict.OLDER, Verdict.OTHER)
+MAX_SNAPSHOT_BYTES = 64 << 20
+UNTRUSTED = (Verdict.OLDER, Verdict.OTHER)
 
 
 @dataclass(slots=True)
@@ -219,7 +219,7 @@
 
     def wrong(self, sender: str, folder: bytes) -> bool:
         """Whether the sender's folder is an older copy or another folder."""
-        return self._judge(sender, folder) in WRONG
+        return self._judge(sender, folder) in UNTRUSTED
 
     def _judge(self, sender: str, folder: bytes) -> Verdict:
         if not folder or "older" in self.without:
@@ -272,7 +272,7 @@
 
     def _part(self, word: Snap) -> Kept:
         index_and_size = (word.index, word.size)
-        if word.at == 0 and word.size <= MOST_SNAPSHOT and word.index > self.held:
+        if word.at == 0 and word.size <= MAX_SNAPSHOT_BYTES and word.index > self.held:
             self.parts, self.snap = bytearray(), index_and_size
         if index_and_size != self.snap or word.at != len(self.parts):
             return self.again()
@@ -297,7 +297,7 @@
         base = max(self.base, self.compacted)
         if self.lead is None and (
             self.applied - base >= self.snapshot_records
-            or (len(self.spans) > MOST_REIGNS and self.applied > base)
+            or (len(self.spans) > MAX_REIGNS and self.applied > base)
         ):
             self.compacted = self.applied  # On a full disk the next attempt is after as many records again
             with suppress(StoreFullError):
@@ -320,7 +320,7 @@
         if after is None and found is not None:
             index, data = found
             at = word.at if word.snap == index and word.at < len(data) else 0
-            return Snap(fence, index, len(data), at, data[at : at + MOST_BATCH]), 0
+            return Snap(fence, index, len(data), at, data[at : at + MAX_BATCH_BYTES]), 0
         return self.batch(after or 0, fence, held)
 
     def batch(self, after: int, fence: int, held: int) -> tuple[Keep, int]:
@@ -329,7 +329,7 @@
         size, index = 0, after
         while index < self.log.last:
             record = self.log.entry(index + 1)
-            if records and size + len(record) > MOST_BATCH:
+            if records and size + len(record) > MAX_BATCH_BYTES:
                 break
             records.append(record)
             size, index = size + len(record) + 8, index + 1
--- a/beechrock/edges/told.py
+++ b/beechrock/edges/told.py
@@ -9,8 +9,8 @@
 
 KEYS = {"role", "edge", "members", "upstream", "copies", "most_mb", "probe_s", "replayer"}
 ROLES = ("edge", "upstream", "both")
-MOST_MEMBERS, MOST_NAMED = 16, 5
-MOST_MB, PROBE_S = 64.0, 0.5
+MAX_MEMBERS, MAX_NAMED = 16, 5
+DEFAULT_QUEUE_MB, DEFAULT_PROBE_S = 64.0, 0.5
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,8 +26,8 @@
     members: tuple[str, ...] = ()
     upstreams: tuple[str, ...] = ()  # Names of the upstream nodes: one, or up to 5 that replicate the marks
     copies: int = 1
-    most_bytes: int = int(MOST_MB * 2**20)
-    probe_s: float = PROBE_S
+    most_bytes: int = int(DEFAULT_QUEUE_MB * 2**20)
+    probe_s: float = DEFAULT_PROBE_S
     replayer: str = ""  # Name of the only member that replays, if the table ``duties`` is missing
 
 
@@ -39,7 +39,7 @@
     role = table.get("role")
     if role not in ROLES:
         raise ConfigError(f"{where}: role: {role!r} is none of {', '.join(ROLES)}")
-    most = _number(table, where, "most_mb", MOST_MB, 65_536)
+    most = _number(table, where, "most_mb", DEFAULT_QUEUE_MB, 65_536)
     upstreams = _upstreams(table.get("upstream"), where)
     if role == "upstream":
         return Told(
@@ -48,9 +48,9 @@
     if not upstreams:
         raise ConfigError(f"{where}: upstream: None is not one word of at most 64 bytes, without a slash")
     members = table.get("members")
-    listed = isinstance(members, list) and 0 < len(members) <= MOST_MEMBERS
+    listed = isinstance(members, list) and 0 < len(members) <= MAX_MEMBERS
     if not isinstance(members, list) or not listed or len(set(map(str, members))) < len(members):
-        raise ConfigError(f"{where}: members: a list of 1 to {MOST_MEMBERS} names, each once, is needed")
+        raise ConfigError(f"{where}: members: a list of 1 to {MAX_MEMBERS} names, each once, is needed")
     names = tuple(_word(name, f"{where}: members") for name in members)
     copies = table.get("copies", min(2, len(names)))
     if not isinstance(copies, int) or isinstance(copies, bool) or not 0 < copies <= len(names):
@@ -66,7 +66,7 @@
         upstreams,
         copies,
         int(most * 2**20),
-        _number(table, where, "probe_s", PROBE_S, 60.0),
+        _number(table, where, "probe_s", DEFAULT_PROBE_S, 60.0),
         replayer,
     )
 
@@ -74,8 +74,8 @@
 def _upstreams(value: object, where: str) -> tuple[str, ...]:
     """Return the upstream names from one name or a list of names; none if the key is missing."""
     listed = value if isinstance(value, list) else [value] if value is not None else []
-    if isinstance(value, list) and len(set(map(str, listed))) not in range(1, MOST_NAMED + 1):
-        raise ConfigError(f"{where}: upstream: a name, or a list of 1 to {MOST_NAMED} names, is needed")
+    if isinstance(value, list) and len(set(map(str, listed))) not in range(1, MAX_NAMED + 1):
+        raise ConfigError(f"{where}: upstream: a name, or a list of 1 to {MAX_NAMED} names, is needed")
     if len(set(map(str, listed))) < len(listed):
         raise ConfigError(f"{where}: upstream: each name once")
     return tuple(_word(name, f"{where}: upstream") for name in listed)
--- a/beechrock/edges/upstream.py
+++ b/beechrock/edges/upstream.py
@@ -40,14 +40,14 @@
 
 ACTIVE_S = 3.0  # Seconds for which an edge counts as replaying after it last reported waiting writes
 LATER_S = 0.05
-MOST_RESULTS, MOST_RESULT = 1024, 4096  # Maximum number of results kept for retries, and bytes of one
-MOST_GONE_TOLD = 256
-MOST_TURNED = 8192  # Maximum number of refused live writes kept, so that late duplicates do not run
+MAX_RESULTS, MAX_RESULT_BYTES = 1024, 4096  # Maximum number of results kept for retries, and bytes of one
+MAX_GONE_SENT = 256
+MAX_TURNED_AWAY = 8192  # Maximum number of refused live writes kept, so that late duplicates do not run
 SNAPSHOT_RECORDS = 16_384
 SWEEP_S = 30.0  # Seconds between checks for lives that are over
 # Share of runs allowed above the limit: they wait at the servers while the next offers are in transit. In the
 # benchmark a replay without it used 0.81 of the spare rate, as each freed slot stayed empty for a round trip.
-MARGIN = 0.15
+SPARE_MARGIN = 0.15
 SNAPSHOT = b"upstream 1\n"
 
 
@@ -56,7 +56,7 @@
 
     ``limit`` is the number of runs that the module executes concurrently.
     """
-    return max(1, int(limit * (1 + MARGIN)) - live)
+    return max(1, int(limit * (1 + SPARE_MARGIN)) - live)
 
 
 class Came(Enum):
@@ -73,9 +73,8 @@
 class Running:
     entry: Entry
     live: bool
-    straight: list[tuple[str, int, str]] = field(
-        default_factory=list
-    )  # Live requests: member, its number, its writer
+    # Live requests that await the outcome: member, its number, its writer
+    straight: list[tuple[str, int, str]] = field(default_factory=list)
     offered: list[tuple[str, Dot, str]] = field(default_factory=list)  # Offers: member, dot, edge
 
 
@@ -160,7 +159,7 @@
                     (dot.writer, dot.n, state.value)
                     for dot, state in islice(
                         ((d, s) for d, s in reversed(self.marks.gone.items()) if d.edge == edge),
-                        MOST_GONE_TOLD,
+                        MAX_GONE_SENT,
                     )
                 )
                 ended = self.marks.ended.plain()
@@ -292,8 +291,8 @@
         match came:
             case Came.SERVED:
                 self._record(self.marks.end(entry, state, ran=True))
-                self.results[key] = (body[:MOST_RESULT], media)
-                if len(self.results) > MOST_RESULTS:
+                self.results[key] = (body[:MAX_RESULT_BYTES], media)
+                if len(self.results) > MAX_RESULTS:
                     self.results.popitem(last=False)
             case Came.SAID_NO:
                 state, why = State.REFUSED, "the service refused it"
@@ -334,7 +333,7 @@
     def _turn_away(self, writer: str, number: int) -> None:
         """Remember a live write reported as refused, so that a late duplicate of it does not run."""
         self.turned[writer, number] = None
-        if len(self.turned) > MOST_TURNED:
+        if len(self.turned) > MAX_TURNED_AWAY:
             self.turned.popitem(last=False)
 
     @property
--- a/beechrock/edges/words.py
+++ b/beechrock/edges/words.py
@@ -15,8 +15,8 @@
 from beechrock.edges.kept import Elsewhere, Keep, Kept, Led, Snap, Stand, Stood
 
 NO_ROOM = "no room"  # Reason of a LATER because live requests took the capacity that was given as credit
-LEAST_FENCE = -(1 << 62)
-MOST_MESSAGE = 900_000  # Maximum bytes of a message; the link's bound is 1 MB
+MIN_FENCE = -(1 << 62)
+MAX_MESSAGE_BYTES = 900_000  # Maximum bytes of a message; the link's bound is 1 MB
 
 
 class State(Enum):
--- a/tests/edges/test_causal.py
+++ b/tests/edges/test_causal.py
@@ -7,8 +7,8 @@
 from hypothesis import strategies as st
 
 from beechrock.edges.causal import (
-    MOST_DOTS,
-    MOST_KNOWN,
+    MAX_DOTS,
+    MAX_KNOWN,
     NOTHING,
     Dot,
     Heads,
@@ -59,13 +59,13 @@
 
 
 def test_too_many_dots_of_one_writer_are_folded_and_none_is_dropped() -> None:
-    parts = [Seen(frozenset({Dot("w", n)})) for n in range(2, 2 * MOST_DOTS + 4, 2)]
+    parts = [Seen(frozenset({Dot("w", n)})) for n in range(2, 2 * MAX_DOTS + 4, 2)]
     seen = NOTHING.merge(*parts)
-    assert not seen.dots and seen.upto == {"w": 2 * MOST_DOTS + 2}
+    assert not seen.dots and seen.upto == {"w": 2 * MAX_DOTS + 2}
     assert seen.missing(Vector({"w": Spans([[1, 5]])})) == [Dot("w", 6)]
 
 
 def test_what_a_write_knows_is_bounded_and_what_waits_stays_in_it() -> None:
     ended = Vector({f"e/m/{n}": Spans([(1, 5)]) for n in range(100)})
     seen = Seen(known={f"e/m/{n}": 5 if n else 6 for n in range(100)}).less(ended)
-    assert len(seen.known) == MOST_KNOWN and "e/m/0" in seen.known and "e/m/99" in seen.known
+    assert len(seen.known) == MAX_KNOWN and "e/m/0" in seen.known and "e/m/99" in seen.known
--- a/tests/edges/test_failing_disks.py
+++ b/tests/edges/test_failing_disks.py
@@ -17,7 +17,7 @@
 from beechrock.edges.actions import Accepted, Action, Done, Send, Turned
 from beechrock.edges.causal import NOTHING, Dot
 from beechrock.edges.link import LinkState
-from beechrock.edges.member import UNPROVED, Member
+from beechrock.edges.member import SYNC_FAILED, Member
 from beechrock.edges.words import Copied, Copy, Entry, Names, Write
 from beechrock.lab.edges_play import UP, Play, Session
 from beechrock.lab.fleet.errors import LabError
@@ -182,7 +182,7 @@
     accepted = Accepted(1, Dot("e/e1/1", 1), NOTHING, ("e1",))
     promises: list[Action] = [accepted, Send("e2", Copied((("w", 1),)))]
     assert Member.promised(member, [*promises, *kept]) == (
-        [Done(1, "failed", UNPROVED), *kept] if synced < 2 else [*promises, *kept]
+        [Done(1, "failed", SYNC_FAILED), *kept] if synced < 2 else [*promises, *kept]
     )
 
 
--- a/tests/edges/test_recovering.py
+++ b/tests/edges/test_recovering.py
@@ -15,10 +15,10 @@
 from beechrock.edges.errors import EdgeFullError, EdgeInvariantError
 from beechrock.edges.recovering import (
     CALM_S,
-    FIRST_S,
+    FIRST_WAIT_S,
     MAKE_ROOM,
+    MAX_WAIT_S,
     MEND_DISK,
-    MOST_S,
     Disk,
     Recovering,
     heals,
@@ -47,10 +47,10 @@
         assert disk.due(now) and not disk.due(now) and not disk.fell(now, FULL)  # one look at a time
         disk.tried(now, room)
     assert waits == [0.5, 1.0, 2.0, 4.0, 8.0, 8.0, 8.0] and disk.running
-    assert disk.fell(now + 1.0, FULL) and disk.wait_s == MOST_S
+    assert disk.fell(now + 1.0, FULL) and disk.wait_s == MAX_WAIT_S
     assert disk.due(disk.try_at)
     disk.tried(now, room=True)
-    assert disk.fell(now + CALM_S, FULL) and disk.wait_s == FIRST_S
+    assert disk.fell(now + CALM_S, FULL) and disk.wait_s == FIRST_WAIT_S
 
 
 def test_a_disk_that_works_again_heals_and_what_no_disk_mends_stays_stopped_and_says_what_to_do() -> None:
--- a/tests/edges/test_standby.py
+++ b/tests/edges/test_standby.py
@@ -9,8 +9,8 @@
 from beechrock.edges.actions import Run, Send
 from beechrock.edges.causal import NOTHING, Dot
 from beechrock.edges.errors import EdgeInvariantError
-from beechrock.edges.kept import MOST_FLYING, Keep, Kept, Stand
-from beechrock.edges.lead import MOST_WAITING, Lead, State
+from beechrock.edges.kept import MAX_IN_FLIGHT, Keep, Kept, Stand
+from beechrock.edges.lead import MAX_WAITING, Lead, State
 from beechrock.edges.marks import Marks
 from beechrock.edges.part import EdgesPart
 from beechrock.edges.runs import Runs
@@ -195,13 +195,13 @@
     lead, node = _lead(sim, first), sim.ups[first]
     _cut(sim, first)
     flown = 0
-    for n in range(2 * MOST_WAITING):
+    for n in range(2 * MAX_WAITING):
         entry = Entry(Dot("e0/e0m0/x", 0), NOTHING, "t0", "svc", f"k{n}", b"x", b"d")
         word = Straight(n, "e0", entry.pack())
         node.standby.hear(sim.now, second, Kept(lead.fence, lead.start, True, whole=True))  # it is near
         sim.turn_of(node, lead.edge(sim.now, sim.now, "e0m0", word))
         flown = max(flown, lead.peers[second].flying)
-    assert len(lead.waiting) <= MOST_WAITING and flown <= MOST_FLYING
+    assert len(lead.waiting) <= MAX_WAITING and flown <= MAX_IN_FLIGHT
     assert not lead.able(sim.now)
     _steps(sim, 30)
     peer = lead.peers[second]
@@ -210,7 +210,7 @@
 
 def test_one_that_was_away_for_long_is_sent_the_snapshot_in_parts(monkeypatch: pytest.MonkeyPatch) -> None:
     sim, (first, _, third) = _sim()
-    monkeypatch.setattr(module, "MOST_BATCH", 250)
+    monkeypatch.setattr(module, "MAX_BATCH_BYTES", 250)
     sim.ups[third].kill()
     for n in range(60):
         _write(sim, f"k{n}", n)
@@ -286,11 +286,11 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     sim, (first, second, _) = _sim()
-    monkeypatch.setattr(module, "MOST_BATCH", 10)
+    monkeypatch.setattr(module, "MAX_BATCH_BYTES", 10)
     lead = _lead(sim, first)
     for n in range(100):
         lead.append(Marks().fence("e0", n) or b"")
-    assert len([a for a in lead.pump(sim.now) if cast(Send, a).to == second]) == MOST_FLYING
+    assert len([a for a in lead.pump(sim.now) if cast(Send, a).to == second]) == MAX_IN_FLIGHT
     lacks = Kept(lead.fence, 0, False, sim.ups[second].standby.told(), whole=True)
     given = [lead.kept(sim.now, second, lacks) for _ in range(3)]
     assert [len(sent) for sent in given] == [1, 0, 0]
--- a/tests/edges/test_wall_clock.py
+++ b/tests/edges/test_wall_clock.py
@@ -12,7 +12,7 @@
     step_s: float,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("beechrock.edges.marks.MOST_KEYS", 1)  # only a full table forgets
+    monkeypatch.setattr("beechrock.edges.marks.MAX_KEYS", 1)  # only a full table forgets
     begun_s = 1_700_000_000.0
     marks = Marks()
     first, other = (
