--- a/beechrock/edges/build.py
+++ b/beechrock/edges/build.py
@@ -8,7 +8,7 @@
 from beechrock.edges.link import Link
 from beechrock.edges.queue import Queue
 from beechrock.edges.replay import Pace, Picker
-from beechrock.edges.whom import Whom
+from beechrock.edges.whom import UpstreamChoice
 from beechrock.edges.words import Log, Names
 
 HEARD_PROBES = 6.0  # Probe intervals after which a silent member is not expected to take copies
@@ -37,7 +37,7 @@
         queue,
         held,
         holder,
-        Whom(names.upstreams),
+        UpstreamChoice(names.upstreams),
         shares,
         without,
         folder=folder,
--- a/beechrock/edges/copies.py
+++ b/beechrock/edges/copies.py
@@ -41,17 +41,17 @@
     pending: dict[Dot, Pending] = field(default_factory=dict)
     last_heard: dict[str, float] = field(default_factory=dict)
     distrusted: set[str] = field(default_factory=set)
-    crowded: set[str] = field(default_factory=set)  # Members that report that their disk takes no writes
+    full_members: set[str] = field(default_factory=set)  # Members that report that their disk takes no writes
     full: bool = False  # Whether this node's disk takes no writes; set by the actor
     disk: str = "the disk of this node is full"  # Error text for writes refused while ``full``
-    met: Exception | None = None  # Error of the last failed append to the log; read by the actor
+    disk_error: Exception | None = None  # Error of the last failed append to the log; read by the actor
 
     def others(self) -> tuple[str, ...]:
         return tuple(name for name in self.members if name != self.me)
 
-    def reached(self, now: float) -> list[str]:
+    def reachable(self, now: float) -> list[str]:
         """Return the other members that were heard lately, are trusted, and have room on their disk."""
-        excluded = self.distrusted | self.crowded
+        excluded = self.distrusted | self.full_members
         return [
             name
             for name in self.others()
@@ -65,7 +65,7 @@
         """
         return min(requested or self.copies, len(self.members))
 
-    def able(self, now: float, requested: int = 0) -> None:
+    def check_able(self, now: float, requested: int = 0) -> None:
         """Check that a write can get its copies, before it is stored anywhere.
 
         Otherwise each write on the small side of a split edge would wait for its whole deadline and then fail
@@ -81,7 +81,7 @@
                 wanted="a disk with room that writes",
                 do="see `disk` in /edges; it goes on by itself",
             )
-        reached = len(self.reached(now)) + 1
+        reached = len(self.reachable(now)) + 1
         needed = self._needed(requested)
         if "able" not in self.without and reached < needed:
             raise EdgeFullError(
@@ -97,13 +97,13 @@
     def heard(self, member: str, now: float) -> None:
         self.last_heard[member] = now
 
-    def crowd(self, member: str, full: bool) -> None:
+    def set_full(self, member: str, full: bool) -> None:
         """Record whether a member's disk is full.
 
         Otherwise each write that needs a copy there would wait for its deadline and then fail with an unknown
         outcome.
         """
-        (self.crowded.add if full else self.crowded.discard)(member)
+        (self.full_members.add if full else self.full_members.discard)(member)
 
     def distrust(self, member: str, older: bool) -> None:
         """Record whether a member's folder is an older copy of the one that it reported before."""
--- a/beechrock/edges/edge.py
+++ b/beechrock/edges/edge.py
@@ -25,7 +25,7 @@
 from beechrock.edges.holder import Holder
 from beechrock.edges.link import Link
 from beechrock.edges.queue import Queue
-from beechrock.edges.whom import Whom
+from beechrock.edges.whom import UpstreamChoice
 from beechrock.edges.words import (
     MAX_MESSAGE_BYTES,
     Copied,
@@ -64,7 +64,7 @@
     queue: Queue
     copies: Copies
     holder: Holder
-    whom: Whom
+    upstream_choice: UpstreamChoice
     shares: Mapping[str, float] = field(default_factory=dict)
     without: frozenset[str] = frozenset()
     folder: bytes = b""  # Packed mark of this member's store
@@ -107,7 +107,7 @@
                 if entry.dot in self.queue:
                     self.queue.moved(entry.dot, index)
                 elif entry.dot not in self.ended:
-                    self._hold(entry, len(record), index)
+                    self._add_to_queue(entry, len(record), index)
             elif record[:1] == ORDER:
                 writer, n, order = msgpack.unpackb(record[1:])
                 self.orders[Dot(writer, n)] = order
@@ -131,7 +131,10 @@
             self.numbers += 1
             entry = write.entry(Dot(self.names.writer, 0), NOTHING, now_s)
             self.straight[self.numbers] = Waiting(write, now + min(STRAIGHT_S, (write.due_s - now) / 2))
-            self.send(self.whom.at, Straight(self.numbers, self.names.edge, entry.pack(), write.retry))
+            self.send(
+                self.upstream_choice.current,
+                Straight(self.numbers, self.names.edge, entry.pack(), write.retry),
+            )
         else:
             self._accept(now, now_s, write)
         return self._done()
@@ -160,7 +163,7 @@
         entry = write.entry(dot, after, now_s)
         record = ENTRY + entry.pack()
         try:
-            self.copies.able(now, write.copies)
+            self.copies.check_able(now, write.copies)
             self.queue.admit(write.team, len(record), self.shares)
         except EdgeFullError as error:
             self.out.append(
@@ -173,7 +176,7 @@
         try:
             place = self.log.append(record)
         except (StoreFullError, StoreFailedError) as error:  # Nothing has been promised yet
-            self.copies.met = error
+            self.copies.disk_error = error
             # It is unknown how much of a failed append is on disk: a restart may find the whole record.
             self.out.append(
                 Done(write.ref, "failed", f"it may still run; {error}\n".encode())
@@ -182,7 +185,7 @@
             )
             return
         self.counter += 1
-        self._hold(entry, len(record), place)
+        self._add_to_queue(entry, len(record), place)
         if write.session:
             self.sessions.put(Heads.place(write.team, write.session), after, dot, self.ended)
         seen = after.of_write(dot)
@@ -194,7 +197,7 @@
             self.send(name, Copy((record[1:],)))
         self.link.settle(now, len(self.queue))
 
-    def _hold(self, entry: Entry, size: int, place: int) -> None:
+    def _add_to_queue(self, entry: Entry, size: int, place: int) -> None:
         self.queue.add(entry.dot, entry.team, size, place)
         self.have.add(entry.dot)
         if entry.subject:
@@ -205,7 +208,7 @@
     def hear(self, now: float, now_s: float, sender: str, word: Word) -> list[Action]:
         if sender in self.names.members:
             self.copies.heard(sender, now)
-        match self.whom.hear(sender, word):
+        match self.upstream_choice.hear(sender, word):
             case Copy(entries):
                 self._copied(sender, entries)
             case Copied(dots):
@@ -215,7 +218,7 @@
                         ref, seen = self.refs.pop(dot)
                         self.out.append(Accepted(ref, dot, seen, (*places, sender)))
             case Have(have, ended, _, full):
-                self.copies.crowd(sender, full)
+                self.copies.set_full(sender, full)
                 self._ended_upstream(Vector.of_plain(ended))
                 self._share(sender, Vector.of_plain(have))
             case Told(ends, orders):
@@ -252,9 +255,9 @@
                     continue  # It is not acknowledged, so it does not count as a copy
                 record = ENTRY + packed
                 try:
-                    self._hold(entry, len(record), self.log.append(record))
+                    self._add_to_queue(entry, len(record), self.log.append(record))
                 except (StoreFullError, StoreFailedError) as error:
-                    self.copies.met = error
+                    self.copies.disk_error = error
                     continue
             held.append((entry.dot.writer, entry.dot.n))
         if held:
@@ -289,7 +292,7 @@
             for n in mine.gaps(theirs, 1 << 20) if mine is not None else theirs.since(lane.base):
                 dot = Dot(writer, n)
                 if self.queue.end(dot, self.gone.get(dot, (State.APPLIED, ""))[0]):
-                    self._landed(dot)
+                    self._on_end(dot)
         self.ended.merge(ended)
 
     def _close(self, closed: tuple[str, ...], closed_at: int) -> None:
@@ -306,8 +309,8 @@
         if len(idle) == len(closed):
             self.closed_at = closed_at
 
-    def _landed(self, dot: Dot) -> None:
-        self.holder.picker.land(dot)
+    def _on_end(self, dot: Dot) -> None:
+        self.holder.picker.remove_ended(dot)
         self.orders.pop(dot, None)
 
     def end(self, dot: Dot, state: State, why: str) -> None:
@@ -317,7 +320,7 @@
                 self.gone.popitem(last=False)
         self.queue.end(dot, state)
         self.ended.add(dot)
-        self._landed(dot)
+        self._on_end(dot)
 
     # --- time
 
@@ -331,7 +334,7 @@
         if now >= self.probe_at:
             self.probe_at = now + self.link.probe_s
             self.numbers += 1
-            for name in self.whom.named:
+            for name in self.upstream_choice.named:
                 self.send(
                     name,
                     Probe(self.numbers, self.names.edge, len(self.queue), self.names.writer, self.closed_at),
@@ -372,7 +375,7 @@
                 f"{MAX_ORDERS} words of operators wait already", do="wait until some have been acted on"
             )
         self._ordered(dot, order)
-        self.holder.order_at = 0.0
+        self.holder.next_orders_at = 0.0
         return self._done()
 
     def _ordered(self, dot: Dot, order: str) -> None:
--- a/beechrock/edges/holder.py
+++ b/beechrock/edges/holder.py
@@ -38,15 +38,15 @@
     picker: Picker
     pace: Pace = field(default_factory=Pace)
     fence: int | None = None
-    stale: int = MIN_FENCE  # Highest fence that upstream called stale; up to it no fence is used again
-    order_at: float = 0.0
+    stale_fence: int = MIN_FENCE  # Highest fence that upstream called stale; up to it no fence is used again
+    next_orders_at: float = 0.0
     applied: int = 0
 
     def duty(self, edge: "Edge", fence: int | None, now: float) -> None:
         """Set the fence under which this member replays; None means that it does not hold the duty."""
-        if fence == self.fence or (fence is not None and fence <= self.stale):
+        if fence == self.fence or (fence is not None and fence <= self.stale_fence):
             return
-        self.picker.stop()
+        self.picker.requeue_all()
         self.fence = fence
         if fence is not None:
             edge.queue.rewind()
@@ -63,20 +63,20 @@
                 edge.end(dot, state, why)
                 if in_flight:
                     self.applied += state is State.APPLIED
-                    self.pace.ended()
+                    self.pace.on_end()
                 if state is not State.APPLIED:
                     not_applied.append((writer, n, value, why))
             elif said is Said.STALE:
                 # A late answer to an offer under an earlier fence says nothing about the current one.
                 if word.fence == self.fence:
-                    self.picker.stop()
-                    self.stale, self.fence = word.fence, None
+                    self.picker.requeue_all()
+                    self.stale_fence, self.fence = word.fence, None
             elif said is Said.LATER and in_flight:
-                self.picker.back(dot)
+                self.picker.requeue(dot)
                 if why == NO_ROOM:
-                    self.pace.full(now)
+                    self.pace.pause(now)
                 else:
-                    self.pace.later(now, after_s)
+                    self.pace.back_off(now, after_s)
             elif said is Said.BUSY and in_flight:
                 self.picker.flights[dot].due_s = now + OFFER_TIMEOUT_S
             elif in_flight:
@@ -95,10 +95,10 @@
 
     def tick(self, edge: "Edge", now: float, now_s: float) -> None:
         if not edge.link.replays and self.picker.flights:
-            self.picker.stop()
-        if now >= self.order_at:
-            self.order_at = now + ORDERS_INTERVAL_S
-            self._orders(edge)
+            self.picker.requeue_all()
+        if now >= self.next_orders_at:
+            self.next_orders_at = now + ORDERS_INTERVAL_S
+            self._send_orders(edge)
         self.picker.progress(edge.ended, now)
         self._expire(edge, now, now_s)
         self._offer(edge, now, now_s)
@@ -109,7 +109,7 @@
             self.picker.parked[dot].until_s = float("inf")
             self.picker.unpark(dot, True)
 
-    def _orders(self, edge: "Edge") -> None:
+    def _send_orders(self, edge: "Edge") -> None:
         """Send operators' orders to all members until they are carried out, and discards to upstream."""
         orders = tuple((dot.writer, dot.n, order) for dot, order in edge.orders.items())
         for name in edge.copies.others() if orders else ():
@@ -120,29 +120,34 @@
             if order == "discard" and dot not in self.picker.flights
         )
         if ends and self.fence is not None and edge.link.straight:
-            edge.send(edge.whom.at, Settle(edge.names.edge, self.fence, ends[:MAX_ORDERS_SENT]))
+            edge.send(
+                edge.upstream_choice.current, Settle(edge.names.edge, self.fence, ends[:MAX_ORDERS_SENT])
+            )
 
     def _offer(self, edge: "Edge", now: float, now_s: float) -> None:
         if self.fence is None or not edge.link.replays:
             return
         for flight in self.picker.overdue(now):
-            self.pace.silent(now)
+            self.pace.on_timeout(now)
             if self.pace.sent(again=True):
-                self.picker.back(flight.entry.dot)
-        room = self.pace.most(now) - len(self.picker.flights)
+                self.picker.requeue(flight.entry.dot)
+        available = self.pace.limit(now) - len(self.picker.flights)
         packed: list[bytes] = []
         released: list[bool] = []
-        size, looked = 0, 0
+        size, examined = 0, 0
         while (
-            room > 0 and len(packed) < MAX_OFFERED and size < MAX_MESSAGE_BYTES // 2 and looked < MAX_EXAMINED
+            available > 0
+            and len(packed) < MAX_OFFERED
+            and size < MAX_MESSAGE_BYTES // 2
+            and examined < MAX_EXAMINED
         ):
-            looked += 1
+            examined += 1
             if (dot := self.picker.next(now)) is None:
                 break
             entry = edge.entry(dot)
             if edge.orders.get(dot) == "discard":
-                # Discards are sent only once per ORDERS_INTERVAL_S: in a run with real processes the write was
-                # offered before its discard reached upstream.
+                # Discards are sent only once per ORDERS_INTERVAL_S: in a run with real processes the write
+                # was offered before its discard reached upstream.
                 self.picker.park(entry, Said.HELD, (), now)
                 continue
             is_released = edge.orders.get(dot) == "release"
@@ -150,12 +155,12 @@
             if missing and now_s - entry.accepted_at <= entry.keep_s:
                 self.picker.park(entry, Said.HELD, tuple(missing), now)
                 continue
-            self.picker.fly(entry, now + OFFER_TIMEOUT_S)
+            self.picker.start_flight(entry, now + OFFER_TIMEOUT_S)
             self.pace.sent(again=False)
             packed.append(edge.log.entry(edge.queue.place(dot))[1:])
             released.append(is_released)
             size += len(packed[-1])
-            room -= 1
+            available -= 1
         if packed:
             word = Offer(edge.names.edge, self.fence, tuple(packed), tuple(released))
-            edge.send(edge.whom.at, word)
+            edge.send(edge.upstream_choice.current, word)
--- a/beechrock/edges/lead.py
+++ b/beechrock/edges/lead.py
@@ -53,18 +53,18 @@
 class Peer:
     match: int = 0  # Index up to which the peer's log durably equals this one
     next: int = 1  # Index of the next record to send
-    flying: int = 0  # Number of batches without an answer
+    in_flight: int = 0  # Number of batches without an answer
     whole: bool = False
-    wrong: bool = False  # Whether the peer's folder is an older copy or another folder
+    untrusted: bool = False  # Whether the peer's folder is an older copy or another folder
     heard_at: float = -1e18
-    beat_at: float = -1e18
-    quiet: int = 0  # Number of heartbeats without an answer
-    asked: tuple[Any, ...] = ()  # The position from which the peer last asked for records
-    given_s: float = 0.0
+    heartbeat_at: float = -1e18
+    unanswered: int = 0  # Number of heartbeats without an answer
+    last_request: tuple[Any, ...] = ()  # The position from which the peer last asked for records
+    repeat_at_s: float = 0.0
 
     @property
     def counts(self) -> bool:
-        return self.whole and not self.wrong
+        return self.whole and not self.untrusted
 
 
 @dataclass(slots=True)
@@ -82,7 +82,7 @@
     closing: bool = False  # Whether the duty is being given up, so that nothing new is accepted
     source: str = ""
     goal: tuple[int, int] = (0, 0)
-    beat_at: float = 0.0
+    heartbeat_at: float = 0.0
     peers: dict[str, Peer] = field(default_factory=dict)
     start: int = 0  # Index of this reign's first record
     held: int = 0
@@ -121,13 +121,13 @@
         return [name for name in self.standby.names if name != self.standby.me]
 
     def ask(self, now: float) -> list[Action]:
-        self.beat_at = now + HEARTBEAT_S
+        self.heartbeat_at = now + HEARTBEAT_S
         return [Send(name, Stand(self.fence)) for name in self.others if name not in self.heard]
 
-    def stood(self, now: float, sender: str, word: Stood, wrong: bool) -> list[Action]:
+    def stood(self, now: float, sender: str, word: Stood, untrusted: bool) -> list[Action]:
         if self.state is not State.ASKING:
             return []
-        self.heard[sender] = spans_of(word.spans), word.whole and not wrong
+        self.heard[sender] = spans_of(word.spans), word.whole and not untrusted
         self.distrusted |= word.older
         return self._settle(now)
 
@@ -154,13 +154,13 @@
         if best == standby.me:
             return self._begin(now)
         self.state, self.source = State.FETCHING, best
-        return [Send(best, standby.again())]
+        return [Send(best, standby.continue_request())]
 
     def fetched(self, now: float, kept: Kept | None) -> list[Action]:
         """Begin to lead if the best log is complete, else request the rest of it."""
         if self.standby.told()[0] == self.goal:
             return self._begin(now)
-        return [Send(self.source, self.standby.again())] if kept is not None else []
+        return [Send(self.source, self.standby.continue_request())] if kept is not None else []
 
     def _begin(self, now: float) -> list[Action]:
         standby = self.standby
@@ -187,7 +187,7 @@
         group = self.group if self.fresh or not marks.group else marks.group
         self.start = self.append(marks.reigns(self.fence, group, self.last))
         standby.log.sync()  # This has to come before the folder is marked whole
-        standby.whole_now()
+        standby.mark_whole()
         for name in self.others:
             position = self.heard.get(name)
             peer = self.peers[name] = Peer(whole=position is not None and position[1])
@@ -227,35 +227,35 @@
         peer = self.peers.get(sender)
         if peer is None:
             return []
-        peer.heard_at, peer.quiet = now, 0
-        peer.flying = max(0, peer.flying - 1)
-        if self.standby.wrong(sender, word.folder) and not peer.wrong:
-            peer.wrong, peer.match = True, 0
+        peer.heard_at, peer.unanswered = now, 0
+        peer.in_flight = max(0, peer.in_flight - 1)
+        if self.standby.untrusted(sender, word.folder) and not peer.untrusted:
+            peer.untrusted, peer.match = True, 0
         if peer.whole and not word.whole:
             peer.match = 0  # The peer has a new folder
         peer.whole = word.whole
         if word.good:
             peer.match = max(peer.match, min(word.index, self.last))
             peer.next = max(peer.next, peer.match + 1)
-            if peer.wrong and self._all(peer):
+            if peer.untrusted and self._holds_all(peer):
                 self.standby.witness.forget(sender)  # It holds every record that it ever acknowledged
-                peer.wrong = self.standby.wrong(sender, word.folder)
+                peer.untrusted = self.standby.untrusted(sender, word.folder)
             return []
-        asked = (word.spans, word.snap, word.at)
+        request = (word.spans, word.snap, word.at)
         # Every batch after a lost one is answered with the same request.
-        if asked == peer.asked and now < peer.given_s:
+        if request == peer.last_request and now < peer.repeat_at_s:
             return []
-        peer.asked, peer.given_s = asked, now + HEARTBEAT_S
+        peer.last_request, peer.repeat_at_s = request, now + HEARTBEAT_S
         given, index = self.standby.give(word, self.fence, self.held)
         if isinstance(given, Keep):
-            given, peer.next = self._dress(peer, given), index + 1
-        peer.flying += 1
+            given, peer.next = self._fill_in(peer, given), index + 1
+        peer.in_flight += 1
         return [Send(sender, given)]
 
-    def _all(self, peer: Peer) -> bool:
+    def _holds_all(self, peer: Peer) -> bool:
         return peer.match >= max(self.held, self.start)
 
-    def _dress(self, peer: Peer, keep: Keep) -> Keep:
+    def _fill_in(self, peer: Peer, keep: Keep) -> Keep:
         """Return ``keep`` with ``held``, ``whole`` and the folder marks filled in for this peer."""
         standby = self.standby
         marks = [(standby.me, short(standby.log.mark()))]
@@ -264,41 +264,42 @@
             for name in self.others
             if self.peers[name].counts and (mark := standby.witness.known.get(name)) is not None
         ]
-        return replace(keep, held=self.held, whole=self._all(peer), marks=tuple(marks))
+        return replace(keep, held=self.held, whole=self._holds_all(peer), marks=tuple(marks))
 
     def pump(self, now: float) -> list[Action]:
         """Send new records to all peers, so that their disks sync while this node's own disk does."""
         out: list[Action] = []
         if self.state is State.LEADING:
             for name, peer in self.peers.items():
-                most = MAX_IN_FLIGHT if peer.quiet < MAX_UNANSWERED else 0
-                while peer.flying < most and self.standby.base < peer.next <= self.last:
+                most = MAX_IN_FLIGHT if peer.unanswered < MAX_UNANSWERED else 0
+                while peer.in_flight < most and self.standby.base < peer.next <= self.last:
                     keep, index = self.standby.batch(peer.next - 1, self.fence, self.held)
-                    out.append(Send(name, self._dress(peer, keep)))
-                    peer.next, peer.flying = index + 1, peer.flying + 1
+                    out.append(Send(name, self._fill_in(peer, keep)))
+                    peer.next, peer.in_flight = index + 1, peer.in_flight + 1
         return out
 
     def tick(self, now: float) -> list[Action]:
         if self.state is not State.LEADING:
-            if now < self.beat_at:
+            if now < self.heartbeat_at:
                 return []
-            self.beat_at = now + HEARTBEAT_S
+            self.heartbeat_at = now + HEARTBEAT_S
             if self.state is State.FETCHING:
-                return [Send(self.source, self.standby.again())]
+                return [Send(self.source, self.standby.continue_request())]
             return self._settle(now) or self.ask(now) if self.state is State.ASKING else []
         out: list[Action] = []
         for name, peer in self.peers.items():
-            if now < peer.beat_at:
+            if now < peer.heartbeat_at:
                 continue
-            peer.beat_at = now + HEARTBEAT_S
-            peer.quiet += 1
-            if (
-                peer.quiet >= MAX_UNANSWERED
-            ):  # Batches may be lost: continue after the last acknowledged record
-                peer.next, peer.flying = max(peer.match, self.standby.base) + 1, 0
+            peer.heartbeat_at = now + HEARTBEAT_S
+            peer.unanswered += 1
+            # Batches may be lost: continue after the last acknowledged record.
+            if peer.unanswered >= MAX_UNANSWERED:
+                peer.next, peer.in_flight = max(peer.match, self.standby.base) + 1, 0
             at = max(min(peer.next - 1, self.last), self.standby.base)  # The peer answers if it lacks records
             out.append(
-                Send(name, self._dress(peer, Keep(self.fence, at, self.standby.reign_at(at), (), self.held)))
+                Send(
+                    name, self._fill_in(peer, Keep(self.fence, at, self.standby.reign_at(at), (), self.held))
+                )
             )
         return out
 
@@ -326,7 +327,7 @@
             # The released actions must still go out, as a majority holds their records. A failed disk shows
             # at the next write, and the next snapshot is tried after as many records again.
             with suppress(StoreFullError, StoreFailedError):
-                self.standby.saved(index, data)
+                self.standby.save_snapshot(index, data)
         return out
 
     def edge(self, now: float, now_s: float, sender: str, word: Word) -> list[Action]:
--- a/beechrock/edges/marks.py
+++ b/beechrock/edges/marks.py
@@ -57,7 +57,7 @@
     state: State = State.WAITING
     why: str = ""
     dots: tuple[Dot, ...] = ()
-    told: bool = False  # Whether the write had ended before, so that no record is needed
+    already_ended: bool = False  # Whether the write had ended before, so that no record is needed
 
 
 @dataclass(slots=True)
@@ -113,9 +113,9 @@
         live = entry.dot.n == 0
         self.longest_s = max(self.longest_s, entry.keep_s)
         if not live and entry.dot.writer in self.ended.closed:
-            return Judged(Verdict.END, state=State.EXPIRED, why="its life is closed", told=True)
+            return Judged(Verdict.END, state=State.EXPIRED, why="its life is closed", already_ended=True)
         if not live and entry.dot in self.ended:
-            return Judged(Verdict.END, state=self.gone.get(entry.dot, State.APPLIED), told=True)
+            return Judged(Verdict.END, state=self.gone.get(entry.dot, State.APPLIED), already_ended=True)
         key = self.key(entry)
         known = self.keys.get(key) if "key" not in self.without else None
         # Two writes with one key but different bodies are a caller's mistake; neither is a retry of the other
@@ -164,14 +164,14 @@
     def fence(self, edge: str, fence: int) -> bytes | None:
         if fence <= self.fences.get(edge, MIN_FENCE):
             return None
-        return self._do(["fence", edge, fence])
+        return self._apply(["fence", edge, fence])
 
     def intend(self, entry: Entry, now_s: float) -> bytes:
         key = self.key(entry)
         known = self.keys.get(key)
         if known is not None and known.state is not State.SENT and "key" not in self.without:
             raise EdgeInvariantError(f"a second intent of {entry.dot}", where="edges.marks")
-        return self._do(["intent", list(entry.dot), key, entry.digest, now_s + entry.keep_s + KEY_SLACK_S])
+        return self._apply(["intent", list(entry.dot), key, entry.digest, now_s + entry.keep_s + KEY_SLACK_S])
 
     def end(self, entry: Entry, state: State, why: str = "", ran: bool = False) -> bytes:
         """Record the end of a write, by its run or by a verdict without a run."""
@@ -182,12 +182,12 @@
                 stands = [Heads.place(entry.service, entry.subject), rule.value, entry.seen.plain()]
         quiet = why.startswith("superseded")  # Another write replaces it, so its dependents may run
         key = self.key(entry) if ran else 0  # Without a run the key belongs to another attempt
-        return self._do(["end", list(entry.dot), key, state.value, quiet, stands])
+        return self._apply(["end", list(entry.dot), key, state.value, quiet, stands])
 
     def settle(self, dot: Dot, state: State) -> bytes:
         """Record an end without a run that an edge's holder requests, such as an operator's discard."""
         key = next((key for key, by in self.doubts.items() if by == dot), 0)
-        return self._do(["end", list(dot), key, state.value, False, None])
+        return self._apply(["end", list(dot), key, state.value, False, None])
 
     def sweep(self, now_s: float) -> list[bytes]:
         """Return records for the lives that are newly over, and for those that are to be closed."""
@@ -199,11 +199,11 @@
             since = self.over.get(writer)
             if newest == writer:
                 if since is not None:  # A late message of an earlier life had marked this one as over
-                    records.append(self._do(["over", writer, None]))
+                    records.append(self._apply(["over", writer, None]))
             elif newest is not None and since is None:
-                records.append(self._do(["over", writer, now_s]))
+                records.append(self._apply(["over", writer, now_s]))
             elif since is not None and since < before and writer not in busy:
-                records.append(self._do(["close", writer]))
+                records.append(self._apply(["close", writer]))
         return records
 
     def closed_since(self, at: int) -> tuple[tuple[str, ...], int]:
@@ -215,7 +215,7 @@
 
     def reigns(self, fence: int, group: bytes, found: int) -> bytes:
         """Return the first record of a new holder of ``edges:upstream``, after ``found`` earlier records."""
-        return self._do(["reign", fence, group, found])
+        return self._apply(["reign", fence, group, found])
 
     @staticmethod
     def end_of(record: bytes) -> tuple[Dot, State, bool] | None:
@@ -230,11 +230,11 @@
 
     def not_run(self, entry: Entry) -> bytes:
         """Record that the intended run did not take place, so that the write may be intended again."""
-        return self._do(["not_run", list(entry.dot), self.key(entry)])
+        return self._apply(["not_run", list(entry.dot), self.key(entry)])
 
     def in_doubt(self, entry: Entry) -> bytes:
         """Record that it is unknown whether the write ran."""
-        return self._do(["doubt", list(entry.dot), self.key(entry)])
+        return self._apply(["doubt", list(entry.dot), self.key(entry)])
 
     def restarted(self, under_way: Collection[int] = ()) -> None:
         """Put each intent without an end in doubt; call it once all records are redone.
@@ -262,7 +262,7 @@
 
     # --- records
 
-    def _do(self, record: list[Any]) -> bytes:
+    def _apply(self, record: list[Any]) -> bytes:
         packed: bytes = msgpack.packb(record)
         self.redo(packed)
         return packed
--- a/beechrock/edges/member.py
+++ b/beechrock/edges/member.py
@@ -132,7 +132,7 @@
                 now,
                 now_s,
                 Write(
-                    self.refs_of(request),
+                    self.ref_of(request),
                     self.part.team(request),
                     request.route,
                     request.nonce or "",
@@ -151,7 +151,7 @@
         )
         return True
 
-    def refs_of(self, request: Request) -> int:
+    def ref_of(self, request: Request) -> int:
         return next(ref for ref, (held, _) in reversed(self.callers.items()) if held is request)
 
     def _refuse(
@@ -205,7 +205,7 @@
                     )
                 )
 
-    def promised(self, actions: list[Action]) -> list[Action]:
+    def after_sync(self, actions: list[Action]) -> list[Action]:
         """Return the actions to carry out after the turn's sync, without promises if that sync failed."""
         if not self.store.failed or self.store.synced == self.store.last:
             return actions
@@ -223,9 +223,13 @@
 
     # --- others
 
-    def heard(self, sender: str, word: Word) -> None:
+    def check_mark(self, sender: str, word: Word) -> None:
         """Check the folder mark in a message, of a member or of upstream, before the message is handled."""
-        if isinstance(word, Led) and sender in self.told.upstreams and word.fence >= self.edge.whom.fence:
+        if (
+            isinstance(word, Led)
+            and sender in self.told.upstreams
+            and word.fence >= self.edge.upstream_choice.fence
+        ):
             word = unpack(word.word)
         elif isinstance(word, ProbeAck) and len(self.told.upstreams) > 1:
             return
@@ -254,7 +258,7 @@
             )
             self.edge.copies.distrust(sender, older=True)
 
-    def proven(self) -> None:
+    def trust_proven(self) -> None:
         """Trust distrusted members again that now hold all waiting writes, and accept their new mark."""
         for name in self.edge.proven & self.edge.copies.distrusted:
             self.witness.forget(name)
@@ -298,7 +302,7 @@
             "marks": "lost" if edge.older else "known",
             "since_s": round(now - edge.link.since, 1),
             "fence": edge.holder.fence,
-            "waiting": {team: n for team, n in edge.queue.counts.items() if n},
+            "waiting": {team: n for team, n in edge.queue.counts_by_team.items() if n},
             "bytes": edge.queue.bytes_held,
             "most_bytes": edge.queue.most_bytes,
             "oldest": None
@@ -316,7 +320,7 @@
             "applied": edge.holder.applied,
             "held": held,
             "orders": len(edge.orders),
-            "members": {name: name in edge.copies.reached(now) for name in edge.copies.others()},
+            "members": {name: name in edge.copies.reachable(now) for name in edge.copies.others()},
         }
 
     def dot(self, receipt: str) -> Dot:
--- a/beechrock/edges/named.py
+++ b/beechrock/edges/named.py
@@ -60,8 +60,8 @@
             runs.rule,
         )
         self.forced = False  # An operator's order to lead with every node that answers; for one take-over
-        self.shown = ("", 0)
-        self.done = 0
+        self.logged_state = ("", 0)
+        self.runs_done = 0
         duties.declare(Duty(DUTY, Kind.FLEET), self)
 
     def may(self) -> bool:
@@ -103,16 +103,16 @@
         lead = self.standby.lead
         if lead is None or lead.upstream is not upstream:
             return []
-        self.done += 1
+        self.runs_done += 1
         return lead.hold(upstream.ran(now, key, came, body, media, after_s))
 
-    def before(self, now: float) -> list[Action]:
+    def before_sync(self, now: float) -> list[Action]:
         """Return the actions to carry out before the sync."""
         out = self.standby.tick(now)
         lead = self.standby.lead
         return out + (lead.pump(now) if lead is not None else [])
 
-    def after(self) -> list[Action]:
+    def after_sync(self) -> list[Action]:
         """Return the actions to carry out after the sync, and follow a change of the marks."""
         lead = self.standby.lead
         upstream = lead.upstream if lead is not None else None
@@ -132,19 +132,19 @@
             self.standby.lead.upstream.compact()
         self.standby.compact()
 
-    def dress(self, word: Word) -> Word:
+    def with_mark(self, word: Word) -> Word:
         """Return the message with the mark of this folder, whose records are all synced now."""
         if isinstance(word, Stand | Stood | Kept):
             return replace(word, folder=self.store.mark().to_bytes())
         return word
 
-    def kept_back(self, run: Run) -> None:
+    def report_not_run(self, run: Run) -> None:
         """Report a run as not run, as this node may no longer start it."""
         self.part.counters.add("edges.runs_kept_back")
         upstream = self.runs.upstream
         self.runs.post(lambda now: self.ran(upstream, now, run.key, Came.NOT_RUN, b"", "", LATER_S))
 
-    def fell(self) -> None:
+    def on_disk_error(self) -> None:
         """Stop leading because this disk is full or fails, as the marks in memory no longer match the log.
 
         The duty makes no progress here then and is taken back, so that another node can lead.
@@ -159,9 +159,9 @@
             shown = ("copying", lead.fence)
         else:
             shown = (lead.state.value, lead.fence)
-        if shown == self.shown:
+        if shown == self.logged_state:
             return
-        self.shown = shown
+        self.logged_state = shown
         marks = self.standby.marks
         logs.event(
             "edges.upstream",
@@ -183,10 +183,10 @@
         That majority then holds all earlier records too. If a later fence is in use, wait until cancelled.
         """
         self.runs.post(lambda now: self.standby.take(now, fence, secrets.token_bytes(16), self.forced))
-        while not self._took(fence):
+        while not self._has_taken_over(fence):
             await asyncio.sleep(POLL_S)
 
-    def _took(self, fence: int) -> bool:
+    def _has_taken_over(self, fence: int) -> bool:
         lead = self.standby.lead
         return (
             lead is not None
@@ -217,7 +217,7 @@
         """Do nothing: ``may`` returns False from now on, and the same fence may be granted again."""
 
     def progress(self) -> tuple[int, int]:
-        return self.done, int(not self.able())
+        return self.runs_done, int(not self.able())
 
     # --- operators
 
@@ -235,7 +235,7 @@
         standby, lead, now = self.standby, self.standby.lead, clocks.mono()
         peers = lead.peers if lead is not None else {}
         return {
-            "state": self.shown[0],
+            "state": self.logged_state[0],
             "fence": standby.fence,
             "holder": standby.holder,
             "able": self.able(),
@@ -248,7 +248,7 @@
                 name: {
                     "behind": self.store.last - peer.match,
                     "whole": peer.whole,
-                    "wrong": peer.wrong,
+                    "wrong": peer.untrusted,
                     "silent_s": round(min(999.0, now - peer.heard_at), 1),
                 }
                 for name, peer in peers.items()
--- a/beechrock/edges/part.py
+++ b/beechrock/edges/part.py
@@ -75,7 +75,7 @@
         if told.upstream_here:
             self.runs = Runs(self, Store.open(at, "marks", Runs.rules(told.most_bytes)), at)
         self.stores = [one.store for one in (self.member, self.runs) if one is not None]
-        self.kept = [*self.stores, *([self.runs.named.fences] if self.runs and self.runs.named else [])]
+        self.all_stores = [*self.stores, *([self.runs.named.fences] if self.runs and self.runs.named else [])]
         self.talk.on(CHANNEL, self._heard)
         context.program.scgi.edges = self
         context.views["/edges"] = self.view
@@ -137,7 +137,7 @@
         def turn(now: float, now_s: float) -> list[Action]:
             out: list[Action] = []
             if self.member is not None:
-                self.member.heard(sender, word)
+                self.member.check_mark(sender, word)
                 out += self.member.edge.hear(now, now_s, sender, word)
             if self.runs is not None:
                 self.runs.hear(now, now_s, sender, word)
@@ -161,7 +161,7 @@
         """Check the disk if a check is due, then take a turn."""
         try:
             if self.disk.due(clocks.mono()):
-                await self._look()
+                await self._check_disk()
             await self._turn()
         except (OSError, OperatorError) as error:
             if heals(error):
@@ -177,38 +177,38 @@
         if self.runs is not None:
             self.runs.begin()
         for event in events:
-            self._unless_full(now, lambda event=event: out.extend(event(now, now_s)))  # type: ignore[misc]
+            self._note_disk_errors(now, lambda event=event: out.extend(event(now, now_s)))  # type: ignore[misc]
         if (member := self.member) is not None:
             member.follow(self.inventory)
             # A failed read of a write that was to be offered once stopped the queue for good.
-            self._unless_full(now, lambda: out.extend(member.edge.duty(self._fence(), now)))
-            self._unless_full(now, lambda: out.extend(member.edge.tick(now, now_s)))
-            self._unless_full(now, member.proven)
-            if (met := member.edge.copies.met) is not None:
-                member.edge.copies.met = None
+            self._note_disk_errors(now, lambda: out.extend(member.edge.duty(self._fence(), now)))
+            self._note_disk_errors(now, lambda: out.extend(member.edge.tick(now, now_s)))
+            self._note_disk_errors(now, member.trust_proven)
+            if (met := member.edge.copies.disk_error) is not None:
+                member.edge.copies.disk_error = None
                 self.fell(now, met)
         if self.named is not None and self.runs is not None:
             self.runs.expire(now)
-            self._unless_full(now, self._before)
+            self._note_disk_errors(now, self._before_sync)
         await self._synced(now)
         if self.runs is not None:
-            out += self.runs.wrote()
+            out += self.runs.after_sync()
         if self.named is not None and self.disk.running:
-            out += self.named.after()
-        for action in out if member is None else member.promised(out):
+            out += self.named.after_sync()
+        for action in out if member is None else member.after_sync(out):
             self._carry_out(action)
         if member is not None and not member.store.failed:
             member.edge.compact()
         if self.runs is not None and self.disk.running:
             (self.named or self.runs.upstream).compact()
-        for store in self.kept:  # A snapshot or a fence may have failed to be written
+        for store in self.all_stores:  # A snapshot or a fence may have failed to be written
             if store.failed:
                 self.fell(now, StoreFailedError(store.failed, where=str(self.files.folder / store.prefix)))
 
     async def _synced(self, now: float) -> None:
         """Sync the records of this turn; if that fails, none of them counts.
 
-        See ``Runs.fell`` and ``Member.promised``.
+        See ``Runs.fell`` and ``Member.after_sync``.
         """
         stores = [
             store
@@ -229,10 +229,10 @@
         if self.runs is not None and self.named is None:
             self.runs.upstream.folder = self.runs.store.mark().to_bytes()
 
-    def _before(self) -> None:
+    def _before_sync(self) -> None:
         """Send new records to the other named nodes, so that their disks sync while this one does."""
         if self.named is not None and self.disk.running:
-            for action in self.named.before(clocks.mono()):
+            for action in self.named.before_sync(clocks.mono()):
                 self._carry_out(action)
 
     def _sync(self, stores: list[Store]) -> list[tuple[Store, StoreFailedError]]:
@@ -247,7 +247,7 @@
 
     # --- full or failing disks
 
-    def _unless_full(self, now: float, do: Callable[[], None]) -> None:
+    def _note_disk_errors(self, now: float, do: Callable[[], None]) -> None:
         """Call ``do`` and note a disk error that can heal, instead of raising it.
 
         Writes and copies handle a full disk themselves. Here it is an operator's order, the mark of another
@@ -267,35 +267,35 @@
         name = "edges.disk_full" if no_room(error) else "edges.disk_failing"
         logs.event(name, "warning", what=self.disk.why, wait_s=self.disk.wait_s, do=self.disk.do)
         self.counters.add(name)
-        self._told()
+        self._update_copies()
         if self.runs is not None:
-            self.runs.hold()
+            self.runs.fail_callers()
 
-    def _told(self) -> None:
+    def _update_copies(self) -> None:
         if self.member is not None:
             copies = self.member.edge.copies
-            copies.full, copies.disk = not self.disk.running, self.disk.said
+            copies.full, copies.disk = not self.disk.running, self.disk.message
 
-    async def _look(self) -> None:
+    async def _check_disk(self) -> None:
         met: Exception | None = None
         try:
-            await asyncio.to_thread(self._room)
+            await asyncio.to_thread(self._write_check_file)
             # After a failed sync the next one succeeds though the kernel has dropped the data, so all records
             # that are not known to be durable are rewritten.
-            for store in self.kept:
+            for store in self.all_stores:
                 await asyncio.to_thread(store.rewrite)
             if self.runs is not None:
-                await self.runs.again()
+                await self.runs.reload()
         except (OSError, OperatorError) as error:
             if not heals(error):
                 raise
             met = error
         self.disk.tried(clocks.mono(), met is None, met)
-        self._told()
+        self._update_copies()
         if met is None:
             logs.event("edges.disk_room", looks=self.disk.looks)
 
-    def _room(self) -> None:
+    def _write_check_file(self) -> None:
         """Write, sync and remove a test file, in a thread.
 
         Raises OSError if the disk takes no writes yet.
@@ -316,7 +316,7 @@
             for ref in list(self.member.callers):
                 self.member.answer(Done(ref, "failed", b"this node's queue has failed; it may still run\n"))
         if self.runs is not None:
-            self.runs.hold()
+            self.runs.fail_callers()
 
     def _carry_out(self, action: Action) -> None:
         match action:
@@ -332,9 +332,11 @@
                 if isinstance(word, Offer | Settle) and self._fence() != word.fence:
                     self.counters.add("edges.offers_kept_back")
                     return
-                self.talk.send(to, CHANNEL, pack(self.named.dress(word) if self.named is not None else word))
+                self.talk.send(
+                    to, CHANNEL, pack(self.named.with_mark(word) if self.named is not None else word)
+                )
             case Run() if self.named is not None and not self.named.may():
-                self.named.kept_back(action)
+                self.named.report_not_run(action)
             case Run() if self.runs is not None:
                 self.runs.run(action)
             case Noted() if self.runs is not None:
--- a/beechrock/edges/queue.py
+++ b/beechrock/edges/queue.py
@@ -3,7 +3,7 @@
 States of a write: WAITING -> SENT -> APPLIED | REFUSED | EXPIRED | DISCARDED, and DOUBT, which only an
 operator ends, by release (WAITING again) or discard. SENT is not durable: after a restart the write is
 WAITING again, and upstream's marks know whether it ran.
-Events: ``add``, ``sent``, ``unsent`` (to be sent again), ``end``, ``doubt``, ``undoubt``.
+Events: ``add``, ``sent``, ``unsent`` (to be sent again), ``end``, ``doubt``, ``clear_doubt``.
 Invariants: a write leaves the queue only by an end that upstream settled; the bytes of all teams add up to
 ``bytes_held``; a write that does not fit is refused before it is accepted, never after.
 
@@ -91,17 +91,17 @@
     most_bytes: int
     without: frozenset[str] = frozenset()
     lanes: dict[str, Lane] = field(default_factory=dict)
-    by_number: list[Lane] = field(default_factory=list)
-    free: list[int] = field(default_factory=list)  # Numbers of forgotten lanes, for reuse
+    lanes_by_number: list[Lane] = field(default_factory=list)
+    free_numbers: list[int] = field(default_factory=list)  # Numbers of forgotten lanes, for reuse
     teams: list[str] = field(default_factory=list)
-    used: dict[str, int] = field(default_factory=dict)  # Bytes of waiting writes by team
-    counts: dict[str, int] = field(default_factory=dict)  # Number of writes by team that have not ended
+    bytes_by_team: dict[str, int] = field(default_factory=dict)  # Bytes of waiting writes by team
+    counts_by_team: dict[str, int] = field(default_factory=dict)  # Number of waiting writes by team
     turns: dict[str, Turns] = field(default_factory=dict)
     bytes_held: int = 0
     drained_per_s: float = 0.0  # Measured replay rate in bytes per second; 0 if unknown
 
     def __len__(self) -> int:
-        return sum(self.counts.values())
+        return sum(self.counts_by_team.values())
 
     def __contains__(self, dot: Dot) -> bool:
         return self.state(dot) is not None
@@ -114,13 +114,13 @@
 
         Raises EdgeFullError if there is no room.
         """
-        used, promised = self.used.get(team, 0), 0.0
+        used, promised = self.bytes_by_team.get(team, 0), 0.0
         if "shares" not in self.without and used + size > shares.get(team, 0.0) * self.most_bytes:
             for other, share in shares.items():
                 if other != team:
-                    promised += max(0.0, share * self.most_bytes - self.used.get(other, 0))
+                    promised += max(0.0, share * self.most_bytes - self.bytes_by_team.get(other, 0))
         over = self.bytes_held + size + promised - self.most_bytes
-        if over > 0 or (team not in self.counts and len(self.teams) >= MAX_TEAMS):
+        if over > 0 or (team not in self.counts_by_team and len(self.teams) >= MAX_TEAMS):
             after = over / self.drained_per_s if self.drained_per_s > 0 else CUT_AFTER_S
             raise EdgeFullError(
                 f"the queue holds {self.bytes_held >> 10} KB of {self.most_bytes >> 10} KB; "
@@ -135,20 +135,20 @@
         """Add a write of ``size`` bytes at index ``place`` of the log; return False if it is held already."""
         lane = self.lanes.get(dot.writer)
         if lane is None:
-            number = self.free.pop() if self.free else len(self.by_number)
+            number = self.free_numbers.pop() if self.free_numbers else len(self.lanes_by_number)
             lane = self.lanes[dot.writer] = Lane(dot.writer, number, dot.n)
-            self.by_number[number : number + 1] = [lane]
+            self.lanes_by_number[number : number + 1] = [lane]
         if lane.find(dot.n) is not None:
             return False
-        if team not in self.counts:
+        if team not in self.counts_by_team:
             self.teams.append(team)
-            self.counts[team] = self.used[team] = 0
+            self.counts_by_team[team] = self.bytes_by_team[team] = 0
             self.turns[team] = Turns()
         at = lane.reach(dot.n)
         lane.places[at], lane.sizes[at], lane.states[at] = place, size, State.WAITING.value
         lane.teams[at] = self.teams.index(team)
-        self.used[team] += size
-        self.counts[team] += 1
+        self.bytes_by_team[team] += size
+        self.counts_by_team[team] += 1
         self.bytes_held += size
         self.turns[team].codes.append(lane.number << _COUNTER_BITS | dot.n)
         return True
@@ -197,7 +197,7 @@
         if self.state(dot) is State.SENT:
             self._to(dot, State.WAITING)
 
-    def undoubt(self, dot: Dot) -> None:
+    def clear_doubt(self, dot: Dot) -> None:
         """Set a write in doubt to WAITING again, after an operator released it."""
         if self.state(dot) is State.DOUBT:
             self._to(dot, State.WAITING)
@@ -220,15 +220,16 @@
         if lane is None or at is None or State(lane.states[at]) in ENDS:
             return False
         team = self.teams[lane.teams[at]]
-        self.used[team] -= lane.sizes[at]
-        self.counts[team] -= 1
+        self.bytes_by_team[team] -= lane.sizes[at]
+        self.counts_by_team[team] -= 1
         self.bytes_held -= lane.sizes[at]
         lane.states[at] = state.value
-        if self.used[team] < 0 or self.counts[team] < 0:
+        if self.bytes_by_team[team] < 0 or self.counts_by_team[team] < 0:
             raise EdgeInvariantError(f"team {team} holds less than nothing", where="edges.queue")
         lane.trim()
         turns = self.turns[team]
-        if len(turns.codes) > 4 * self.counts[team] + TURNS_SLACK:  # A member that never replays takes none
+        # A member that never replays takes no turns, so ended writes are removed from them here.
+        if len(turns.codes) > 4 * self.counts_by_team[team] + TURNS_SLACK:
             turns.codes = array(
                 "q", [code for code in turns.codes[turns.at :] if self.waits(self._dot(code))]
             )
@@ -246,22 +247,22 @@
         if not gone:
             return
         for number in gone:
-            self.by_number[number] = Lane("", number, 0)
-            self.free.append(number)
+            self.lanes_by_number[number] = Lane("", number, 0)
+            self.free_numbers.append(number)
         for turns in self.turns.values():  # The numbers will be reused for other lanes
             turns.codes = array("q", [c for c in turns.codes[turns.at :] if c >> _COUNTER_BITS not in gone])
             turns.at = 0
 
     def live(self) -> Iterator[tuple[Dot, State, int]]:
         """Iterate over all writes that have not ended, as dot, state and index in the log."""
-        for lane in self.by_number:
+        for lane in self.lanes_by_number:
             for at, value in enumerate(lane.states):
                 if value not in _ENDED:
                     yield Dot(lane.writer, lane.base + at), State(value), lane.places[at]
 
     def heads(self) -> Iterator[tuple[Dot, State]]:
         """Iterate over the first write of each writer that has not ended."""
-        for lane in self.by_number:
+        for lane in self.lanes_by_number:
             for at, value in enumerate(lane.states):
                 if value not in _ENDED:
                     yield Dot(lane.writer, lane.base + at), State(value)
@@ -272,7 +273,7 @@
         return min((place for _, _, place in self.live()), default=None)
 
     def _dot(self, code: int) -> Dot:
-        return Dot(self.by_number[code >> _COUNTER_BITS].writer, code & ((1 << _COUNTER_BITS) - 1))
+        return Dot(self.lanes_by_number[code >> _COUNTER_BITS].writer, code & ((1 << _COUNTER_BITS) - 1))
 
     def _to(self, dot: Dot, state: State) -> None:
         lane = self.lanes[dot.writer]
--- a/beechrock/edges/recovering.py
+++ b/beechrock/edges/recovering.py
@@ -54,10 +54,10 @@
     wait_s: float = 0.0
     try_at: float = 0.0
     looks: int = 0  # Number of checks since the last failure began
-    times: int = 0  # Number of times that the disk became full or failed
+    failures: int = 0  # Number of times that the disk became full or failed
     why: str = ""
     do: str = ""
-    waits: Disk = Disk.FULL  # State between two checks: FULL or FAILING
+    waiting_state: Disk = Disk.FULL  # State between two checks: FULL or FAILING
 
     @property
     def running(self) -> bool:
@@ -67,11 +67,11 @@
         """Record an error that heals; return False if the state was not RUNNING, as then a check decides."""
         if not self.running:
             return False
-        calm = now - self.since >= CALM_S or not self.times
+        calm = now - self.since >= CALM_S or not self.failures
         self.wait_s = FIRST_WAIT_S if calm else min(2 * self.wait_s, MAX_WAIT_S)
         self.since, self.try_at = now, now + self.wait_s
-        self._say(error)
-        self.looks, self.times = 0, self.times + 1
+        self._set_message(error)
+        self.looks, self.failures = 0, self.failures + 1
         return True
 
     def stop(self, now: float, error: OperatorError) -> None:
@@ -93,27 +93,29 @@
             self.state, self.since, self.why, self.do = Disk.RUNNING, now, "", ""
             return
         self.wait_s = min(2 * self.wait_s, MAX_WAIT_S)
-        self.state, self.try_at = self.waits, now + self.wait_s
+        self.state, self.try_at = self.waiting_state, now + self.wait_s
         if met is not None:
-            self._say(met)
+            self._set_message(met)
 
-    def _say(self, error: Exception) -> None:
+    def _set_message(self, error: Exception) -> None:
         full = no_room(error)
-        self.state = self.waits = Disk.FULL if full else Disk.FAILING
+        self.state = self.waiting_state = Disk.FULL if full else Disk.FAILING
         self.why, self.do = str(error), MAKE_ROOM if full else MEND_DISK
 
     @property
-    def said(self) -> str:
+    def message(self) -> str:
         """Text for callers about the state of the disk."""
         return {Disk.RUNNING: "", Disk.STOPPED: "this node's queue has failed"}.get(
             self.state,
-            "the disk of this node is full" if self.waits is Disk.FULL else "the disk of this node fails",
+            "the disk of this node is full"
+            if self.waiting_state is Disk.FULL
+            else "the disk of this node fails",
         )
 
     def view(self, now: float) -> dict[str, object]:
         return {
             "state": self.state.value,
             "since_s": round(now - self.since, 1),
-            "times": self.times,
+            "times": self.failures,
             **({"why": self.why, "do": self.do, "looks": self.looks} if not self.running else {}),
         }
--- a/beechrock/edges/replay.py
+++ b/beechrock/edges/replay.py
@@ -48,7 +48,7 @@
         self.window, self.slow_start = 1.0, True
         self.until_s = now + part * spread_s
 
-    def most(self, now: float) -> int:
+    def limit(self, now: float) -> int:
         if now < self.until_s:
             return 0
         if "credit" in self.without:
@@ -65,16 +65,16 @@
         self.budget -= 1
         return True
 
-    def ended(self) -> None:
+    def on_end(self) -> None:
         self.window = min(MAX_WINDOW, self.window + (1.0 if self.slow_start else 1.0 / self.window))
 
-    def later(self, now: float, after_s: float) -> None:
+    def back_off(self, now: float, after_s: float) -> None:
         if now < self.until_s:  # The window was already halved in this round trip
             return
         self.window, self.slow_start = max(1.0, self.window / 2), False
         self.until_s = now + (after_s or PAUSE_S)
 
-    def full(self, now: float) -> None:
+    def pause(self, now: float) -> None:
         """Pause shortly, without halving the window, when live requests took the spare capacity.
 
         The credit already reflects them. In the benchmark a replay that halved its window each time used only
@@ -82,15 +82,15 @@
         """
         self.until_s = max(self.until_s, now + NO_ROOM_PAUSE_S)
 
-    def silent(self, now: float) -> None:
-        self.later(now, PAUSE_S)
+    def on_timeout(self, now: float) -> None:
+        self.back_off(now, PAUSE_S)
 
 
 @dataclass(slots=True)
 class Parked:
     said: Said
     dots: tuple[Dot, ...]
-    look_at_s: float
+    recheck_at_s: float
     until_s: float = float("inf")  # End of the write's ``keep_s``, in Unix seconds
 
 
@@ -107,31 +107,31 @@
     queue: Queue
     flights: dict[Dot, Flight] = field(default_factory=dict)
     parked: dict[Dot, Parked] = field(default_factory=dict)
-    waits: dict[Dot, list[Dot]] = field(default_factory=dict)  # Parked writes by the write they wait for
-    ring: deque[str] = field(default_factory=deque)
-    looked_s: float = 0.0
+    dependents: dict[Dot, list[Dot]] = field(default_factory=dict)  # Parked writes by the write they wait for
+    team_ring: deque[str] = field(default_factory=deque)
+    rechecked_at_s: float = 0.0
     ready: deque[Dot] = field(default_factory=deque)  # Writes to offer before others, such as unparked ones
 
     def next(self, now: float) -> Dot | None:
-        """Return the next write to offer, or None; the caller has to pass it to ``fly`` or ``park``."""
+        """Return the next write to offer, or None; the caller passes it to ``start_flight`` or ``park``."""
         while self.ready:
             dot = self.ready.popleft()
             if self.queue.state(dot) is State.WAITING and dot not in self.parked and dot not in self.flights:
                 return dot
         if len(self.parked) >= MAX_PARKED:
             return None
-        for name in self.queue.teams[len(self.ring) :]:
-            self.ring.append(name)
-        for _ in range(len(self.ring)):
-            name = self.ring[0]
-            self.ring.rotate(-1)
-            if self.queue.counts[name]:
+        for name in self.queue.teams[len(self.team_ring) :]:
+            self.team_ring.append(name)
+        for _ in range(len(self.team_ring)):
+            name = self.team_ring[0]
+            self.team_ring.rotate(-1)
+            if self.queue.counts_by_team[name]:
                 while (taken := self.queue.take(name)) is not None:
                     if taken not in self.parked and taken not in self.flights:
                         return taken
         return None
 
-    def fly(self, entry: Entry, due_s: float) -> None:
+    def start_flight(self, entry: Entry, due_s: float) -> None:
         self.flights[entry.dot] = Flight(entry, due_s)
         self.queue.sent(entry.dot)
 
@@ -145,13 +145,13 @@
         until_s = entry.accepted_at + entry.keep_s if said is not Said.DOUBT else float("inf")
         self.parked[dot] = Parked(said, dots, now + RECHECK_S, until_s)
         for other in dots[:1]:
-            self.waits.setdefault(other, []).append(dot)
+            self.dependents.setdefault(other, []).append(dot)
 
-    def land(self, dot: Dot) -> None:
+    def remove_ended(self, dot: Dot) -> None:
         """Handle the end of a write: unpark the writes that wait for it."""
         self.flights.pop(dot, None)
         self.parked.pop(dot, None)
-        for other in self.waits.pop(dot, ()):
+        for other in self.dependents.pop(dot, ()):
             self.unpark(other)
 
     def unpark(self, dot: Dot, always: bool = False) -> None:
@@ -167,35 +167,35 @@
         """
         if (held := self.parked.pop(dot, None)) is not None:
             if held.said is Said.DOUBT:
-                self.queue.undoubt(dot)
+                self.queue.clear_doubt(dot)
             self.ready.append(dot)
 
     def progress(self, ended: Vector, now: float) -> None:
         """Unpark writes whose dependency has ended, also at other edges, or that are due for a recheck."""
-        for other in [o for o in self.waits if o in ended]:
-            for dot in self.waits.pop(other):
+        for other in [o for o in self.dependents if o in ended]:
+            for dot in self.dependents.pop(other):
                 self.unpark(dot)
-        if now < self.looked_s + RECHECK_S:
+        if now < self.rechecked_at_s + RECHECK_S:
             return
-        self.looked_s = now
-        for dot in [d for d, p in self.parked.items() if p.look_at_s <= now]:
+        self.rechecked_at_s = now
+        for dot in [d for d, p in self.parked.items() if p.recheck_at_s <= now]:
             self.unpark(dot)
-        for other in [o for o, dots in self.waits.items() if not any(d in self.parked for d in dots)]:
-            del self.waits[other]
+        for other in [o for o, dots in self.dependents.items() if not any(d in self.parked for d in dots)]:
+            del self.dependents[other]
 
     def overdue(self, now: float) -> list[Flight]:
         return [f for f in self.flights.values() if f.due_s <= now]
 
-    def back(self, dot: Dot) -> None:
+    def requeue(self, dot: Dot) -> None:
         """Take a write out of flight, to be offered again."""
         if self.flights.pop(dot, None) is not None:
             self.queue.unsent(dot)
             self.ready.append(dot)
 
-    def stop(self) -> None:
+    def requeue_all(self) -> None:
         """Return all writes in flight to the queue, after the loss of the duty or of the link.
 
         Upstream's marks know which of them ran.
         """
         for dot in list(self.flights):
-            self.back(dot)
+            self.requeue(dot)
--- a/beechrock/edges/runs.py
+++ b/beechrock/edges/runs.py
@@ -54,20 +54,20 @@
     """Owner of upstream's state machine and its store on this node.
 
     A turn is atomic: if the disk fails for some of its records, none of its actions is carried out, and its
-    records are cut again once the disk works (``again``).
+    records are cut again once the disk works (``reload``).
     """
 
     def __init__(self, part: "EdgesPart", store: Store, files: Files) -> None:
         self.part, self.store = part, store
-        self.out: list[Action] = []  # Actions of this turn
-        self.upto = store.last  # Last log index before this turn, or before the turn that failed
+        self.actions: list[Action] = []  # Actions of this turn
+        self.last_before_turn = store.last  # Last log index before this turn, or before the turn that failed
         self.fallen = False  # Whether the marks in memory are ahead of those on disk
         self.flights: dict[int, Flight] = {}  # By key
         self.ended: list[Flight] = []  # Runs whose ends were written in this turn
         self.callers: dict[int, Callable[[Reply], None]] = {}
         self.numbers = 0
         self.named: Named | None = None  # Set if this is one of several nodes named upstream
-        self.due: dict[int, float] = {}  # Deadlines by number of callers' writes that a holder may lose
+        self.deadlines: dict[int, float] = {}  # Deadlines by number of callers' writes that a holder may lose
         if len(part.told.upstreams) > 1:
             from beechrock.edges import named
 
@@ -104,7 +104,7 @@
         self.upstream, self.inventory = upstream, None
 
     def hear(self, now: float, now_s: float, sender: str, word: Word) -> None:
-        self.spare()
+        self.update_spare()
         if self.named is not None and isinstance(word, StraightDone) and sender in self.named.standby.names:
             self.answer(word)
         self.turn(now, lambda: (self.named or self.upstream).hear(now, now_s, sender, word))
@@ -113,7 +113,7 @@
 
     def begin(self) -> None:
         if not self.fallen:
-            self.upto = self.store.last
+            self.last_before_turn = self.store.last
 
     def turn(self, now: float, event: Callable[[], list[Action]]) -> bool:
         """Handle one event; return whether all its records were written.
@@ -123,7 +123,7 @@
         if not self.part.disk.running:
             return False
         try:
-            self.out += event()
+            self.actions += event()
         except (OSError, OperatorError) as error:
             if not heals(error):
                 raise
@@ -133,27 +133,27 @@
     def fell(self, now: float, error: Exception) -> None:
         """Drop the actions of this turn, as the marks in memory are now ahead of the log on disk."""
         self.fallen = True
-        self.out.clear()
+        self.actions.clear()
         self.ended.clear()
         self.part.fell(now, error)
 
-    def wrote(self) -> list[Action]:
+    def after_sync(self) -> list[Action]:
         """Return the actions to carry out after the sync."""
         for flight in self.ended:
             self.flights.pop(self.upstream.marks.key(flight.running.entry), None)
         self.ended.clear()
-        out, self.out = self.out, []
+        out, self.actions = self.actions, []
         return out
 
-    def hold(self) -> None:
+    def fail_callers(self) -> None:
         """Answer all waiting callers, as the disk takes no writes or the part has stopped."""
-        body = f"{self.part.disk.said}; it may have run\n".encode()
+        body = f"{self.part.disk.message}; it may have run\n".encode()
         for number in list(self.callers):
             self.answer(StraightDone(number, "failed", body, "", 0.0))
         if self.named is not None:
-            self.named.fell()
+            self.named.on_disk_error()
 
-    async def again(self) -> None:
+    async def reload(self) -> None:
         """Reload the marks from the disk, which works again, without the turn that failed.
 
         Runs under way go on, as their intents are on disk; outcomes that arrived meanwhile are written now.
@@ -163,9 +163,9 @@
         if self.named is not None:
             self.named.standby.restore()
         elif self.fallen:
-            store.cut_after(self.upto)
+            store.cut_after(self.last_before_turn)
             await asyncio.to_thread(store.sync)
-            upstream, snapshot = self.upstream.anew(store, Marks(self.rule)), store.snapshot()
+            upstream, snapshot = self.upstream.renewed(store, Marks(self.rule)), store.snapshot()
             upstream.restore(
                 snapshot[1] if snapshot is not None else None,
                 (store.entry(index) for index in range(store.first, store.last + 1)),
@@ -191,10 +191,10 @@
 
     def expire(self, now: float) -> None:
         """Answer callers whose deadline has passed, as the holder of their write died or lost the duty."""
-        while self.due and (number := next(iter(self.due))) and self.due[number] <= now:
+        while self.deadlines and (number := next(iter(self.deadlines))) and self.deadlines[number] <= now:
             self.answer(StraightDone(number, "failed", b"no answer in time; it may have run\n", "", 0.0))
 
-    def spare(self) -> None:
+    def update_spare(self) -> None:
         """Update upstream's spare capacity beside live requests; the module still decides on each run."""
         inventory = self.part.inventory
         if inventory is not self.inventory:
@@ -224,7 +224,7 @@
             by = self.flights[run.key] = Flight(self.upstream.running[run.key])
         klass = inventory.classes.get((entry.team, entry.service))
         if klass is None:  # The contract was removed while its writes waited
-            self._came(run, by, Came.SAID_NO, Answer(Verdict.FAILED, b"no contract any more"))
+            self._report(run, by, Came.SAID_NO, Answer(Verdict.FAILED, b"no contract any more"))
             return
         request = Request(
             trace=secrets.token_hex(8),
@@ -238,7 +238,7 @@
             nonce=entry.nonce,
         )
         if not module.post(RequestReceived(request)):
-            self._came(run, by, Came.NOT_RUN, Answer(Verdict.REFUSED, retry_after_s=LATER_S))
+            self._report(run, by, Came.NOT_RUN, Answer(Verdict.REFUSED, retry_after_s=LATER_S))
 
     def _answered(self, run: Run, by: "Upstream | Flight", request: Request, answer: Answer) -> None:
         match answer.verdict:
@@ -255,9 +255,9 @@
                 came = Came.NOT_RUN
             case _:  # It was launched, and its outcome is unknown
                 came = Came.UNKNOWN
-        self._came(run, by, came, answer)
+        self._report(run, by, came, answer)
 
-    def _came(self, run: Run, by: "Upstream | Flight", came: Came, answer: Answer) -> None:
+    def _report(self, run: Run, by: "Upstream | Flight", came: Came, answer: Answer) -> None:
         outcome = (came, answer.body, answer.media, answer.retry_after_s or LATER_S)
         if isinstance(by, Flight):
             by.came = outcome
@@ -311,7 +311,7 @@
         keyed = self.part.module.settings.classes[request.klass].idempotency is Idempotency.KEYED
         marked = terms.get("when_cut") == "queue" and keyed
         if marked and not self.part.disk.running:
-            self._refuse(request, send_reply, self.part.disk.said)
+            self._refuse(request, send_reply, self.part.disk.message)
             return True
         text = headers.get("HTTP_X_SEEN", "")
         if text:
@@ -345,7 +345,7 @@
         )
         straight = Straight(number, "", entry.pack(), request.retry)
         if self.named is not None:
-            self.due[number] = clocks.mono() + CALLER_TIMEOUT_S
+            self.deadlines[number] = clocks.mono() + CALLER_TIMEOUT_S
         if holder == self.part.name:
 
             def hear(now: float, now_s: float) -> list[Action]:
@@ -368,7 +368,7 @@
     def answer(self, word: StraightDone) -> bool:
         """Answer a caller's live write at this node; return False if no such write waits here."""
         send_reply = self.callers.pop(word.number, None)
-        self.due.pop(word.number, None)
+        self.deadlines.pop(word.number, None)
         if send_reply is None:
             return False
         status = {"served": 200, "refused": 503}.get(word.verdict, 500)
--- a/beechrock/edges/standby.py
+++ b/beechrock/edges/standby.py
@@ -65,7 +65,7 @@
     holder: str = ""  # Node that was last heard under ``fence``
     lead: Lead | None = None
     compacted: int = 0  # Index of the last attempt to save a snapshot
-    left: int = 0  # Highest fence under which this node may not lead again
+    left_fence: int = 0  # Highest fence under which this node may not lead again
     turned: OrderedDict[tuple[str, int], None] = field(default_factory=OrderedDict)
     parts: bytearray = field(default_factory=bytearray)  # Received bytes of a snapshot in transfer
     snap: tuple[int, int] = (0, 0)  # Index and size of that snapshot
@@ -85,7 +85,7 @@
         for index in range(self.log.first, self.log.last + 1):
             self._span(self.log.entry(index), index)
         held, self.held = min(self.held, self.log.last), self.applied
-        self._hold(held)
+        self._advance_held(held)
 
     # --- contents of the log
 
@@ -142,7 +142,7 @@
             self.lead.closing = False
             return []
         # Two reigns under one fence would make two different logs look identical.
-        if fence <= self.left:
+        if fence <= self.left_fence:
             return []
         if not self._accept(self.me, fence):
             return []
@@ -156,7 +156,7 @@
             case Stand(fence):
                 if not self._accept(sender, fence):
                     return [Send(sender, Stood(fence, (), False, False, self.fence))]
-                older = self.wrong(sender, word.folder)
+                older = self.untrusted(sender, word.folder)
                 return [Send(sender, Stood(fence, self.told(), self.whole, older))]
             case Keep(fence) | Snap(fence):
                 source = self.lead.source if self.lead is not None and self.lead.fence == fence else ""
@@ -164,14 +164,14 @@
                     return [Send(sender, Kept(fence, 0, False, highest=self.fence))]
                 if self.lead is not None and (sender != source or self.lead.state is not State.FETCHING):
                     return []
-                kept = self._keep(word) if isinstance(word, Keep) else self._part(word)
+                kept = self._receive_records(word) if isinstance(word, Keep) else self._receive_part(word)
                 if self.lead is not None:
                     return self.lead.fetched(now, kept)
                 return [Send(sender, kept)] if kept is not None else []
             case Stood() | Kept() if self.lead is not None and max(word.highest, 0) > self.lead.fence:
                 self.down()  # Another node leads, or is about to
             case Stood() if self.lead is not None and word.fence == self.lead.fence:
-                return self.lead.stood(now, sender, word, self.wrong(sender, word.folder))
+                return self.lead.stood(now, sender, word, self.untrusted(sender, word.folder))
             case Kept() if self.lead is not None and word.fence == self.lead.fence:
                 return self.lead.kept(now, sender, word)
             # The sender takes over and fetches this log, which is the best.
@@ -196,7 +196,7 @@
         The actor reloads the marks (``restore``) once the disk works.
         """
         if self.lead is not None:
-            self.left, self.lead = self.lead.fence, None
+            self.left_fence, self.lead = self.lead.fence, None
 
     def _accept(self, sender: str, fence: int) -> bool:
         """Accept a message under a fence; return False if a higher fence is known.
@@ -212,12 +212,12 @@
             self.parts.clear()
         return True
 
-    def whole_now(self) -> None:
+    def mark_whole(self) -> None:
         """Mark this folder as whole: all records that a majority holds are here, and synced."""
         if not self.whole:
             self.fences.accept(WHOLE, 1)
 
-    def wrong(self, sender: str, folder: bytes) -> bool:
+    def untrusted(self, sender: str, folder: bytes) -> bool:
         """Whether the sender's folder is an older copy or another folder."""
         return self._judge(sender, folder) in UNTRUSTED
 
@@ -228,12 +228,12 @@
 
     # --- as a standby
 
-    def _keep(self, word: Keep) -> Kept | None:
+    def _receive_records(self, word: Keep) -> Kept | None:
         after, reign = word.after, word.reign
         if after > self.log.last or (
             after >= self.base and self.reign_at(after) != reign and "tail" not in self.without
         ):
-            return self.again()
+            return self.continue_request()
         index = after
         try:
             for record in word.records:
@@ -248,16 +248,16 @@
         except StoreFullError:
             return None  # The holder sends the records again
         index = max(index, self.base)
-        self._hold(min(index, word.held))
+        self._advance_held(min(index, word.held))
         if word.whole:
-            self.whole_now()
+            self.mark_whole()
         for name, mark in word.marks:
-            if name != self.me and self.wrong(name, mark):
+            if name != self.me and self.untrusted(name, mark):
                 self.witness.forget(name)  # The holder has checked that the node holds all records again
                 self._judge(name, mark)
         return Kept(word.fence, index, True, whole=self.whole)
 
-    def again(self) -> Kept:
+    def continue_request(self) -> Kept:
         """Return a request to continue from the end of this log, or of the received part of a snapshot."""
         return Kept(self.fence, 0, False, self.told(), *self._snap_at(), self.whole)
 
@@ -270,23 +270,23 @@
         self.log.cut_after(index)
         self.spans = [span for span in self.spans if span[1] <= index]
 
-    def _part(self, word: Snap) -> Kept:
+    def _receive_part(self, word: Snap) -> Kept:
         index_and_size = (word.index, word.size)
         if word.at == 0 and word.size <= MAX_SNAPSHOT_BYTES and word.index > self.held:
             self.parts, self.snap = bytearray(), index_and_size
         if index_and_size != self.snap or word.at != len(self.parts):
-            return self.again()
+            return self.continue_request()
         self.parts += word.data
         if len(self.parts) < word.size:
-            return self.again()
+            return self.continue_request()
         if word.index < self.log.last:
             self._cut(max(word.index, self.base))
         self.log.save_snapshot(word.index, bytes(self.parts))
         self.parts, self.snap = bytearray(), (0, 0)
         self.restore()
-        return self.again()
+        return self.continue_request()
 
-    def _hold(self, index: int) -> None:
+    def _advance_held(self, index: int) -> None:
         self.held = max(self.held, index)
         while self.applied < self.held:
             self.applied += 1
@@ -301,9 +301,9 @@
         ):
             self.compacted = self.applied  # On a full disk the next attempt is after as many records again
             with suppress(StoreFullError):
-                self.saved(self.applied, SNAPSHOT + self.marks.plain())
+                self.save_snapshot(self.applied, SNAPSHOT + self.marks.plain())
 
-    def saved(self, index: int, data: bytes) -> None:
+    def save_snapshot(self, index: int, data: bytes) -> None:
         reign = self.reign_at(index)
         self.log.save_snapshot(index, data)
         self.spans = [(reign, index), *((r, first) for r, first in self.spans if first > index)]
--- a/beechrock/edges/upstream.py
+++ b/beechrock/edges/upstream.py
@@ -107,7 +107,7 @@
         self.running = dict(flights or {})
         self.marks.restarted(self.running)
 
-    def anew(self, log: Log, marks: Marks) -> "Upstream":
+    def renewed(self, log: Log, marks: Marks) -> "Upstream":
         """Return a new state machine for ``marks``, which are yet to be restored from the log.
 
         It takes over the state of this one that is not in the log.
@@ -168,19 +168,19 @@
                     Send(sender, ProbeAck(number, ended, self.credit(edge, now), gone, *closed, self.folder))
                 ]
             case Offer():
-                return self._offered(now, now_s, sender, word)
+                return self._on_offer(now, now_s, sender, word)
             case Settle():
-                return self._settle(now, sender, word)
+                return self._on_settle(now, sender, word)
             case Straight():
-                return self._straight(now_s, sender, word)
+                return self._on_straight(now_s, sender, word)
         return []
 
     # --- replayed writes
 
-    def _offered(self, now: float, now_s: float, sender: str, offer: Offer) -> list[Action]:
+    def _on_offer(self, now: float, now_s: float, sender: str, offer: Offer) -> list[Action]:
         if not self.marks.fenced(offer.edge, offer.fence):
             dots = [Entry.unpack(packed).dot for packed in offer.entries]
-            stale = tuple(_said(dot, Said.STALE) for dot in dots)
+            stale = tuple(_result(dot, Said.STALE) for dot in dots)
             return [Send(sender, Ends(offer.edge, stale, 0, offer.fence))]
         self._record(self.marks.fence(offer.edge, offer.fence))
         self.active[offer.edge] = now
@@ -203,7 +203,7 @@
                     if judged.said is Said.BUSY and run is not None and waits not in run.offered:
                         run.offered.append(waits)
                     said.append(
-                        _said(
+                        _result(
                             entry.dot,
                             judged.said,
                             judged.state,
@@ -213,15 +213,15 @@
                         )
                     )
                 case Verdict.END:
-                    if not judged.told:
+                    if not judged.already_ended:
                         self._record(self.marks.end(entry, judged.state, judged.why))
                         out.append(Noted(entry.dot, entry.nonce, judged.state, judged.why))
-                    said.append(_said(entry.dot, Said.ENDED, judged.state, judged.why))
+                    said.append(_result(entry.dot, Said.ENDED, judged.state, judged.why))
         if said:
             out.append(Send(sender, Ends(offer.edge, tuple(said), self.credit(offer.edge, now))))
         return out
 
-    def _settle(self, now: float, sender: str, word: Settle) -> list[Action]:
+    def _on_settle(self, now: float, sender: str, word: Settle) -> list[Action]:
         """Record ends without a run that an edge's holder requests.
 
         A write that has ended before keeps its end, and one that is running is left to run.
@@ -234,21 +234,21 @@
         for writer, n, value, why in word.ends:
             dot, state = Dot(writer, n), State(value)
             if not fenced:
-                said.append(_said(dot, Said.STALE))
+                said.append(_result(dot, Said.STALE))
             elif dot in self.marks.ended:
-                said.append(_said(dot, Said.ENDED, self.marks.gone.get(dot, State.APPLIED)))
+                said.append(_result(dot, Said.ENDED, self.marks.gone.get(dot, State.APPLIED)))
             elif dot in self.marks.intents or state not in ENDS:
-                said.append(_said(dot, Said.BUSY))
+                said.append(_result(dot, Said.BUSY))
             else:
                 self._record(self.marks.settle(dot, state))
                 out.append(Noted(dot, "", state, why))
-                said.append(_said(dot, Said.ENDED, state, why))
+                said.append(_result(dot, Said.ENDED, state, why))
         out.append(Send(sender, Ends(word.edge, tuple(said), self.credit(word.edge, now), word.fence)))
         return out
 
     # --- live writes of contracts that may queue
 
-    def _straight(self, now_s: float, sender: str, word: Straight) -> list[Action]:
+    def _on_straight(self, now_s: float, sender: str, word: Straight) -> list[Action]:
         entry = Entry.unpack(word.entry)
         key, writer = self.marks.key(entry), entry.dot.writer
         # In a simulated history (seed 20108) a duplicate message ran after its write had been reported as
@@ -316,7 +316,7 @@
                 Send(
                     member,
                     Ends(
-                        edge, (_said(dot, said, state, why, max(after_s, LATER_S)),), self.credit(edge, now)
+                        edge, (_result(dot, said, state, why, max(after_s, LATER_S)),), self.credit(edge, now)
                     ),
                 )
             )
@@ -352,7 +352,7 @@
             self.records += 1
 
 
-def _said(
+def _result(
     dot: Dot,
     said: Said,
     state: State = State.WAITING,
--- a/beechrock/edges/whom.py
+++ b/beechrock/edges/whom.py
@@ -12,13 +12,13 @@
 
 
 @dataclass(slots=True)
-class Whom:
+class UpstreamChoice:
     named: tuple[str, ...]
-    at: str = ""
+    current: str = ""
     fence: int = 0
 
     def __post_init__(self) -> None:
-        self.at = self.at or self.named[0]
+        self.current = self.current or self.named[0]
 
     def hear(self, sender: str, word: Word) -> Word | None:
         """Return the message to handle, or None if it is stale or only a redirect."""
@@ -26,10 +26,10 @@
             case Led(fence, packed):
                 if sender not in self.named or fence < self.fence:
                     return None
-                self.at, self.fence = sender, fence
+                self.current, self.fence = sender, fence
                 return unpack(packed)
             case Elsewhere(name, fence):
                 if sender in self.named and name in self.named and fence > self.fence:
-                    self.at, self.fence = name, fence
+                    self.current, self.fence = name, fence
                 return None
         return word
--- a/tests/edges/test_failing_disks.py
+++ b/tests/edges/test_failing_disks.py
@@ -181,7 +181,7 @@
     kept: list[Action] = [Turned(2, 1.0, "full"), Send("e2", Copy((b"entry",)))]
     accepted = Accepted(1, Dot("e/e1/1", 1), NOTHING, ("e1",))
     promises: list[Action] = [accepted, Send("e2", Copied((("w", 1),)))]
-    assert Member.promised(member, [*promises, *kept]) == (
+    assert Member.after_sync(member, [*promises, *kept]) == (
         [Done(1, "failed", SYNC_FAILED), *kept] if synced < 2 else [*promises, *kept]
     )
 
@@ -202,7 +202,7 @@
         )
         edge.link.state = LinkState.CUT
         [answer] = edge.write(1.0, 1.0, Write(7, "a", "s", "k", b"body", b"digest"))
-        assert isinstance(answer, told) and answer.ref == 7 and edge.copies.met is error
+        assert isinstance(answer, told) and answer.ref == 7 and edge.copies.disk_error is error
         assert edge.hear(1.0, 1.0, "e1", Copy((entry,))) == []  # and no copy is told of
 
 
--- a/tests/edges/test_modules.py
+++ b/tests/edges/test_modules.py
@@ -102,10 +102,10 @@
 def test_copies_count_distinct_members_of_trusted_folders() -> None:
     copies = Copies("a", ("a", "b", "c"), 3, 5.0)
     with pytest.raises(EdgeFullError):
-        copies.able(0.0)
+        copies.check_able(0.0)
     for name in ("b", "c"):
         copies.heard(name, 0.0)
-    copies.able(1.0)
+    copies.check_able(1.0)
     dot = Dot("e/a/1", 1)
     assert not copies.begin(dot, b"", 9.0, 1.0)
     assert not copies.copied("b", dot) and not copies.copied("b", dot) and not copies.copied("x", dot)
@@ -115,7 +115,7 @@
     assert copies.copied("c", dot) and not copies.copied("c", dot)
     assert not copies.begin(dot, b"", 9.0, 1.0, 2) and copies.copied("b", dot)  # a contract's own number
     open_ = Copies("a", ("a", "b"), 2, 5.0, OFF({"folder", "able"}))
-    open_.able(0.0)
+    open_.check_able(0.0)
     open_.distrust("b", older=True)
     open_.begin(dot, b"", 9.0, 0.0)
     assert open_.copied("b", dot)  # what the two guards are for
@@ -154,7 +154,7 @@
     records = [marks.intend(_entry(1), 0.0), marks.end(_entry(1), State.APPLIED, ran=True)]
     marks.keys.clear()  # its time is over
     again = marks.judge(_entry(1), False, 50.0)
-    assert (again.verdict is Verdict.END and again.told) is not bool(without)
+    assert (again.verdict is Verdict.END and again.already_ended) is not bool(without)
     other = Marks(without=without)
     for record in records:
         other.redo(record)
@@ -189,7 +189,7 @@
 def test_pace_is_bounded_by_credit_and_halves() -> None:
     pace = Pace(credit=6)
     pace.begin("east", 0.0, 1.0)
-    assert pace.most(0.0) == 0 and pace.most(1.0) == 1  # not all edges begin at once, and each slowly
+    assert pace.limit(0.0) == 0 and pace.limit(1.0) == 1  # not all edges begin at once, and each slowly
     starts = set()
     for name in ("east", "west", "north"):
         other = Pace()
@@ -197,12 +197,12 @@
         starts.add(round(other.until_s, 2))
     assert len(starts) == 3
     for _ in range(20):
-        pace.ended()
-    assert pace.most(2.0) == 6
-    pace.later(2.0, 0.5)
-    assert pace.most(2.1) == 0 and pace.window == 10.5
+        pace.on_end()
+    assert pace.limit(2.0) == 6
+    pace.back_off(2.0, 0.5)
+    assert pace.limit(2.1) == 0 and pace.window == 10.5
     assert sum(pace.sent(again=True) for _ in range(100)) == 16
-    assert Pace(credit=6, window=100.0, without=OFF({"credit"})).most(0.0) > 6
+    assert Pace(credit=6, window=100.0, without=OFF({"credit"})).limit(0.0) > 6
 
 
 def test_teams_take_turns_and_a_parked_write_holds_nobody_else() -> None:
@@ -215,10 +215,10 @@
         if dot.n == 1:
             picker.park(Entry(dot, NOTHING, "a", "s", "k", b"", b""), Said.HELD, (Dot("w", 6),), 0.0)
         else:
-            picker.fly(Entry(dot, NOTHING, "a", "s", "k", b"", b""), 9.0)
+            picker.start_flight(Entry(dot, NOTHING, "a", "s", "k", b"", b""), 9.0)
     assert taken == [1, 5, 2, 6, 3, 4]
     queue.end(Dot("w", 6), State.APPLIED)
-    picker.land(Dot("w", 6))
+    picker.remove_ended(Dot("w", 6))
     assert picker.next(0.1) == Dot("w", 1)
 
 
@@ -307,7 +307,7 @@
     queue.end(Dot(names[0], 1), State.APPLIED)
     queue.forget(names[:1])
     queue.add(Dot(names[2], 1), "t", 10, 2)
-    assert queue.take("t") == Dot(names[2], 1) and queue.take("t") is None and len(queue.by_number) == 1
+    assert queue.take("t") == Dot(names[2], 1) and queue.take("t") is None and len(queue.lanes_by_number) == 1
 
 
 def test_replays_give_way_when_live_requests_are_turned_away_and_never_stand() -> None:
@@ -336,7 +336,7 @@
         most_bytes=1 << 20,
         shares={},
     )
-    member.edge._hold(_entry(1), 10, 1)
+    member.edge._add_to_queue(_entry(1), 10, 1)
     assert member.order("e/m/1:1", "discard")["order"] == "discard"
     member.edge.end(Dot("e/m/1", 1), State.APPLIED, "")
     assert posted[0](0.0, 0.0) == [] and len(told) == 1
--- a/tests/edges/test_named.py
+++ b/tests/edges/test_named.py
@@ -12,7 +12,7 @@
 from beechrock.edges.marks import Marks
 from beechrock.edges.told import read
 from beechrock.edges.upstream import Upstream
-from beechrock.edges.whom import Whom
+from beechrock.edges.whom import UpstreamChoice
 from beechrock.edges.words import ProbeAck, pack, unpack
 from beechrock.lab.edges_check import check
 from beechrock.lab.edges_ups import NAMED, play
@@ -26,13 +26,13 @@
 
 
 def test_an_edge_goes_by_the_highest_fence() -> None:
-    whom = Whom(("u1", "u2", "u3"))
+    choice = UpstreamChoice(("u1", "u2", "u3"))
     ack = ProbeAck(1, {}, 1)
-    assert whom.hear("u2", Led(5, pack(ack))) == unpack(pack(ack)) and whom.at == "u2"
-    assert whom.hear("u1", Led(4, pack(ack))) is None and whom.at == "u2"
-    assert whom.hear("x", Led(9, pack(ack))) is None and whom.at == "u2"
-    assert whom.hear("u2", Elsewhere("u3", 6)) is None and whom.at == "u3"
-    assert whom.hear("u1", ack) == ack
+    assert choice.hear("u2", Led(5, pack(ack))) == unpack(pack(ack)) and choice.current == "u2"
+    assert choice.hear("u1", Led(4, pack(ack))) is None and choice.current == "u2"
+    assert choice.hear("x", Led(9, pack(ack))) is None and choice.current == "u2"
+    assert choice.hear("u2", Elsewhere("u3", 6)) is None and choice.current == "u3"
+    assert choice.hear("u1", ack) == ack
 
 
 def test_upstream_is_one_name_or_a_list_of_up_to_five() -> None:
@@ -51,7 +51,9 @@
 
 def test_with_one_named_nothing_is_other_than_it_was() -> None:
     assert len(unpack_plain(Marks().plain())) == 11
-    assert Whom(("up",)).at == "up" and isinstance(Upstream(cast(Any, None), Marks()).log, type(None))
+    assert UpstreamChoice(("up",)).current == "up" and isinstance(
+        Upstream(cast(Any, None), Marks()).log, type(None)
+    )
     code = (
         "import sys, beechrock.edges.part; "
         "print([n for n in sys.modules if n in ('beechrock.edges.named', 'beechrock.edges.standby',"
--- a/tests/edges/test_recovering.py
+++ b/tests/edges/test_recovering.py
@@ -181,14 +181,14 @@
 def test_an_edge_whose_disk_or_anothers_is_full_refuses_at_once() -> None:
     copies = Copies("a", ("a", "b"), 2, 1.0)
     copies.heard("b", 0.0)
-    copies.able(0.0)
-    copies.crowd("b", True)
+    copies.check_able(0.0)
+    copies.set_full("b", True)
     with pytest.raises(EdgeFullError, match="1 of 2 members"):
-        copies.able(0.0)
-    copies.crowd("b", False)
+        copies.check_able(0.0)
+    copies.set_full("b", False)
     copies.full = True
     with pytest.raises(EdgeFullError, match="disk of this node is full"):
-        copies.able(0.0)
+        copies.check_able(0.0)
 
 
 @pytest.mark.parametrize(
--- a/tests/edges/test_standby.py
+++ b/tests/edges/test_standby.py
@@ -200,12 +200,14 @@
         word = Straight(n, "e0", entry.pack())
         node.standby.hear(sim.now, second, Kept(lead.fence, lead.start, True, whole=True))  # it is near
         sim.turn_of(node, lead.edge(sim.now, sim.now, "e0m0", word))
-        flown = max(flown, lead.peers[second].flying)
+        flown = max(flown, lead.peers[second].in_flight)
     assert len(lead.waiting) <= MAX_WAITING and flown <= MAX_IN_FLIGHT
     assert not lead.able(sim.now)
     _steps(sim, 30)
     peer = lead.peers[second]
-    assert peer.quiet > 1 and peer.flying == 0 and peer.match < lead.last  # no batch, until it answers
+    assert (
+        peer.unanswered > 1 and peer.in_flight == 0 and peer.match < lead.last
+    )  # no batch, until it answers
 
 
 def test_one_that_was_away_for_long_is_sent_the_snapshot_in_parts(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -273,7 +275,7 @@
     copy[0].crash()  # it is opened anew
     folder = copy[0].mark().to_bytes()
     lead.kept(sim.now, second, Kept(lead.fence, 1, True, whole=True, folder=folder))
-    assert peer.wrong and not peer.counts
+    assert peer.untrusted and not peer.counts
     lead.kept(sim.now, second, Kept(lead.fence, lead.last, True, whole=True, folder=folder))
     assert peer.counts
     lead.kept(sim.now, second, Kept(lead.fence, 1, True, whole=False, folder=folder))  # and a new one
