--- a/beechrock/edges/edge.py
+++ b/beechrock/edges/edge.py
@@ -90,10 +90,7 @@
     # --- durable state
 
     def restore(self, snapshot: bytes | None, first: int, records: Iterable[bytes]) -> None:
-        """Restore the state from a snapshot and the ``records`` of the log from index ``first`` on.
-
-        Later ends of these writes become known once upstream answers.
-        """
+        """Restore the state from a snapshot and the log's ``records``, which begin at index ``first``."""
         if snapshot is not None:
             form, have, ended, gone, orders = msgpack.unpackb(snapshot)
             if form != 1:
@@ -154,10 +151,7 @@
         return after.less(self.ended)
 
     def _accept(self, now: float, now_s: float, write: Write, tried: bool = False) -> None:
-        """Queue a write, or refuse it.
-
-        A write that was ``tried`` straight before may have run: it fails instead of being refused.
-        """
+        """Queue or refuse a write; one that was ``tried`` straight may have run, so it fails instead."""
         after = self._after(write)
         dot = Dot(self.names.writer, self.counter + 1)
         entry = write.entry(dot, after, now_s)
@@ -264,10 +258,7 @@
             self.send(sender, Copied(tuple(held), self.folder))
 
     def _share(self, sender: str, theirs: Vector) -> None:
-        """Send the waiting writes that a member lacks, whoever accepted them.
-
-        This completes partly replicated writes and refills a member whose disk was lost.
-        """
+        """Send the waiting writes that a member lacks, as after partial replication or a lost disk."""
         sent, size = list[bytes](), 0
         for writer, lane in self.queue.lanes.items():
             mine = Spans([(lane.base, lane.base + len(lane.states) - 1)])
@@ -386,10 +377,7 @@
                 self.holder.picker.release(dot)
 
     def state(self, dot: Dot) -> tuple[State, str]:
-        """Return the state of a write and its reason.
-
-        Raises UnknownReceiptError if this member knows nothing of the write.
-        """
+        """Return the state of a write and its reason; raises UnknownReceiptError for an unknown write."""
         if dot in self.gone:
             return self.gone[dot]
         if (found := self.queue.state(dot)) is not None:
--- a/tests/edges/test_causal.py
+++ b/tests/edges/test_causal.py
@@ -1,4 +1,4 @@
-"""Causal order alone: spans, tokens, heads, and the bounds of what a write knows."""
+"""Tests of causal order: ranges, tokens, heads, and the bounds of a write's dependencies."""
 
 import itertools
 
@@ -36,7 +36,7 @@
     assert Spans().gaps(spans, 100) == sorted(plain)
 
 
-def test_a_token_is_believed_only_under_its_tag() -> None:
+def test_a_token_is_accepted_only_with_a_valid_tag() -> None:
     seen = Seen(frozenset({Dot("e/m/1", 4)}), {}, {"e/m/1": 4}, 3)
     text = Token(seen, ("m", "n")).encode(KEY)
     assert read_tokens(f"{text}, {text}", KEY) == seen and Token.decode(text, KEY).dot == Dot("e/m/1", 4)
@@ -50,7 +50,7 @@
     for n in range(1, 12):
         heads.put(n, NOTHING, Dot("w", n), Vector())
     assert len(heads.held) == 4
-    for n in range(1, 12):  # each place still comes after its own write
+    for n in range(1, 12):  # Each place still depends on its own write
         assert Dot("w", n) in _closure(heads.of(n), 11)
 
 
@@ -65,7 +65,7 @@
     assert seen.missing(Vector({"w": Spans([[1, 5]])})) == [Dot("w", 6)]
 
 
-def test_what_a_write_knows_is_bounded_and_what_waits_stays_in_it() -> None:
+def test_known_lives_are_bounded_and_those_with_waiting_writes_are_kept() -> None:
     ended = Vector({f"e/m/{n}": Spans([(1, 5)]) for n in range(100)})
     seen = Seen(known={f"e/m/{n}": 5 if n else 6 for n in range(100)}).less(ended)
     assert len(seen.known) == MAX_KNOWN and "e/m/0" in seen.known and "e/m/99" in seen.known
--- a/tests/edges/test_failing_disks.py
+++ b/tests/edges/test_failing_disks.py
@@ -1,6 +1,6 @@
-"""Edges and upstream on disks whose writes, syncs and reads fail for a while: real processes under traffic.
+"""Tests of edges and upstream with disk operations that fail for a while: real processes under traffic.
 
-The verdict is the history's: what was accepted runs once, in its order, and what was refused never.
+The history is checked: accepted writes run once and in order, and refused writes never run.
 """
 
 import asyncio
@@ -23,12 +23,12 @@
 from beechrock.lab.fleet.errors import LabError
 from beechrock.store.errors import StoreFailedError, StoreFullError
 
-EACH = 12  # answers of a kind that are waited for, within a fault and outside
+EACH = 12  # Number of answers with a status to wait for, during a fault and outside of it
 DISKS = [("sync", "EIO"), ("read write sync sync_names", "EIO"), ("write sync", "ENOSPC")]
 
 
 class Traffic:
-    """Sessions that write at a member each in turn, each behind its own last write; counts by fault."""
+    """Sessions that write at the members in turn, each write after the session's last one; counts answers."""
 
     def __init__(self, play: Play, names: tuple[str, ...]) -> None:
         self.play, self.names = play, names
@@ -39,14 +39,14 @@
         session, n = Session(f"s{number}"), 0
         while not self.ends.is_set():
             name = self.names[(number + n) % len(self.names)]
-            with suppress(LabError):  # the node is down
+            with suppress(LabError):  # The node is down
                 status = await self.play.write(name, f"{session.name}-{n}", session)
                 self.seen[name, status] += 1
             n += 1
             await asyncio.sleep(0.01)
 
     async def more(self, name: str, *statuses: int, least: int = EACH) -> None:
-        """Until so many more of these have come from that node."""
+        """Wait until a node has given ``least`` more answers with these statuses."""
 
         def count() -> int:
             return sum(self.seen[name, status] for status in statuses)
@@ -67,7 +67,7 @@
 
 
 async def looked(play: Play, name: str, least: int = 2) -> None:
-    """The disk there was looked at so often, and failed."""
+    """Wait until a node's disk has been checked at least so often while it fails."""
 
     async def looks() -> bool:
         return int((await play.fleet.view(name, "/edges"))["disk"].get("looks", 0)) >= least
@@ -97,7 +97,7 @@
                 await callers.more("e1", 202)
                 fleet.disk("e1", fails=fails, fails_as=kind)
                 await callers.more("e1", 503)
-                await fleet.kill("e1")  # what it had promised is on its disk, and on the other's
+                await fleet.kill("e1")  # The writes it accepted are on its disk and on the other member's
                 fleet.disk("e1")
                 await fleet.start("e1")
                 await callers.more("e1", 202)
@@ -105,7 +105,7 @@
             await play.drained()
             assert play.check() == [] and len(play.accepted) >= 3 * EACH
             assert not fleet.events("e1", "edges.stopped") and not fleet.events("e2", "edges.disk_failing")
-            # The other member cannot copy to it meanwhile, and says so before it writes.
+            # The other member could not copy to it meanwhile, and refused writes before it stored them.
             assert callers.seen["e2", 503]
 
     asyncio.run(run())
@@ -124,10 +124,10 @@
                 await callers.more("e1", 200)
                 fleet.disk(UP, fails=fails, fails_as=kind)
                 await looked(play, UP)
-                await callers.more("e1", 202)  # edges queue meanwhile
+                await callers.more("e1", 202)  # Edges queue writes meanwhile
                 fleet.disk(UP)
                 await fleet.until(lambda: fleet.events(UP, "edges.disk_room"))
-                # Callers that write faster than is replayed stay behind their own last writes: no 200 here.
+                # Callers that write faster than the replay wait for their own last writes: no 200 here.
                 ran = len(fleet.events(UP, "edge.applied"))
                 await fleet.until(lambda: len(fleet.events(UP, "edge.applied")) >= ran + EACH)
             await play.drained()
@@ -135,7 +135,7 @@
             assert play.check() == [] and len(play.accepted) >= EACH
             assert not fleet.events(UP, "edges.stopped")
             receipts = [event["receipt"] for event in fleet.events(UP, "edge.applied")]
-            queued = [receipt for receipt in receipts if not receipt.endswith(":0")]  # 0: it went straight
+            queued = [receipt for receipt in receipts if not receipt.endswith(":0")]  # 0 is a straight write
             assert queued and len(queued) == len(set(queued))
             assert (await fleet.view(UP, "/edges"))["upstream"]["doubts"] == []
 
@@ -164,7 +164,7 @@
 
                 await fleet.until(follows)
             await play.emptied()
-            # What was under way as the holder gave way is in doubt, and an operator's (``emptied``).
+            # Writes under way when the holder stepped down are in doubt; ``emptied`` discards them.
             ended = {event["receipt"] for event in fleet.events(None, "edge.ended")}
             nonces = tuple(
                 event["nonce"] for event in fleet.events(None, "edge.accepted") if event["receipt"] in ended
@@ -186,10 +186,10 @@
     )
 
 
-def test_a_write_whose_record_failed_may_still_run_and_is_told_so() -> None:
-    """Full: nothing was written. Failed: nobody knows what of it stands."""
+def test_a_write_whose_append_failed_is_reported_as_possibly_run() -> None:
+    """A full disk has written nothing; after a failed append it is unknown how much was written."""
     entry = Entry(Dot("e/e2/1", 1), NOTHING, "a", "s", "other", b"body", b"digest", keep_s=60.0).pack()
-    for error, told in ((StoreFullError("full"), Turned), (StoreFailedError("no write"), Done)):
+    for error, expected in ((StoreFullError("full"), Turned), (StoreFailedError("no write"), Done)):
         log = Refusing(error)
         edge = build.edge(
             Names("e", "e1", "1", ("e1",), (UP,)),
@@ -202,12 +202,12 @@
         )
         edge.link.state = LinkState.CUT
         [answer] = edge.write(1.0, 1.0, Write(7, "a", "s", "k", b"body", b"digest"))
-        assert isinstance(answer, told) and answer.ref == 7 and edge.copies.disk_error is error
-        assert edge.hear(1.0, 1.0, "e1", Copy((entry,))) == []  # and no copy is told of
+        assert isinstance(answer, expected) and answer.ref == 7 and edge.copies.disk_error is error
+        assert edge.hear(1.0, 1.0, "e1", Copy((entry,))) == []  # No copy is acknowledged either
 
 
 class Refusing:
-    """A log whose disk takes nothing."""
+    """A log whose appends all raise one error."""
 
     first, last, bytes_held = 1, 0, 0
 
--- a/tests/edges/test_histories.py
+++ b/tests/edges/test_histories.py
@@ -1,4 +1,4 @@
-"""Whole histories under drawn faults, judged by a checker that took no part; and each guard taken out."""
+"""Tests of simulated histories with random faults, checked by a separate checker; and of disabled guards."""
 
 import pytest
 
@@ -16,13 +16,13 @@
     assert len(history.accepted) > 20 and len(history.effects) > 20 and len(history.pairs) > 50
 
 
-def test_writes_that_expire_in_a_chain_are_told_and_their_dependents_go_by_contract() -> None:
+def test_expired_writes_are_reported_and_their_dependents_follow_their_contract() -> None:
     history = play(3, steps=150, faults=0.02, keep_s=2.0)
     assert check(history) == []
     assert sum(state is State.EXPIRED for state, _ in history.ends.values()) > 3
 
 
-def test_lives_that_are_over_are_forgotten_and_nothing_else_is() -> None:
+def test_only_lives_that_are_over_are_forgotten() -> None:
     closings = 0
     for seed in range(3):
         sim = Sim(seed, keep_s=2.0, slack_s=0.5)
@@ -64,7 +64,7 @@
         ("seen", "read:", 0),
     ],
 )
-def test_a_guard_taken_out_shows(guard: str, shows: str, seed: int) -> None:
+def test_a_disabled_guard_is_detected(guard: str, shows: str, seed: int) -> None:
     found = [
         text
         for n in range(6)
@@ -73,14 +73,14 @@
     assert any(text.startswith(shows) for text in found), f"without {guard}: {found[:5]}"
 
 
-def test_a_life_that_is_used_again_by_an_older_folder_names_two_writes_alike() -> None:
+def test_a_life_reused_by_an_older_folder_gives_two_writes_the_same_name() -> None:
     with pytest.raises((EdgeInvariantError, AssertionError)):
         for seed in range(6):
             assert check(play(seed, steps=200, faults=0.04, without=frozenset({"life"}))) == []
 
 
 def _lost_disk(without: frozenset[str]) -> list[str]:
-    """A member accepts while it is cut from all, and then its disk is lost."""
+    """Let a member accept writes while it is cut off, then lose its disk; return the faults found."""
     sim = Sim(11, edges=1, members=3, faults=False, without=without)
     sim.turn(20, 0.0)
     sim.cut = {pair for name in sim.edge_of for pair in ((name, UP), (UP, name))}
@@ -98,7 +98,7 @@
 
 
 @pytest.mark.parametrize("rule", [Differing.FIRST, Differing.LAST])
-def test_differing_copies_end_as_told(rule: Differing) -> None:
+def test_conflicting_writes_end_by_the_rule_of_their_service(rule: Differing) -> None:
     history = play(9, steps=150, faults=0.03, rule=rule)
     assert check(history) == []
     assert any(state is State.REFUSED for state, _ in history.ends.values())
--- a/tests/edges/test_modules.py
+++ b/tests/edges/test_modules.py
@@ -1,4 +1,4 @@
-"""The pure parts alone: shares, hysteresis, copies, differing copies, marks, pace."""
+"""Tests of the pure modules: shares, hysteresis, copies, conflicting writes, marks, pace."""
 
 import itertools
 from dataclasses import replace
@@ -58,7 +58,7 @@
             queue.add(Dot("w", n), "loud", 100, n)
     assert full.value.after_s == CUT_AFTER_S
     if without:
-        with pytest.raises(EdgeFullError):  # without shares the loud team took all
+        with pytest.raises(EdgeFullError):  # Without shares the loud team used all the room
             queue.admit("quiet", 100, shares)
     else:
         assert queue.bytes_held == 500
@@ -68,14 +68,14 @@
 
 
 def _flapping(without: OFF) -> int:
-    """Replays begun while the link is there for a second and gone for a second, for a minute."""
-    link, begun, was = Link(0.2, 0.0, without=without), 0, False
+    """Return the number of replays begun in a minute while the link is up and down for a second each."""
+    link, begun, was_replaying = Link(0.2, 0.0, without=without), 0, False
     for step in range(600):
         now = step * 0.1
         if step % 20 < 10 and step % 2 == 0:
             link.heard(now, 5)
         link.tick(now, 5)
-        begun, was = begun + (link.replays and not was), link.replays
+        begun, was_replaying = begun + (link.replays and not was_replaying), link.replays
     return begun
 
 
@@ -109,19 +109,20 @@
     dot = Dot("e/a/1", 1)
     assert not copies.begin(dot, b"", 9.0, 1.0)
     assert not copies.copied("b", dot) and not copies.copied("b", dot) and not copies.copied("x", dot)
-    copies.distrust("c", older=True)  # an older copy of its folder: it may not hold what it once told
+    copies.distrust("c", older=True)  # An older copy of its folder may lack writes that it acknowledged
     assert not copies.copied("c", dot)
     copies.distrust("c", older=False)
     assert copies.copied("c", dot) and not copies.copied("c", dot)
-    assert not copies.begin(dot, b"", 9.0, 1.0, 2) and copies.copied("b", dot)  # a contract's own number
+    # The contract requires 2 copies.
+    assert not copies.begin(dot, b"", 9.0, 1.0, 2) and copies.copied("b", dot)
     open_ = Copies("a", ("a", "b"), 2, 5.0, OFF({"folder", "able"}))
     open_.check_able(0.0)
     open_.distrust("b", older=True)
     open_.begin(dot, b"", 9.0, 0.0)
-    assert open_.copied("b", dot)  # what the two guards are for
+    assert open_.copied("b", dot)  # Without the two guards the untrusted copy counts
 
 
-def test_the_last_of_concurrent_copies_is_the_same_in_every_order_of_arrival() -> None:
+def test_the_last_of_concurrent_writes_is_the_same_in_every_order_of_arrival() -> None:
     writes = [Standing(Dot(w, 1), Seen(height=h)) for w, h in (("a", 1), ("b", 3), ("c", 3), ("d", 2))]
     for order in itertools.permutations(writes):
         differ, holds = Differ(), None
@@ -132,7 +133,7 @@
         assert holds == Dot("c", 1)
 
 
-def test_the_first_copy_stands_until_a_write_that_knew_it() -> None:
+def test_the_first_write_wins_until_a_write_that_knew_it() -> None:
     differ, first = Differ(), Standing(Dot("a", 1), NOTHING)
     differ.ran(Differing.FIRST, 7, first)
     blind = Standing(Dot("b", 1), NOTHING)
@@ -149,10 +150,10 @@
 
 
 @pytest.mark.parametrize("without", [OFF(), OFF({"mark"})])
-def test_the_mark_knows_a_write_longer_than_its_key(without: OFF) -> None:
+def test_a_mark_identifies_an_ended_write_after_its_key_expired(without: OFF) -> None:
     marks = Marks(without=without)
     records = [marks.intend(_entry(1), 0.0), marks.end(_entry(1), State.APPLIED, ran=True)]
-    marks.keys.clear()  # its time is over
+    marks.keys.clear()  # The key has expired
     again = marks.judge(_entry(1), False, 50.0)
     assert (again.verdict is Verdict.END and again.already_ended) is not bool(without)
     other = Marks(without=without)
@@ -164,7 +165,7 @@
     assert third.plain() == other.plain()
 
 
-def test_what_depends_on_a_write_that_was_not_applied_goes_by_its_contract() -> None:
+def test_dependents_of_a_write_that_was_not_applied_follow_their_contract() -> None:
     marks = Marks()
     marks.end(_entry(1), State.REFUSED, "no")
     seen = Seen(frozenset({Dot("e/m/1", 1)}))
@@ -189,7 +190,7 @@
 def test_pace_is_bounded_by_credit_and_halves() -> None:
     pace = Pace(credit=6)
     pace.begin("east", 0.0, 1.0)
-    assert pace.limit(0.0) == 0 and pace.limit(1.0) == 1  # not all edges begin at once, and each slowly
+    assert pace.limit(0.0) == 0 and pace.limit(1.0) == 1  # A replay begins late, with a window of 1
     starts = set()
     for name in ("east", "west", "north"):
         other = Pace()
@@ -205,7 +206,7 @@
     assert Pace(credit=6, window=100.0, without=OFF({"credit"})).limit(0.0) > 6
 
 
-def test_teams_take_turns_and_a_parked_write_holds_nobody_else() -> None:
+def test_teams_take_turns_and_a_parked_write_delays_no_other() -> None:
     queue = Queue(1 << 20)
     for n in range(1, 7):
         queue.add(Dot("w", n), "a" if n < 5 else "b", 10, n)
@@ -228,7 +229,7 @@
     marks.redo(before.intend(_entry(1), 0.0))
     marks.restarted()
     assert marks.judge(_entry(1), False, 1.0).said is Said.DOUBT
-    assert marks.judge(_entry(1), True, 1.0).verdict is Verdict.RUN  # an operator's word
+    assert marks.judge(_entry(1), True, 1.0).verdict is Verdict.RUN  # An operator released it
     marks.settle(Dot("e/m/1", 1), State.DISCARDED)
     assert marks.judge(_entry(1), True, 1.0).state is State.DISCARDED and not marks.doubts
 
@@ -239,12 +240,12 @@
     assert any(isinstance(action, Run) for action in ran)
     late = up.hear(0.0, 0.0, "m", Offer("e", 5, (_entry(2).pack(),), (False,)))
     assert not any(isinstance(action, Run) for action in late)
-    again = Upstream(MemLog(), Marks(), 8)  # and after a restart too
+    again = Upstream(MemLog(), Marks(), 8)  # The fence is also known after a restart
     again.restore(None, up.log.kept)  # type: ignore[attr-defined]
     assert again.marks.fences == {"e": 9}
 
 
-def test_a_late_word_on_an_earlier_fence_does_not_end_the_newer_one() -> None:
+def test_a_late_stale_answer_to_an_earlier_fence_does_not_end_the_newer_one() -> None:
     one = build.edge(
         Names("e", "m", "1", ("m",), "up"),
         MemLog(),
@@ -260,7 +261,7 @@
     assert one.holder.fence == 9
     one.hear(0.0, 0.0, "up", Ends("e", late.ends, 0, 9))
     one.duty(9, 0.0)
-    assert one.holder.fence is None  # that one is over, though the duty still names it
+    assert one.holder.fence is None  # The stale fence is not used again, though the duty still gives it
     one.duty(11, 0.0)
     assert one.holder.fence == 11
 
@@ -273,10 +274,10 @@
     (done,) = up.ran(0.1, run.key, Came.NOT_RUN, after_s=1.0)
     assert isinstance(done, Send) and isinstance(done.word, StraightDone) and done.word.verdict == "refused"
     assert up.hear(2.0, 2.0, "m", word) == []
-    assert up.hear(2.0, 2.0, "m", Straight(5, "e", word.entry)) != []  # its caller tries again
+    assert up.hear(2.0, 2.0, "m", Straight(5, "e", word.entry)) != []  # A retry by the caller
 
 
-def test_a_life_is_closed_once_nothing_of_it_can_run() -> None:
+def test_a_life_is_closed_once_no_write_of_it_can_run() -> None:
     up = Upstream(MemLog(), Marks(), 4)
     names = [f"e/m/{n}" for n in range(3)]
     for writer in names:
@@ -292,9 +293,10 @@
         return word.word
 
     probe(0.0)
-    assert probe(70.0).closed == ()  # twice keep_s and the slack since it was known to be over
+    assert probe(70.0).closed == ()  # Twice keep_s and the slack have not passed since the life was over
     acked = probe(110.0)
-    assert acked.closed == (names[0],) and acked.closed_at == 1  # not the newest, nor one with a doubt
+    # Neither the newest life nor the one with a doubt is closed.
+    assert acked.closed == (names[0],) and acked.closed_at == 1
     assert set(acked.ended) == set(names[1:]) and probe(110.0, at=1).closed == ()
     assert not Seen(frozenset({Dot(names[0], 2)})).missing(up.ended)
     again = Upstream(MemLog(), Marks(), 4)
@@ -310,9 +312,9 @@
     assert queue.take("t") == Dot(names[2], 1) and queue.take("t") is None and len(queue.lanes_by_number) == 1
 
 
-def test_replays_give_way_when_live_requests_are_turned_away_and_never_stand() -> None:
+def test_replays_slow_down_when_live_requests_are_refused_and_never_stall() -> None:
     room, refused, now, found = Room(), 0, 0.0, []
-    for n in range(400):  # of 20 runs 8 are live: with more than 10 replays live ones are turned away
+    for n in range(400):  # 8 of 20 runs are live: above 10 replays live requests are refused
         now += 0.05
         refused += bool(n and found[-1] > 10)
         found.append(room.spare(now, 20.0, 8, 5, refused))
@@ -321,10 +323,10 @@
     assert max(room.spare(now + n, 20.0, 0, 0, refused) for n in range(9, 900)) == spare_of(20.0, 0)
 
 
-def test_an_operators_word_on_a_write_that_ends_meanwhile_stops_nothing() -> None:
-    member, posted, told = Member.__new__(Member), list[Event](), list[object]()
+def test_an_order_for_a_write_that_ends_meanwhile_does_not_stop_the_part() -> None:
+    member, posted, errors = Member.__new__(Member), list[Event](), list[object]()
     part = SimpleNamespace(
-        post=posted.append, counters=SimpleNamespace(record_error=lambda *a: told.append(a))
+        post=posted.append, counters=SimpleNamespace(record_error=lambda *a: errors.append(a))
     )
     member.part = cast(EdgesPart, part)
     member.edge = build.edge(
@@ -339,12 +341,12 @@
     member.edge._add_to_queue(_entry(1), 10, 1)
     assert member.order("e/m/1:1", "discard")["order"] == "discard"
     member.edge.end(Dot("e/m/1", 1), State.APPLIED, "")
-    assert posted[0](0.0, 0.0) == [] and len(told) == 1
+    assert posted[0](0.0, 0.0) == [] and len(errors) == 1
 
 
-def test_an_inventory_read_apart_keeps_what_contracts_say_of_a_cut(tmp_path: Path) -> None:
+def test_an_inventory_from_the_reader_keeps_the_contracts_terms_for_a_cut(tmp_path: Path) -> None:
     root = tmp_path / "inventory.yaml"
     root.write_text(INVENTORY.replace("TERMS", TERMS) % (1, 1, 2))
     plain = model.load(root)
-    told = reader._meant(ujson.loads(ujson.dumps(reader._told(plain))))
-    assert plain.when_cut and told.when_cut == plain.when_cut and told.differing == plain.differing
+    loaded = reader._meant(ujson.loads(ujson.dumps(reader._told(plain))))
+    assert plain.when_cut and loaded.when_cut == plain.when_cut and loaded.differing == plain.differing
--- a/tests/edges/test_named.py
+++ b/tests/edges/test_named.py
@@ -1,4 +1,4 @@
-"""More than one node named upstream: whole histories, whom an edge speaks to, the setting; and one named."""
+"""Tests with several nodes named upstream: histories, an edge's choice of node, the setting; and with one."""
 
 import subprocess
 import sys
@@ -25,7 +25,7 @@
     assert len(history.accepted) > 20 and len(history.effects) > 10 and len(history.pairs) > 50
 
 
-def test_an_edge_goes_by_the_highest_fence() -> None:
+def test_an_edge_follows_the_upstream_with_the_highest_fence() -> None:
     choice = UpstreamChoice(("u1", "u2", "u3"))
     ack = ProbeAck(1, {}, 1)
     assert choice.hear("u2", Led(5, pack(ack))) == unpack(pack(ack)) and choice.current == "u2"
@@ -36,20 +36,25 @@
 
 
 def test_upstream_is_one_name_or_a_list_of_up_to_five() -> None:
-    def told(**table: object) -> tuple[str, ...]:
+    def upstreams(**table: object) -> tuple[str, ...]:
         return read({"members": ["m"], "edge": "e", **table}, "f: edges", Path()).upstreams
 
-    assert told(role="edge", upstream="u") == told(role="edge", upstream=["u"]) == ("u",)
-    assert told(role="upstream") == told(role="upstream", upstream=["u"]) == ()  # its marks are its own
-    assert told(role="upstream", upstream=list(NAMED)) == told(role="edge", upstream=list(NAMED)) == NAMED
+    assert upstreams(role="edge", upstream="u") == upstreams(role="edge", upstream=["u"]) == ("u",)
+    # A single upstream keeps its marks alone and needs no names.
+    assert upstreams(role="upstream") == upstreams(role="upstream", upstream=["u"]) == ()
+    assert (
+        upstreams(role="upstream", upstream=list(NAMED))
+        == upstreams(role="edge", upstream=list(NAMED))
+        == NAMED
+    )
     for wrong in ([], ["a", "a"], list("abcdef"), [3], 3, "a b"):
         with pytest.raises(ConfigError, match="upstream"):
-            told(role="edge", upstream=wrong)
+            upstreams(role="edge", upstream=wrong)
     with pytest.raises(ConfigError, match="upstream"):
-        told(role="edge")
+        upstreams(role="edge")
 
 
-def test_with_one_named_nothing_is_other_than_it_was() -> None:
+def test_one_named_upstream_uses_no_replication_modules() -> None:
     assert len(unpack_plain(Marks().plain())) == 11
     assert UpstreamChoice(("up",)).current == "up" and isinstance(
         Upstream(cast(Any, None), Marks()).log, type(None)
@@ -66,5 +71,5 @@
 def unpack_plain(data: bytes) -> list[Any]:
     import msgpack
 
-    told: list[Any] = msgpack.unpackb(data, strict_map_key=False)
-    return told
+    fields: list[Any] = msgpack.unpackb(data, strict_map_key=False)
+    return fields
--- a/tests/edges/test_play.py
+++ b/tests/edges/test_play.py
@@ -1,4 +1,4 @@
-"""The checker of edges' plays, on histories that are made up."""
+"""Tests of the checker of edges' plays, on invented histories."""
 
 from pathlib import Path
 from typing import Any
@@ -9,13 +9,13 @@
 
 
 class History:
-    """Fills a fleet's events."""
+    """Stand-in for a fleet, which returns given events."""
 
     def __init__(self, *events: dict[str, Any]) -> None:
-        self.told = events
+        self.given = events
 
     def events(self, event: str) -> list[dict[str, Any]]:
-        return [one for one in self.told if one["event"] == event]
+        return [found for found in self.given if found["event"] == event]
 
     def troubles(self) -> list[str]:
         return []
@@ -30,15 +30,15 @@
     ("events", "ordered", "lost"),
     [
         ((ACCEPTED, ENDED), True, False),
-        ((ACCEPTED, ENDED), False, True),  # by no order of an operator
-        ((ACCEPTED, APPLIED), True, True),  # applied, it is said, and it never ran
+        ((ACCEPTED, ENDED), False, True),  # It was discarded without an operator's order
+        ((ACCEPTED, APPLIED), True, True),  # It was reported as applied, but never ran
         ((ACCEPTED,), True, True),
     ],
 )
 def test_an_accepted_write_that_never_ran_is_lost_unless_it_was_discarded_by_order(
     tmp_path: Path, events: tuple[dict[str, Any], ...], ordered: bool, lost: bool
 ) -> None:
-    """One in doubt that its operator discarded was taken for lost."""
+    """Guards against a false alarm: a write in doubt that its operator discarded was reported as lost."""
     play = Play(tmp_path)
     play.service = Service()
     play.fleet = History(*events)  # type: ignore[assignment]
--- a/tests/edges/test_processes.py
+++ b/tests/edges/test_processes.py
@@ -1,4 +1,4 @@
-"""Edges as real processes, with faults between them; no verdict hangs on a time."""
+"""Tests of edges as real processes, with faults between them; no result depends on timing."""
 
 import asyncio
 import time
@@ -23,7 +23,7 @@
             assert await play.write("f1", "moved", session) == 202
             assert await play.write("f2", "other") == 202
             status, _, _ = await play.fleet.scgi("f1", "r", "a", b"", HTTP_X_SEEN=session.seen)
-            assert status == 503  # a read that would not see what its caller wrote
+            assert status == 503  # The read would not see its caller's own write
             play.join("f")
             await play.fleet.until(lambda: "other" in play.service.order)
 
@@ -31,7 +31,7 @@
                 return any(row["said"] == "held" for row in (await play.member("f1"))["held"])
 
             await play.fleet.until(held)
-            assert "moved" not in play.service.order  # it waits for the edge that is still cut
+            assert "moved" not in play.service.order  # It depends on writes at the edge that is still cut off
             play.join("e")
             await play.drained()
             assert play.check() == []
@@ -70,10 +70,12 @@
                 assert await play.write("e1", f"q{n}") == 202
             play.join("e")
             await play.fleet.until(lambda: len(play.service.order) >= 2)
-            await play.fleet.kill(UP)  # each run takes 2 s, so some are under way
+            await play.fleet.kill(UP)  # Each run takes 2 s, so some are under way
             play.service.time_s = 0.01
             await play.fleet.start(UP)
-            await play.fleet.until(play.settle, what="what ran without its end being known is an operator's")
+            await play.fleet.until(
+                play.settle, what="an operator settles the writes whose outcome is unknown"
+            )
             await play.emptied()
             doubts = [e["receipt"] for e in play.fleet.events(UP, "edge.ended")]
             assert doubts and play.check() == []
@@ -90,7 +92,7 @@
             await play.fleet.start(UP)
             fleet = play.fleet
             await fleet.until(lambda: all(fleet.events(name, "edge.marks") for name in play.members))
-            assert await play.write("e1", "before") == 202  # else it would run once more
+            assert await play.write("e1", "before") == 202  # Sent straight, it would run a second time
             assert await play.write("e2", "after") == 202 and play.service.order == ["before"]
             asked = [
                 ("e1", f"discard?receipt={play.receipts['before']}"),
@@ -104,10 +106,10 @@
     asyncio.run(run())
 
 
-def test_upstream_that_takes_and_is_silent_and_a_cut_that_flaps(tmp_path: Path) -> None:
+def test_no_write_is_lost_with_a_silent_upstream_and_a_flapping_link(tmp_path: Path) -> None:
     async def run() -> None:
         async with Play(tmp_path) as play:
-            play.fleet.links.stall(UP, play.members)  # it hears, and is not heard
+            play.fleet.links.stall(UP, play.members)  # Upstream receives messages, but its own do not arrive
             statuses = [await play.write("e1", f"silent{n}") for n in range(3)]
             assert set(statuses) == {202}
             play.fleet.links.heal()
@@ -127,7 +129,7 @@
     async def run() -> None:
         async with Play(tmp_path) as play:
             await play.cut()
-            play.fleet.links.cut("e1", ("e2", "e3"))  # its copies go nowhere from here on
+            play.fleet.links.cut("e1", ("e2", "e3"))  # From here on its copies reach no member
             early = await asyncio.gather(*(play.write("e1", f"half{n}") for n in range(3)))
             assert 202 not in early
             assert await play.write("e2", "big side") == 202
@@ -144,9 +146,9 @@
                 views = [await play.member(name) for name in play.members]
                 return len({str(view["waiting"]) for view in views}) == 1 and views[0]["waiting"] != {}
 
-            await play.fleet.until(copied)  # two copies bear one loss; here two come at once
+            await play.fleet.until(copied)  # Two copies tolerate one loss, but two members are lost here
             await play.fleet.kill("e1", "e3")
-            play.fleet.restore_copy("e1", "never saved")  # its disk is lost
+            play.fleet.restore_copy("e1", "never saved")  # Its disk is lost
             play.fleet.restore_copy("e3")
             await play.fleet.start("e1", "e3")
             await play.fleet.until(copied)
@@ -157,7 +159,7 @@
     asyncio.run(run())
 
 
-def test_refused_for_good_in_mid_chain_and_the_way_out(tmp_path: Path) -> None:
+def test_a_refused_write_in_mid_chain_holds_its_dependents_until_released(tmp_path: Path) -> None:
     async def run() -> None:
         async with Play(tmp_path) as play:
             await play.cut()
@@ -167,7 +169,7 @@
                     assert await play.write("e1", nonce, session) == 202
             for nonce, expected in (("steered", (200, "200")), ("steered!", (500, "422"))):
                 status, headers, _ = await play.fleet.scgi("e1", "s", "a", key=nonce, HTTP_X_GENERATION="7")
-                assert (status, headers["x-replied"]) == expected  # run here, and not queued again
+                assert (status, headers["x-replied"]) == expected  # It runs here and is not queued again
             play.join("e")
             await play.fleet.until(lambda: {"h1", "k1", "k3"} <= set(play.service.order))
 
@@ -228,7 +230,7 @@
     asyncio.run(run())
 
 
-def test_a_contract_that_goes_while_its_writes_wait_ends_them_and_says_so(tmp_path: Path) -> None:
+def test_removing_a_contract_ends_its_waiting_writes_and_reports_it(tmp_path: Path) -> None:
     async def run() -> None:
         async with Play(tmp_path, edges={"e": ("e1", "e2")}) as play:
             await play.cut()
@@ -258,11 +260,11 @@
 
             await both(1)
             await play.contract("e1", "keep_s: 3600", "keep_s: 1")
-            await both(2)  # these alone were accepted under the short term
+            await both(2)  # Only these were accepted under the short keep_s
             over = time.time() + 1.2
             await play.contract("e1", "keep_s: 1}", "keep_s: 3600}")
             await both(3)
-            await play.contract("e1", "when_gone: hold", "when_gone: skip")  # h3 holds all the same
+            await play.contract("e1", "when_gone: hold", "when_gone: skip")  # h3 keeps its terms and is held
             await play.fleet.until(lambda: time.time() > over)
             play.join("e")
             await play.fleet.until(lambda: {"h1", "k1", "k3"} <= set(play.service.order))
@@ -292,15 +294,15 @@
             async def takes() -> bool:
                 return await play.write("e3", f"first{len(play.answers)}", other) == 202
 
-            await play.fleet.until(takes)  # until each side counts on itself alone, some come to nothing
+            await play.fleet.until(takes)  # Until each side counts only its own members, some writes fail
             for n in range(4):
                 assert await play.write(names[n % 2], f"one{n}", one, HTTP_X_ENTITY="s") == 202
                 assert await play.write(names[2 + n % 2], f"other{n}", other, HTTP_X_ENTITY="s") == 202
                 assert await play.write(names[n], "tried on both sides") == 202
-            assert await play.write("e4", "moved", one) == 202  # what it saw is on the other side alone
+            assert await play.write("e4", "moved", one) == 202  # Its dependencies are only on the other side
             play.fleet.links.mend(UP, names)
             play.fleet.links.mend(names, UP)
-            await play.fleet.until(lambda: "one3" in play.service.order)  # the replayer's own side
+            await play.fleet.until(lambda: "one3" in play.service.order)  # A write of the replayer's own side
             assert "other0" not in play.service.order
             play.fleet.links.heal()
             await play.drained()
@@ -309,13 +311,13 @@
     asyncio.run(run())
 
 
-def test_a_disk_that_takes_two_seconds_a_sync(tmp_path: Path) -> None:
+def test_no_write_is_lost_with_a_disk_that_takes_two_seconds_per_sync(tmp_path: Path) -> None:
     async def run() -> None:
         async with Play(tmp_path, lying=True, replayer={"e": "e2"}) as play:
             await play.cut()
             play.fleet.disk("e1", stall_s=2.0)
             slow = asyncio.create_task(play.write("e1", "slow"))
-            for n in range(4):  # the others are copies of one another
+            for n in range(4):  # The other two members copy each other's writes
                 assert await play.write("e2", f"q{n}") == 202
             assert await slow in (202, 500, 503)
             play.fleet.disk("e1")
--- a/tests/edges/test_recovering.py
+++ b/tests/edges/test_recovering.py
@@ -1,4 +1,4 @@
-"""A disk without room, and with room again: when it is looked at, what is taken back, what goes on."""
+"""Tests of full and failing disks: when they are checked, which records are cut, which runs go on."""
 
 import asyncio
 import errno
@@ -37,14 +37,14 @@
 NO_SYNC = StoreFailedError("no sync", where="marks")
 
 
-def test_looks_wait_longer_each_time_and_a_disk_that_is_soon_full_again_does_not_begin_anew() -> None:
+def test_disk_checks_back_off_and_a_disk_that_is_soon_full_again_keeps_the_longer_wait() -> None:
     disk, now, waits = Recovering(), 0.0, []
     assert disk.fell(now, FULL) and not disk.fell(now, FULL)
     for room in (False,) * 6 + (True,):
         assert not disk.due(disk.try_at - 0.01)
         waits.append(disk.try_at - now)
         now = disk.try_at
-        assert disk.due(now) and not disk.due(now) and not disk.fell(now, FULL)  # one look at a time
+        assert disk.due(now) and not disk.due(now) and not disk.fell(now, FULL)  # One check at a time
         disk.tried(now, room)
     assert waits == [0.5, 1.0, 2.0, 4.0, 8.0, 8.0, 8.0] and disk.running
     assert disk.fell(now + 1.0, FULL) and disk.wait_s == MAX_WAIT_S
@@ -53,7 +53,7 @@
     assert disk.fell(now + CALM_S, FULL) and disk.wait_s == FIRST_WAIT_S
 
 
-def test_a_disk_that_works_again_heals_and_what_no_disk_mends_stays_stopped_and_says_what_to_do() -> None:
+def test_disk_errors_heal_and_other_errors_stay_stopped_and_say_what_to_do() -> None:
     for error, state, do in (
         (FULL, Disk.FULL, MAKE_ROOM),
         (OSError(errno.ENOSPC, ""), Disk.FULL, MAKE_ROOM),
@@ -63,7 +63,7 @@
         disk = Recovering()
         assert heals(error) and disk.fell(1.0, error) and (disk.state, disk.do) == (state, do)
         assert disk.due(disk.try_at)
-        disk.tried(2.0, room=False, met=FULL)  # what the look met is what is said next
+        disk.tried(2.0, room=False, met=FULL)  # The error of the check is reported from then on
         assert (disk.state, disk.do) == (Disk.FULL, MAKE_ROOM)
     for error in (StoreDamagedError("a bit"), StoreTooNewError("2"), EdgeInvariantError("no")):
         disk = Recovering()
@@ -73,16 +73,17 @@
         assert disk.state is Disk.STOPPED and "start the node again" in disk.do
 
 
-def test_a_turn_that_the_disk_has_no_room_for_is_taken_back_and_what_runs_goes_on(tmp_path: Path) -> None:
+def test_a_turn_without_room_on_disk_is_cut_and_runs_under_way_go_on(tmp_path: Path) -> None:
     async def run() -> None:
-        await Up(tmp_path).turn(9)  # its process ends here: nobody knows whether it ran
+        await Up(tmp_path).turn(9)  # The process ends here, so it is unknown whether the write ran
         up = Up(tmp_path)
         assert await up.turn(1, 2) == {} and set(up.asked) == {1, 2}
         up.room(200)
         up.came(1, SERVED)
-        assert await up.turn(3, 4, 5, 6) == {} and up.runs.fallen  # 1's end, and some of them, had room
-        up.came(2, SERVED)  # while it is full
-        up.room()  # and not looked at yet
+        # There was room for the end of 1 and for some of the intents.
+        assert await up.turn(3, 4, 5, 6) == {} and up.runs.fallen
+        up.came(2, SERVED)  # The disk is still full
+        up.room()  # There is room now, but the disk has not been checked yet
         assert await up.turn(3) == {} == up.asked
         applied = (Said.ENDED, State.APPLIED)
         assert await up.look() == {1: applied, 2: applied}
@@ -90,14 +91,14 @@
         assert set(up.asked) == {3, 4}
         up.came(3, SERVED)
         assert await up.turn() == {3: applied}
-        after = Up(tmp_path).runs.upstream.marks  # what was said is on the disk
+        after = Up(tmp_path).runs.upstream.marks  # Everything that was reported is on disk
         assert [n for n in (1, 2, 3, 4, 5, 9) if entry(n).dot in after.ended] == [1, 2, 3]
         assert sorted(dot.n for dot in after.doubts.values()) == [4, 9]
 
     asyncio.run(run())
 
 
-def test_an_event_that_the_disk_refuses_takes_no_other_of_its_turn_with_it(tmp_path: Path) -> None:
+def test_a_disk_error_of_one_event_loses_no_other_event_of_its_turn(tmp_path: Path) -> None:
     async def run() -> None:
         up, came = Up(tmp_path), list[int]()
 
@@ -118,16 +119,16 @@
     asyncio.run(run())
 
 
-def test_an_end_told_twice_is_not_taken_for_the_next_run_of_its_key(tmp_path: Path) -> None:
+def test_a_duplicate_outcome_is_not_taken_for_the_next_run_of_its_key(tmp_path: Path) -> None:
     async def run() -> None:
         up = Up(tmp_path)
         await up.turn(1)
         up.room(0)
         up.runs.upstream.records = up.runs.upstream.snapshot_records
-        up.runs.upstream.compact()  # a snapshot that has no room stops nothing
+        up.runs.upstream.compact()  # A snapshot without room on disk raises no error
         up.came(1, REFUSED)
         assert await up.turn() == {} and up.runs.fallen
-        up.runs._end(*up.runs.flights.values())  # it comes as the look is under way
+        up.runs._end(*up.runs.flights.values())  # The outcome arrives during the disk check
         late = up.part.events[-1]
         up.room()
         assert (await up.look())[1][0] is Said.LATER
@@ -143,7 +144,7 @@
         up = Up(tmp_path)
         await up.turn(1)
         request = up.asked.pop(1)
-        request.first = request  # the try that it repeats
+        request.first = request  # The earlier attempt whose answer is repeated
         request.answer(Answer(FAILED))
         assert (await up.turn())[1][0] is Said.HELD and await up.turn(1) == {} and set(up.asked) == {1}
 
@@ -151,17 +152,17 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 21))
-def test_drawn_histories_of_a_disk_that_is_full_now_and_then(tmp_path: Path, seed: int) -> None:
+def test_random_histories_with_a_disk_that_is_full_at_times(tmp_path: Path, seed: int) -> None:
     assert play(tmp_path, seed)[0] == []
 
 
 @pytest.mark.parametrize("seed", range(1, 41))
-def test_drawn_histories_of_a_disk_that_fails_now_and_then(tmp_path: Path, seed: int) -> None:
+def test_random_histories_with_a_disk_that_fails_at_times(tmp_path: Path, seed: int) -> None:
     bad, seen = play(tmp_path, seed, failing=True)
     assert bad == [] and seen["failing"] and seen["ended"]
 
 
-def test_a_mark_that_the_disk_had_no_room_for_is_heard_again(tmp_path: Path) -> None:
+def test_a_folder_mark_that_was_not_saved_for_lack_of_room_is_accepted_later(tmp_path: Path) -> None:
     control = tmp_path / "disk.json"
     tell(control, Faults())
     witness = Witness(LyingFiles(tmp_path / "state", control))
@@ -171,7 +172,7 @@
     )
     assert witness.receive("up", one) is Judged.NEWER
     tell(control, Faults(full_bytes=1))
-    for _ in range(2):  # not remembered, so not believed
+    for _ in range(2):  # A mark that was not saved is not accepted
         with pytest.raises(OSError):
             witness.receive("up", two)
     tell(control, Faults())
@@ -195,12 +196,12 @@
     ("heard_s", "wrong"),
     [((8.2,), True), ((9.0, 9.9), True), ((8.0,), False), ((10.05,), False), ((), False)],
 )
-def test_a_refusal_for_want_of_a_member_that_was_heard_is_seen(
+def test_the_checker_detects_a_refusal_for_lack_of_a_member_that_was_heard(
     heard_s: tuple[float, ...], wrong: bool
 ) -> None:
     carried = Carried()
     carried.times["e2", "e1"] = deque(heard_s)
-    carried.times["e1", "e2"] = deque([9.9])  # the other direction says nothing of it
+    carried.times["e1", "e2"] = deque([9.9])  # Messages in the other direction do not count
     refused = Try("e1", "q0", 10.0, 10.1, 503, f"1 of 2 {TOO_FEW_HEARD}; wanted: 2 members")
     tries = [refused, refused._replace(status=202), refused._replace(text="too many writes wait")]
     found = contradicted(tries, carried, {"e1": ("e2",), "e2": ("e1",)}, needed=2, within_s=2.0)
@@ -208,7 +209,7 @@
 
 
 async def accepted(play: Play, name: str, nonce: str) -> int:
-    """Write until it is accepted; how often it was refused, as it may be for want of another member alone."""
+    """Write until it is accepted; return the number of refusals, each of which is for lack of a member."""
 
     def refusals() -> list[dict[str, Any]]:
         return [
@@ -230,7 +231,10 @@
 def test_a_write_beside_a_stopped_member_is_refused_before_it_is_written_and_accepted_after_it(
     tmp_path: Path, seed: int
 ) -> None:
-    """docs/edges.md: too few members heard, refused before it is written; here by SIGSTOP of 2.5 to 4 s."""
+    """Checks docs/edges.md: with too few members heard, a write is refused before it is stored anywhere.
+
+    A SIGSTOP of 2.5 to 4 s silences the other member.
+    """
     draw = random.Random(seed)
 
     async def run() -> None:
@@ -260,7 +264,7 @@
                 await accepted(play, f"e{n % 2 + 1}", f"q{n}")
             play.join("e")
             await fleet.until(lambda: len(play.service.order) >= 2)
-            fleet.disk(UP, full_bytes=1)  # some run now, and their ends find no room
+            fleet.disk(UP, full_bytes=1)  # Some writes are running, and there is no room for their ends
             await fleet.until(lambda: fleet.events(UP, "edges.disk_full"))
             ran = len(play.service.order)
             play.service.time_s = 0.01
@@ -291,11 +295,11 @@
             assert await play.write("e1", "tries the disk") == 503
             assert await play.write("e1", "at once") == 503
 
-            async def refuses() -> bool:  # it needs the other's copy, and hears that there is no room
+            async def refuses() -> bool:  # It needs the other member's copy and knows that its disk is full
                 return await play.write("e2", f"alone{len(play.answers)}") == 503
 
             await fleet.until(refuses)
-            await fleet.kill(UP)  # what comes back has to be remembered, and there is no room
+            await fleet.kill(UP)  # The mark of the restarted upstream has to be saved, without room
             await fleet.start(UP)
             play.join("e")
 
--- a/tests/edges/test_replies.py
+++ b/tests/edges/test_replies.py
@@ -1,4 +1,4 @@
-"""What a node makes of the reply of another one, to which policy steered a request."""
+"""Tests of how a node interprets the reply of another node to which policy steered a request."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 
 
 @pytest.mark.parametrize(
-    ("status", "told", "steered", "found"),
+    ("status", "replied", "steered", "found"),
     [
         (422, "", False, 422),
         (200, "", True, 200),
@@ -17,5 +17,7 @@
         (503, "0", True, -1),
     ],
 )
-def test_a_nodes_reply_is_no_servers(status: int, told: str, steered: bool, found: int) -> None:
-    assert replied_of(status, {"x-replied": told} if told else {}, steered) == found
+def test_a_failed_reply_of_another_node_is_not_taken_for_the_services(
+    status: int, replied: str, steered: bool, found: int
+) -> None:
+    assert replied_of(status, {"x-replied": replied} if replied else {}, steered) == found
--- a/tests/edges/test_standby.py
+++ b/tests/edges/test_standby.py
@@ -1,4 +1,4 @@
-"""Marks on more than one disk, three nodes without processes: each guard of standby and lead alone."""
+"""Tests of marks replicated on three simulated nodes: each guard of standby and lead by itself."""
 
 from types import SimpleNamespace
 from typing import Any, cast
@@ -23,9 +23,9 @@
 from beechrock.store.witness import Verdict, compare
 
 
-def _sim(**told: Any) -> tuple[SimUps, list[str]]:
-    """Three that are settled, without faults; the holder's name first."""
-    sim = SimUps(1, edges=1, members=1, copies=1, faults=False, **told)
+def _sim(**options: Any) -> tuple[SimUps, list[str]]:
+    """Return three settled nodes without faults, and their names with the holder's first."""
+    sim = SimUps(1, edges=1, members=1, copies=1, faults=False, **options)
     sim.mend()
     assert sim.settled() and sim.able
     sim.auto = False
@@ -43,7 +43,7 @@
 
 
 def _write(sim: SimUps, nonce: str, number: int = 1) -> None:
-    """A live write of the edge's comes in at the holder."""
+    """Send a live write of the edge to the holder."""
     entry = Entry(Dot("e0/e0m0/x", 0), NOTHING, "t0", "svc", nonce, b"x", b"d")
     node: UpNode = sim.ups[sim.holder]
     sim.history.asked[nonce] = 0
@@ -76,7 +76,7 @@
     assert [nonce for nonce, _ in sim.history.effects][-1:] == ["with the others"]
 
 
-def test_a_standby_takes_nothing_under_an_earlier_fence_and_remembers_so() -> None:
+def test_a_standby_refuses_an_earlier_fence_also_after_a_restart() -> None:
     sim, (first, second, third) = _sim()
     sim.grant(second)
     sim.mend()
@@ -109,14 +109,14 @@
     assert old not in [sim.ups[first].log.entry(n) for n in range(1, sim.ups[first].log.last + 1)]
 
 
-def test_a_records_majority_counts_only_with_one_of_this_reign() -> None:
+def test_records_count_as_held_only_with_one_of_the_current_reign() -> None:
     sim, (_, second, _) = _sim()
     sim.grant(second)
     sim.mend()
     lead = _lead(sim, second)
     before, lead.held = lead.held, 0
     for peer in lead.peers.values():
-        peer.match = lead.start - 1  # a later holder may cut what is of an earlier reign
+        peer.match = lead.start - 1  # A later holder may cut records of an earlier reign
     lead.release()
     assert lead.held == 0 < before
     for peer in lead.peers.values():
@@ -125,7 +125,7 @@
     assert lead.held == lead.start
 
 
-def test_a_lost_disk_is_no_word_for_what_it_held() -> None:
+def test_a_lost_disk_does_not_count_for_the_records_it_held() -> None:
     sim, (first, second, third) = _sim()
     _cut(sim, third)
     _write(sim, "ran")
@@ -143,7 +143,7 @@
     assert sim.able and sim.ups[second].standby.whole and _same(sim, second, third)
 
 
-def test_an_older_copy_is_no_word_for_what_it_held() -> None:
+def test_an_older_copy_does_not_count_for_the_records_it_held() -> None:
     sim, (first, second, third) = _sim()
     copy = sim.ups[second].copy()
     _write(sim, "ran")
@@ -156,7 +156,7 @@
     _steps(sim, 30)
     lead = _lead(sim, third)
     assert lead.state is State.ASKING and lead.heard[second][1] is False
-    sim.grant(second)  # nor for itself
+    sim.grant(second)  # Nor does the older copy count when its own node takes over
     _steps(sim, 30)
     assert _lead(sim, second).state is State.ASKING and _lead(sim, second).distrusted
     sim.cut.clear()
@@ -172,7 +172,7 @@
     _steps(sim, 4)
     assert not sim.runs and sim.history.effects == []
     done: list[Any] = []
-    named = SimpleNamespace(may=lambda: False, kept_back=done.append)
+    named = SimpleNamespace(may=lambda: False, report_not_run=done.append)
     runs = SimpleNamespace(run=lambda run: pytest.fail("it ran"))
     run = Run(1, Entry(Dot("e/m/1", 1), NOTHING, "t", "s", "k", b"", b""), False)
     EdgesPart._carry_out(cast(EdgesPart, SimpleNamespace(named=named, runs=runs, member=None)), run)
@@ -190,27 +190,27 @@
     assert sim.able and sim.settled() and _same(sim, first, second)
 
 
-def test_a_holder_alone_takes_no_more_and_sends_no_more() -> None:
+def test_a_holder_without_answers_from_peers_stops_accepting_and_sending() -> None:
     sim, (first, second, _) = _sim()
     lead, node = _lead(sim, first), sim.ups[first]
     _cut(sim, first)
-    flown = 0
+    most_in_flight = 0
     for n in range(2 * MAX_WAITING):
         entry = Entry(Dot("e0/e0m0/x", 0), NOTHING, "t0", "svc", f"k{n}", b"x", b"d")
         word = Straight(n, "e0", entry.pack())
-        node.standby.hear(sim.now, second, Kept(lead.fence, lead.start, True, whole=True))  # it is near
+        # The peer was heard lately.
+        node.standby.hear(sim.now, second, Kept(lead.fence, lead.start, True, whole=True))
         sim.turn_of(node, lead.edge(sim.now, sim.now, "e0m0", word))
-        flown = max(flown, lead.peers[second].in_flight)
-    assert len(lead.waiting) <= MAX_WAITING and flown <= MAX_IN_FLIGHT
+        most_in_flight = max(most_in_flight, lead.peers[second].in_flight)
+    assert len(lead.waiting) <= MAX_WAITING and most_in_flight <= MAX_IN_FLIGHT
     assert not lead.able(sim.now)
     _steps(sim, 30)
     peer = lead.peers[second]
-    assert (
-        peer.unanswered > 1 and peer.in_flight == 0 and peer.match < lead.last
-    )  # no batch, until it answers
+    # No batch is sent until the peer answers.
+    assert peer.unanswered > 1 and peer.in_flight == 0 and peer.match < lead.last
 
 
-def test_one_that_was_away_for_long_is_sent_the_snapshot_in_parts(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_node_far_behind_is_sent_the_snapshot_in_parts(monkeypatch: pytest.MonkeyPatch) -> None:
     sim, (first, _, third) = _sim()
     monkeypatch.setattr(module, "MAX_BATCH_BYTES", 250)
     sim.ups[third].kill()
@@ -242,10 +242,10 @@
     lead.forced = True
     _steps(sim, 40)
     assert sim.able and lead.fresh
-    assert sim.ups[third].standby.marks.group not in (b"", group)  # by which the edges know, and ask too
+    assert sim.ups[third].standby.marks.group not in (b"", group)  # It tells the edges of the possible loss
 
 
-def test_what_a_majority_held_is_never_cut_and_strangers_are_not_heard() -> None:
+def test_records_of_a_majority_are_never_cut_and_strangers_are_ignored() -> None:
     sim, (_, second, third) = _sim()
     node = sim.ups[second]
     assert node.standby.hear(sim.now, "stranger", Stand(sim.fence + 1)) == []
@@ -256,7 +256,7 @@
         )
 
 
-def test_a_holder_that_hears_no_majority_takes_nothing() -> None:
+def test_a_holder_that_hears_no_majority_accepts_nothing() -> None:
     sim, (first, *_) = _sim()
     _cut(sim, first)
     _steps(sim, 30)
@@ -265,23 +265,23 @@
     assert sim.ups[first].log.last == last and not _lead(sim, first).able(sim.now)
 
 
-def test_a_folder_that_is_not_what_it_was_has_to_hold_all_again_before_it_counts() -> None:
+def test_an_untrusted_folder_counts_only_once_it_holds_all_records_again() -> None:
     sim, (first, second, _) = _sim()
     lead, copy = _lead(sim, first), sim.ups[second].copy()
     _write(sim, "ran")
     _steps(sim, 20)
     peer = lead.peers[second]
     assert peer.counts and peer.match == lead.last
-    copy[0].crash()  # it is opened anew
+    copy[0].crash()  # Its store is opened again
     folder = copy[0].mark().to_bytes()
     lead.kept(sim.now, second, Kept(lead.fence, 1, True, whole=True, folder=folder))
     assert peer.untrusted and not peer.counts
     lead.kept(sim.now, second, Kept(lead.fence, lead.last, True, whole=True, folder=folder))
     assert peer.counts
-    lead.kept(sim.now, second, Kept(lead.fence, 1, True, whole=False, folder=folder))  # and a new one
-    assert not peer.counts and not lead._dress(peer, Keep(lead.fence, 0, 0, (), 0)).whole
+    lead.kept(sim.now, second, Kept(lead.fence, 1, True, whole=False, folder=folder))  # Now as a new folder
+    assert not peer.counts and not lead._fill_in(peer, Keep(lead.fence, 0, 0, (), 0)).whole
     lead.kept(sim.now, second, Kept(lead.fence, lead.last, True, whole=False, folder=folder))
-    assert not peer.counts and lead._dress(peer, Keep(lead.fence, 0, 0, (), 0)).whole
+    assert not peer.counts and lead._fill_in(peer, Keep(lead.fence, 0, 0, (), 0)).whole
 
 
 def test_batches_without_an_answer_are_bounded_and_a_gap_is_filled_once(
@@ -305,7 +305,7 @@
     _write(sim, "alone")
     lead.save_snapshot(lead.last, b"upstream 1\n" + sim.ups[first].standby.marks.plain())
     lead.release()
-    assert log.first == 1  # what another holder cuts would stand in it
+    assert log.first == 1  # The snapshot would hold records that another holder may cut
     sim.cut.clear()
     _steps(sim, 30)
     assert log.first > 1
@@ -330,7 +330,7 @@
     assert sim.able and first in _lead(sim, second).peers
 
 
-def test_a_holder_that_found_less_than_a_majority_held_is_found_out_by_the_edges() -> None:
+def test_edges_detect_a_holder_with_fewer_records_than_a_majority_held() -> None:
     sim, (first, second, third) = _sim()
     known = Mark.from_bytes(_lead(sim, first).upstream.folder)  # type: ignore[union-attr]
     assert known.synced == _lead(sim, first).held > 0
@@ -345,7 +345,7 @@
     assert compare(known, short.mark(1000)) is Verdict.OLDER
 
 
-def test_an_end_that_the_earlier_holder_had_not_said_is_said_by_the_next() -> None:
+def test_an_end_not_reported_by_the_earlier_holder_is_reported_by_the_next() -> None:
     sim, (first, second, _) = _sim()
     lead, dot = _lead(sim, first), Dot("e0/e0m0/1", 7)
     assert lead.upstream is not None
@@ -359,8 +359,8 @@
     assert sim.able and sim.history.ends[dot][0] is State_.EXPIRED
 
 
-def test_each_holding_learns_the_longest_time_that_a_write_is_kept_anew() -> None:
-    """Else a life was closed by the short time of the writes that were heard since the take-over."""
+def test_each_new_holder_learns_the_longest_keep_time_again() -> None:
+    """Guards against closing a life too early, by the short keep_s of the few writes since the take-over."""
     runs = cast(Runs, SimpleNamespace(upstream=None, inventory="told to the one before"))
     upstream = Upstream(cast(Any, None), Marks())
     Runs.follow(runs, upstream)
--- a/tests/edges/test_upstreams.py
+++ b/tests/edges/test_upstreams.py
@@ -1,4 +1,4 @@
-"""More than one node named upstream, as real processes; no verdict hangs on a time."""
+"""Tests with several nodes named upstream, as real processes; no result depends on timing."""
 
 import asyncio
 from pathlib import Path
@@ -8,12 +8,12 @@
 UPS = ("u1", "u2", "u3")
 
 
-def _play(folder: Path, **told: object) -> Play:
-    return Play(folder, edges={"e": ("e1", "e2")}, ups=UPS, duties=True, **told)  # type: ignore[arg-type]
+def _play(folder: Path, **options: object) -> Play:
+    return Play(folder, edges={"e": ("e1", "e2")}, ups=UPS, duties=True, **options)  # type: ignore[arg-type]
 
 
 async def _served(play: Play, name: str, nonce: str, *statuses: int) -> None:
-    """On a busy machine a write may be queued, or told to come again: its key runs once."""
+    """Write until the write is served: on a busy machine it may first be queued or refused, but runs once."""
 
     async def served() -> bool:
         return await play.write(name, nonce) in (statuses or (200,))
@@ -40,10 +40,10 @@
                 named = (await play.marks(second))["named"]
                 return bool(named) and all(row["whole"] and not row["behind"] for row in named.values())
 
-            await play.fleet.until(whole, what="the new disk holds all")
+            await play.fleet.until(whole, what="the new disk holds all records")
             await play.emptied()
             assert [(await play.member(name))["marks"] for name in play.members] == ["known", "known"]
-            # Its key is known, applied or, if it was in doubt, discarded: it does not run again.
+            # The key is known as applied or, if it was in doubt, as discarded: the write does not run again.
             await _served(play, "e2", "q0", 200, 500)
             assert play.check() == []
 
@@ -60,30 +60,30 @@
             async def last() -> int:
                 return max([int((await play.marks(name))["last"]) for name in others])
 
-            async def settled() -> bool:  # else a late record of the write before is taken for the intent
+            async def settled() -> bool:  # Otherwise a late record of the earlier write looks like the intent
                 return len({int((await play.marks(name))["last"]) for name in UPS}) == 1
 
-            await play.fleet.until(settled, what="all have the write before, and its end")
-            had = await last()
-            play.fleet.links.stall(others, first)  # they keep its records, and it does not hear so
+            await play.fleet.until(settled, what="all nodes have the earlier write and its end")
+            last_before = await last()
+            play.fleet.links.stall(others, first)  # The others store its records, but it gets no answers
             late = asyncio.create_task(play.write("e1", "late"))
 
             async def intended() -> bool:
-                return await last() > had
+                return await last() > last_before
 
-            await play.fleet.until(intended, what="the intent is with the others")
+            await play.fleet.until(intended, what="the other nodes have the intent")
             play.fleet.stop(first)
-            play.fleet.links.mend(others, first)  # their answers wait for it
+            play.fleet.links.mend(others, first)  # Their answers reach it once it runs again
             second = await play.holder(besides=first)
-            assert await late == 202  # under its key, which is in doubt
+            assert await late == 202  # It is queued under its key, which is in doubt
             await play.fleet.until(play.settle, what="an operator discards it")
             ran = play.service.order.count("late")
             assert await play.write("e2", "after") in (200, 202)
             play.fleet.go_on(first)
 
             async def follows() -> bool:
-                told = await play.marks(first)
-                return bool(told["state"] == "standby" and told["holder"] == second)
+                marks = await play.marks(first)
+                return bool(marks["state"] == "standby" and marks["holder"] == second)
 
             await play.fleet.until(follows, what="the earlier holder follows")
             await play.emptied()
@@ -93,7 +93,7 @@
     asyncio.run(run())
 
 
-def test_the_word_of_a_standby_with_an_older_copy_does_not_count(tmp_path: Path) -> None:
+def test_a_standby_with_an_older_copy_does_not_count(tmp_path: Path) -> None:
     async def run() -> None:
         async with _play(tmp_path) as play:
             first = await play.holder()
@@ -103,10 +103,10 @@
                 await _served(play, "e1", f"k{n}")
 
             async def close() -> bool:
-                told = (await play.marks(first))["named"]
-                return all(row["whole"] and not row["behind"] for row in told.values())
+                named = (await play.marks(first))["named"]
+                return all(row["whole"] and not row["behind"] for row in named.values())
 
-            await play.fleet.until(close, what="all hold all, and have heard so")
+            await play.fleet.until(close, what="all nodes hold all records, and the holder knows it")
             await play.fleet.kill(first, older)
             play.fleet.restore_copy(older)
             await play.fleet.start(older)
@@ -121,8 +121,8 @@
                     for view in views
                 )
 
-            await play.fleet.until(asks, what="one that has heard the other and goes by neither")
-            assert await play.write("e1", "k5") == 202  # what ran is not known here for sure: it waits
+            await play.fleet.until(asks, what="a node that has heard the other, but trusts neither log")
+            assert await play.write("e1", "k5") == 202  # It is queued, as no node knows for sure what ran
             await play.fleet.start(first)
             await play.holder()
             await play.emptied()
@@ -131,7 +131,7 @@
     asyncio.run(run())
 
 
-def test_two_of_three_lost_cut_all_edges_and_one_that_is_back_mends_it(tmp_path: Path) -> None:
+def test_with_two_of_three_upstreams_lost_edges_are_cut_off_until_one_is_back(tmp_path: Path) -> None:
     async def run() -> None:
         async with _play(tmp_path) as play:
             await _served(play, "e1", "before")
@@ -150,7 +150,7 @@
     asyncio.run(run())
 
 
-def test_a_caller_at_a_node_that_is_not_the_holder(tmp_path: Path) -> None:
+def test_a_caller_at_a_standby_is_served_through_the_holder(tmp_path: Path) -> None:
     async def run() -> None:
         async with _play(tmp_path) as play:
             first = await play.holder()
@@ -158,7 +158,7 @@
             for name in (other, first, "e1"):
                 await _served(play, name, "same")
 
-            async def refused() -> bool:  # 503 where a machine is too busy for the holder's word in time
+            async def refused() -> bool:  # 503 if the machine is too busy for the holder's answer in time
                 status = await play.write(other, "refused!")
                 assert status in (500, 503), status
                 return status == 500
@@ -171,10 +171,10 @@
             play.join("e")
             await play.drained()
 
-            async def reads() -> bool:  # a standby knows what a majority holds
+            async def reads() -> bool:  # A standby knows the records that a majority holds
                 return (await play.fleet.scgi(other, "r", "a", b"", HTTP_X_SEEN=seen))[0] == 200
 
-            await play.fleet.until(reads, what="the standby has heard of it")
+            await play.fleet.until(reads, what="the standby knows of the write")
             assert play.service.order == ["same", "queued"] and play.check() == []
 
     asyncio.run(run())
--- a/tests/edges/test_wall_clock.py
+++ b/tests/edges/test_wall_clock.py
@@ -1,4 +1,4 @@
-"""What the marks keep while the wall clock is stepped."""
+"""Tests of the keys that the marks keep while the wall clock is stepped."""
 
 import pytest
 
@@ -12,7 +12,7 @@
     step_s: float,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("beechrock.edges.marks.MAX_KEYS", 1)  # only a full table forgets
+    monkeypatch.setattr("beechrock.edges.marks.MAX_KEYS", 1)  # Keys are only forgotten when the table is full
     begun_s = 1_700_000_000.0
     marks = Marks()
     first, other = (
@@ -23,6 +23,6 @@
     )
     marks.intend(first, begun_s)
     marks.end(first, State.APPLIED, ran=True)
-    now_s = begun_s + 600.0 + step_s  # by the stepped clock; a try of it may still come
+    now_s = begun_s + 600.0 + step_s  # By the stepped clock; a retry of the write may still arrive
     assert marks.judge(other, False, now_s).verdict is not Verdict.RUN
     assert marks.key(first) in marks.keys
