--- a/beechrock/edges/lead.py
+++ b/beechrock/edges/lead.py
@@ -327,7 +327,7 @@
             # The released actions must still go out, as a majority holds their records. A failed disk shows
             # at the next write, and the next snapshot is tried after as many records again.
             with suppress(StoreFullError, StoreFailedError):
-                self.standby.save_snapshot(index, data)
+                self.standby.compact_to(index, data)
         return out
 
     def edge(self, now: float, now_s: float, sender: str, word: Word) -> list[Action]:
--- a/beechrock/edges/member.py
+++ b/beechrock/edges/member.py
@@ -205,7 +205,7 @@
                     )
                 )
 
-    def after_sync(self, actions: list[Action]) -> list[Action]:
+    def filter_promises(self, actions: list[Action]) -> list[Action]:
         """Return the actions to carry out after the turn's sync, without promises if that sync failed."""
         if not self.store.failed or self.store.synced == self.store.last:
             return actions
--- a/beechrock/edges/part.py
+++ b/beechrock/edges/part.py
@@ -192,10 +192,10 @@
             self._note_disk_errors(now, self._before_sync)
         await self._synced(now)
         if self.runs is not None:
-            out += self.runs.after_sync()
+            out += self.runs.finish_turn()
         if self.named is not None and self.disk.running:
             out += self.named.after_sync()
-        for action in out if member is None else member.after_sync(out):
+        for action in out if member is None else member.filter_promises(out):
             self._carry_out(action)
         if member is not None and not member.store.failed:
             member.edge.compact()
@@ -208,7 +208,7 @@
     async def _synced(self, now: float) -> None:
         """Sync the records of this turn; if that fails, none of them counts.
 
-        See ``Runs.fell`` and ``Member.after_sync``.
+        See ``Runs.fell`` and ``Member.filter_promises``.
         """
         stores = [
             store
--- a/beechrock/edges/runs.py
+++ b/beechrock/edges/runs.py
@@ -137,7 +137,7 @@
         self.ended.clear()
         self.part.fell(now, error)
 
-    def after_sync(self) -> list[Action]:
+    def finish_turn(self) -> list[Action]:
         """Return the actions to carry out after the sync."""
         for flight in self.ended:
             self.flights.pop(self.upstream.marks.key(flight.running.entry), None)
--- a/beechrock/edges/standby.py
+++ b/beechrock/edges/standby.py
@@ -301,9 +301,9 @@
         ):
             self.compacted = self.applied  # On a full disk the next attempt is after as many records again
             with suppress(StoreFullError):
-                self.save_snapshot(self.applied, SNAPSHOT + self.marks.plain())
+                self.compact_to(self.applied, SNAPSHOT + self.marks.plain())
 
-    def save_snapshot(self, index: int, data: bytes) -> None:
+    def compact_to(self, index: int, data: bytes) -> None:
         reign = self.reign_at(index)
         self.log.save_snapshot(index, data)
         self.spans = [(reign, index), *((r, first) for r, first in self.spans if first > index)]
--- a/tests/edges/test_failing_disks.py
+++ b/tests/edges/test_failing_disks.py
@@ -181,7 +181,7 @@
     kept: list[Action] = [Turned(2, 1.0, "full"), Send("e2", Copy((b"entry",)))]
     accepted = Accepted(1, Dot("e/e1/1", 1), NOTHING, ("e1",))
     promises: list[Action] = [accepted, Send("e2", Copied((("w", 1),)))]
-    assert Member.after_sync(member, [*promises, *kept]) == (
+    assert Member.filter_promises(member, [*promises, *kept]) == (
         [Done(1, "failed", SYNC_FAILED), *kept] if synced < 2 else [*promises, *kept]
     )
 
