--- a/beechrock/edges/causal.py
+++ b/beechrock/edges/causal.py
@@ -106,17 +106,17 @@
         """Return all counters in the set that are at least ``n``."""
         return [k for a, b in self.spans for k in range(max(a, n), b + 1)]
 
-    def gaps(self, other: "Spans", most: int) -> list[int]:
-        """Return up to ``most`` counters that ``other`` has and this set lacks, lowest first."""
+    def gaps(self, other: "Spans", limit: int) -> list[int]:
+        """Return up to ``limit`` counters that ``other`` has and this set lacks, lowest first."""
         found: list[int] = []
         for a, b in other.spans:
             n = a
             for c, d in self.spans:
                 if c > b:
                     break
-                found += range(n, min(c, n + most - len(found)))
+                found += range(n, min(c, n + limit - len(found)))
                 n = max(n, d + 1)
-            found += range(n, min(b + 1, n + most - len(found)))
+            found += range(n, min(b + 1, n + limit - len(found)))
         return found
 
 
@@ -258,8 +258,8 @@
     depends. Otherwise the writes of an evicted session could be reordered without notice.
     """
 
-    def __init__(self, most: int) -> None:
-        self.most, self.rest = most, NOTHING
+    def __init__(self, max_entries: int) -> None:
+        self.max_entries, self.rest = max_entries, NOTHING
         self.held: OrderedDict[int, Seen] = OrderedDict()
 
     @staticmethod
@@ -281,9 +281,9 @@
             if beside:
                 new = new.merge(Seen(beside, {}, {d.writer: d.n for d in beside}, before.height))
         self.held[place] = new
-        if len(self.held) > self.most:
+        if len(self.held) > self.max_entries:
             self.tidy(ended)
-        while len(self.held) > self.most:
+        while len(self.held) > self.max_entries:
             _, oldest = self.held.popitem(last=False)
             self.rest = self.rest.merge(oldest)
 
--- a/beechrock/edges/edge.py
+++ b/beechrock/edges/edge.py
@@ -377,7 +377,7 @@
                 self.holder.picker.release(dot)
 
     def state(self, dot: Dot) -> tuple[State, str]:
-        """Return the state of a write and its reason; raises UnknownReceiptError for an unknown write."""
+        """Return the state of a write and its reason, or raise UnknownReceiptError for an unknown write."""
         if dot in self.gone:
             return self.gone[dot]
         if (found := self.queue.state(dot)) is not None:
--- a/beechrock/edges/lead.py
+++ b/beechrock/edges/lead.py
@@ -271,8 +271,8 @@
         out: list[Action] = []
         if self.state is State.LEADING:
             for name, peer in self.peers.items():
-                most = MAX_IN_FLIGHT if peer.unanswered < MAX_UNANSWERED else 0
-                while peer.in_flight < most and self.standby.base < peer.next <= self.last:
+                max_in_flight = MAX_IN_FLIGHT if peer.unanswered < MAX_UNANSWERED else 0
+                while peer.in_flight < max_in_flight and self.standby.base < peer.next <= self.last:
                     keep, index = self.standby.batch(peer.next - 1, self.fence, self.held)
                     out.append(Send(name, self._fill_in(peer, keep)))
                     peer.next, peer.in_flight = index + 1, peer.in_flight + 1
--- a/beechrock/edges/marks.py
+++ b/beechrock/edges/marks.py
@@ -55,7 +55,7 @@
     verdict: Verdict
     said: Said = Said.ENDED
     state: State = State.WAITING
-    why: str = ""
+    reason: str = ""
     dots: tuple[Dot, ...] = ()
     already_ended: bool = False  # Whether the write had ended before, so that no record is needed
 
@@ -113,37 +113,36 @@
         live = entry.dot.n == 0
         self.longest_s = max(self.longest_s, entry.keep_s)
         if not live and entry.dot.writer in self.ended.closed:
-            return Judged(Verdict.END, state=State.EXPIRED, why="its life is closed", already_ended=True)
+            return Judged(Verdict.END, state=State.EXPIRED, reason="its life is closed", already_ended=True)
         if not live and entry.dot in self.ended:
             return Judged(Verdict.END, state=self.gone.get(entry.dot, State.APPLIED), already_ended=True)
         key = self.key(entry)
         known = self.keys.get(key) if "key" not in self.without else None
-        # Two writes with one key but different bodies are a caller's mistake; neither is a retry of the other
-        # one.
+        # Two writes with one key but different bodies are a caller's mistake: neither is the other's retry.
         if known is not None and known.digest != entry.digest:
-            return Judged(Verdict.END, state=State.REFUSED, why="its key came with another body")
+            return Judged(Verdict.END, state=State.REFUSED, reason="its key came with another body")
         if key in self.doubts and not released and "doubt" not in self.without:
-            return Judged(Verdict.WAIT, Said.DOUBT, why="whether it ran is not known")
+            return Judged(Verdict.WAIT, Said.DOUBT, reason="whether it ran is not known")
         if known is not None and key not in self.doubts:
             if known.state is State.SENT:
                 return Judged(Verdict.WAIT, Said.BUSY)
-            return Judged(Verdict.END, state=known.state, why="as another try of its key")
+            return Judged(Verdict.END, state=known.state, reason="as another try of its key")
         if not live and now_s - entry.accepted_at > entry.keep_s:
-            return Judged(Verdict.END, state=State.EXPIRED, why=f"older than keep_s {entry.keep_s:g}")
+            return Judged(Verdict.END, state=State.EXPIRED, reason=f"older than keep_s {entry.keep_s:g}")
         if "depends" not in self.without and (held := entry.seen.missing(self.ended)):
             return Judged(Verdict.WAIT, Said.HELD, dots=tuple(held[:MAX_DEPENDS]))
         lost = [] if released else self._lost(entry.seen)
         if lost and entry.when_gone is not WhenGone.SKIP:
             if entry.when_gone is WhenGone.CASCADE:
-                return Judged(Verdict.END, state=State.DISCARDED, why=f"{lost[0]} was not applied")
+                return Judged(Verdict.END, state=State.DISCARDED, reason=f"{lost[0]} was not applied")
             return Judged(Verdict.WAIT, Said.GONE, dots=tuple(lost[:MAX_DEPENDS]))
         if not live and entry.subject:
             place = Heads.place(entry.service, entry.subject)
             by = self.differ.superseded_by(self.rule(entry.service), place, Standing(entry.dot, entry.seen))
             if by is not None:
-                return Judged(Verdict.END, state=State.REFUSED, why=f"superseded by {by}")
+                return Judged(Verdict.END, state=State.REFUSED, reason=f"superseded by {by}")
         if known is None and len(self.keys) >= MAX_KEYS and not self._forget_keys(now_s):
-            return Judged(Verdict.WAIT, Said.LATER, why="too many keys are kept")
+            return Judged(Verdict.WAIT, Said.LATER, reason="too many keys are kept")
         return Judged(Verdict.RUN)
 
     def _lost(self, seen: Seen) -> list[Dot]:
--- a/beechrock/edges/member.py
+++ b/beechrock/edges/member.py
@@ -36,7 +36,7 @@
 
 
 class Member:
-    """Owns the edge's state machine and its store on this node."""
+    """Owner of the edge's state machine and its store on this node."""
 
     def __init__(self, part: "EdgesPart", told: Told, store: Store, witness: Witness) -> None:
         self.part, self.told, self.store, self.witness = part, told, store, witness
@@ -77,7 +77,7 @@
 
     @property
     def marks(self) -> str:
-        """Name under which the witness keeps the mark of upstream's one folder, or of all the named nodes."""
+        """Name under which the witness keeps upstream's mark, which covers one folder or all named nodes."""
         return f"{self.told.upstreams[0]} {MARKS}" if len(self.told.upstreams) == 1 else MARKS
 
     def _shares(self) -> dict[str, float]:
@@ -221,7 +221,7 @@
                     out.append(action)
         return out
 
-    # --- others
+    # --- messages of other nodes
 
     def check_mark(self, sender: str, word: Word) -> None:
         """Check the folder mark in a message, of a member or of upstream, before the message is handled."""
--- a/beechrock/edges/part.py
+++ b/beechrock/edges/part.py
@@ -74,14 +74,14 @@
             self.member = Member(self, told, store, Witness(at, "edge.witness"))
         if told.upstream_here:
             self.runs = Runs(self, Store.open(at, "marks", Runs.rules(told.most_bytes)), at)
-        self.stores = [one.store for one in (self.member, self.runs) if one is not None]
+        self.stores = [owner.store for owner in (self.member, self.runs) if owner is not None]
         self.all_stores = [*self.stores, *([self.runs.named.fences] if self.runs and self.runs.named else [])]
         self.talk.on(CHANNEL, self._heard)
         context.program.scgi.edges = self
         context.views["/edges"] = self.view
         self.named = self.runs.named if self.runs is not None else None
         if self.member is not None or self.named is not None:
-            context.calls["/edges/release"] = lambda told: self._release(told.get("receipt", ""))
+            context.calls["/edges/release"] = lambda query: self._release(query.get("receipt", ""))
         if self.member is not None:
             member = self.member
             if self.duties is not None:
@@ -89,8 +89,8 @@
 
                 hall = self.talk.hall
                 self.duties.declare(Duty(f"edge:{told.edge}", Kind.HALL, hall, (hall,)), member)
-            context.calls["/edges/discard"] = lambda told: member.order(told.get("receipt", ""), "discard")
-            context.calls["/edges/state"] = lambda told: member.state(told.get("receipt", ""))
+            context.calls["/edges/discard"] = lambda query: member.order(query.get("receipt", ""), "discard")
+            context.calls["/edges/state"] = lambda query: member.state(query.get("receipt", ""))
 
     @property
     def broken(self) -> bool:
@@ -265,7 +265,7 @@
         if not self.disk.fell(now, error):
             return
         name = "edges.disk_full" if no_room(error) else "edges.disk_failing"
-        logs.event(name, "warning", what=self.disk.why, wait_s=self.disk.wait_s, do=self.disk.do)
+        logs.event(name, "warning", what=self.disk.reason, wait_s=self.disk.wait_s, do=self.disk.do)
         self.counters.add(name)
         self._update_copies()
         if self.runs is not None:
--- a/beechrock/edges/queue.py
+++ b/beechrock/edges/queue.py
@@ -59,10 +59,10 @@
         return n - self.base
 
     def trim(self) -> None:
-        at, most = 0, len(self.states)
-        while at < most and self.states[at] in _ENDED:
+        at, count = 0, len(self.states)
+        while at < count and self.states[at] in _ENDED:
             at += 1
-        if at >= MIN_TRIM or at == most:
+        if at >= MIN_TRIM or at == count:
             del self.places[:at], self.sizes[:at], self.teams[:at], self.states[:at]
             self.base += at
 
@@ -114,12 +114,12 @@
 
         Raises EdgeFullError if there is no room.
         """
-        used, promised = self.bytes_by_team.get(team, 0), 0.0
+        used, reserved = self.bytes_by_team.get(team, 0), 0.0
         if "shares" not in self.without and used + size > shares.get(team, 0.0) * self.most_bytes:
             for other, share in shares.items():
                 if other != team:
-                    promised += max(0.0, share * self.most_bytes - self.bytes_by_team.get(other, 0))
-        over = self.bytes_held + size + promised - self.most_bytes
+                    reserved += max(0.0, share * self.most_bytes - self.bytes_by_team.get(other, 0))
+        over = self.bytes_held + size + reserved - self.most_bytes
         if over > 0 or (team not in self.counts_by_team and len(self.teams) >= MAX_TEAMS):
             after = over / self.drained_per_s if self.drained_per_s > 0 else CUT_AFTER_S
             raise EdgeFullError(
--- a/beechrock/edges/recovering.py
+++ b/beechrock/edges/recovering.py
@@ -55,7 +55,7 @@
     try_at: float = 0.0
     looks: int = 0  # Number of checks since the last failure began
     failures: int = 0  # Number of times that the disk became full or failed
-    why: str = ""
+    reason: str = ""
     do: str = ""
     waiting_state: Disk = Disk.FULL  # State between two checks: FULL or FAILING
 
@@ -76,7 +76,7 @@
 
     def stop(self, now: float, error: OperatorError) -> None:
         """Stop for good after an error that a working disk does not resolve."""
-        self.state, self.since, self.why, self.do = Disk.STOPPED, now, str(error), error.do or STOPPED_DO
+        self.state, self.since, self.reason, self.do = Disk.STOPPED, now, str(error), error.do or STOPPED_DO
 
     def due(self, now: float) -> bool:
         """Return True, once, when a check is due; the state is TRYING from then on."""
@@ -90,7 +90,7 @@
         if self.state is not Disk.TRYING:
             return
         if room:
-            self.state, self.since, self.why, self.do = Disk.RUNNING, now, "", ""
+            self.state, self.since, self.reason, self.do = Disk.RUNNING, now, "", ""
             return
         self.wait_s = min(2 * self.wait_s, MAX_WAIT_S)
         self.state, self.try_at = self.waiting_state, now + self.wait_s
@@ -100,7 +100,7 @@
     def _set_message(self, error: Exception) -> None:
         full = no_room(error)
         self.state = self.waiting_state = Disk.FULL if full else Disk.FAILING
-        self.why, self.do = str(error), MAKE_ROOM if full else MEND_DISK
+        self.reason, self.do = str(error), MAKE_ROOM if full else MEND_DISK
 
     @property
     def message(self) -> str:
@@ -117,5 +117,5 @@
             "state": self.state.value,
             "since_s": round(now - self.since, 1),
             "times": self.failures,
-            **({"why": self.why, "do": self.do, "looks": self.looks} if not self.running else {}),
+            **({"why": self.reason, "do": self.do, "looks": self.looks} if not self.running else {}),
         }
--- a/beechrock/edges/room.py
+++ b/beechrock/edges/room.py
@@ -14,9 +14,8 @@
 
 FIRST_SHARE, MIN_SHARE, MAX_SHARE = 0.7, 0.1, 1.0  # Of the spare capacity
 FALL, RISE = 2 / 3, 0.01
-CHANGE_INTERVAL_S = (
-    0.5  # Seconds between changes, about one run, so that writes offered before a fall can end
-)
+# Seconds between changes, about one run, so that writes offered before a fall can end.
+CHANGE_INTERVAL_S = 0.5
 
 
 @dataclass(slots=True)
--- a/beechrock/edges/runs.py
+++ b/beechrock/edges/runs.py
@@ -32,9 +32,8 @@
     from beechrock.edges.part import EdgesPart
 
 LATER_S = 0.2
-CALLER_TIMEOUT_S = (
-    10.0  # Seconds that a caller's write waits for the holder, if several nodes are named upstream
-)
+# Seconds that a caller's write waits for the holder, if several nodes are named upstream
+CALLER_TIMEOUT_S = 10.0
 MAX_CALLERS = 4096  # Maximum number of callers that wait for the holder
 CHANNEL = "edges"
 KEEP_S = 86_400.0  # Default ``keep_s`` in seconds, of a contract without one
--- a/beechrock/edges/told.py
+++ b/beechrock/edges/told.py
@@ -39,11 +39,11 @@
     role = table.get("role")
     if role not in ROLES:
         raise ConfigError(f"{where}: role: {role!r} is none of {', '.join(ROLES)}")
-    most = _number(table, where, "most_mb", DEFAULT_QUEUE_MB, 65_536)
+    max_mb = _number(table, where, "most_mb", DEFAULT_QUEUE_MB, 65_536)
     upstreams = _upstreams(table.get("upstream"), where)
     if role == "upstream":
         return Told(
-            False, True, upstreams=upstreams if len(upstreams) > 1 else (), most_bytes=int(most * 2**20)
+            False, True, upstreams=upstreams if len(upstreams) > 1 else (), most_bytes=int(max_mb * 2**20)
         )
     if not upstreams:
         raise ConfigError(f"{where}: upstream: None is not one word of at most 64 bytes, without a slash")
@@ -65,7 +65,7 @@
         names,
         upstreams,
         copies,
-        int(most * 2**20),
+        int(max_mb * 2**20),
         _number(table, where, "probe_s", DEFAULT_PROBE_S, 60.0),
         replayer,
     )
@@ -87,8 +87,8 @@
     return value
 
 
-def _number(table: Mapping[str, Any], where: str, key: str, default: float, most: float) -> float:
+def _number(table: Mapping[str, Any], where: str, key: str, default: float, maximum: float) -> float:
     value = table.get(key, default)
-    if not isinstance(value, (int, float)) or isinstance(value, bool) or not 0 < value <= most:
-        raise ConfigError(f"{where}: {key}: {value!r} is not a number above 0, up to {most:g}")
+    if not isinstance(value, (int, float)) or isinstance(value, bool) or not 0 < value <= maximum:
+        raise ConfigError(f"{where}: {key}: {value!r} is not a number above 0, up to {maximum:g}")
     return float(value)
--- a/beechrock/edges/upstream.py
+++ b/beechrock/edges/upstream.py
@@ -190,7 +190,7 @@
             entry = Entry.unpack(packed)
             judged = self.marks.judge(entry, released, now_s)
             if judged.verdict is Verdict.RUN and self.replaying >= max(1, self.spare):
-                judged = Judged(Verdict.WAIT, Said.LATER, why=NO_ROOM)
+                judged = Judged(Verdict.WAIT, Said.LATER, reason=NO_ROOM)
             match judged.verdict:
                 case Verdict.RUN:
                     key = self.marks.key(entry)
@@ -207,16 +207,16 @@
                             entry.dot,
                             judged.said,
                             judged.state,
-                            judged.why,
+                            judged.reason,
                             LATER_S if judged.said is Said.LATER else 0.0,
                             judged.dots,
                         )
                     )
                 case Verdict.END:
                     if not judged.already_ended:
-                        self._record(self.marks.end(entry, judged.state, judged.why))
-                        out.append(Noted(entry.dot, entry.nonce, judged.state, judged.why))
-                    said.append(_result(entry.dot, Said.ENDED, judged.state, judged.why))
+                        self._record(self.marks.end(entry, judged.state, judged.reason))
+                        out.append(Noted(entry.dot, entry.nonce, judged.state, judged.reason))
+                    said.append(_result(entry.dot, Said.ENDED, judged.state, judged.reason))
         if said:
             out.append(Send(sender, Ends(offer.edge, tuple(said), self.credit(offer.edge, now))))
         return out
@@ -268,10 +268,10 @@
                 self._turn_away(writer, word.number)
                 return [Send(sender, StraightDone(word.number, "refused", b"", "", 1.0))]
             case Verdict.WAIT, _:
-                return [Send(sender, StraightDone(word.number, "failed", judged.why.encode(), "", 0.0))]
+                return [Send(sender, StraightDone(word.number, "failed", judged.reason.encode(), "", 0.0))]
         body, media = self.results.get(key, (b"", ""))
         verdict = "served" if judged.state is State.APPLIED else "failed"
-        return [Send(sender, StraightDone(word.number, verdict, body or judged.why.encode(), media, 0.0))]
+        return [Send(sender, StraightDone(word.number, verdict, body or judged.reason.encode(), media, 0.0))]
 
     # --- outcomes of runs
 
--- a/tests/edges/test_modules.py
+++ b/tests/edges/test_modules.py
@@ -183,7 +183,7 @@
     other = Entry(Dot("f/m/1", 1), NOTHING, "t", "s", "k", b"", b"other")
     judged = marks.judge(other, False, 0.0)
     assert (judged.verdict, judged.state) == (Verdict.END, State.REFUSED)
-    marks.end(other, judged.state, judged.why)
+    marks.end(other, judged.state, judged.reason)
     assert marks.judge(_entry(2, "k"), False, 0.0).said is Said.BUSY
 
 
