--- a/beechrock/edges/upstream.py
+++ b/beechrock/edges/upstream.py
@@ -1,12 +1,13 @@
-"""What upstream does with what edges send: judge, make durable, run, tell. Pure; the log is handed in.
+"""Upstream's handling of edges' writes: judge, make durable, run, answer. Pure; the log is passed in.
 
-Events: ``hear`` (a word of an edge's member), ``ran`` (how a run came out), ``tick``.
-Of an offered write: STALE (fence), ENDED, HELD, GONE, DOUBT, BUSY, LATER, or it runs: its intent is in the
-log, which is synced before the run begins. Its end is in the log before it is told.
-Credit: what the node can spare beside its live requests, parted among the edges that have something to
+Events: ``hear`` (a message of an edge's member), ``ran`` (the outcome of a run).
+An offered write is answered with STALE (an old fence), ENDED, HELD, GONE, DOUBT, BUSY or LATER, or it runs:
+then its intent is in the log, which is synced before the run begins. Its end is in the log before it is
+reported.
+Credit: the node's spare capacity beside its live requests, divided among the edges that have writes to
 replay.
-Invariants: a key runs once at a time; nothing runs without an intent; replayed runs are never over what can
-be spared.
+Invariants: a key has at most one run at a time; no write runs without an intent; no replayed run begins while
+as many run as can be spared.
 """
 
 from collections import OrderedDict
@@ -37,33 +38,34 @@
 )
 from beechrock.store.errors import StoreFullError
 
-ACTIVE_S = 3.0  # an edge that said so lately that it has something to replay
+ACTIVE_S = 3.0  # Seconds for which an edge counts as replaying after it last reported waiting writes
 LATER_S = 0.05
-MOST_RESULTS, MOST_RESULT = 1024, 4096  # results of live writes kept for their repeats; bytes of one
-MOST_GONE_TOLD = 256
-MOST_TURNED = 8192  # live writes that were turned away, so that a late copy does not run
+MAX_RESULTS, MAX_RESULT_BYTES = 1024, 4096  # Maximum number of results kept for retries, and bytes of one
+MAX_GONE_SENT = 256
+MAX_TURNED_AWAY = 8192  # Maximum number of refused live writes kept, so that late duplicates do not run
 SNAPSHOT_RECORDS = 16_384
-SWEEP_S = 30.0  # between looks for lives that are over
-# Over what runs at once: so much waits at the servers' side while the next offers are on their way. Seen in
-# the benchmark: without it a replay took 0.81 of the spare rate, as each slot that came free waited a round
-# trip.
-MARGIN = 0.15
+SWEEP_S = 30.0  # Seconds between checks for lives that are over
+# Share of runs allowed above the limit: they wait at the servers while the next offers are in transit. In the
+# benchmark a replay without it used 0.81 of the spare rate, as each freed slot stayed empty for a round trip.
+SPARE_MARGIN = 0.15
 SNAPSHOT = b"upstream 1\n"
 
 
 def spare_of(limit: float, live: int) -> int:
-    """Replayed runs that may be under way beside so many live ones, running or waiting; ``limit``: runs at
-    once."""
-    return max(1, int(limit * (1 + MARGIN)) - live)
+    """Return how many replayed runs may be under way beside ``live`` ones, running or waiting.
+
+    ``limit`` is the number of runs that the module executes concurrently.
+    """
+    return max(1, int(limit * (1 + SPARE_MARGIN)) - live)
 
 
 class Came(Enum):
-    """How a run came out."""
+    """The outcome of a run."""
 
     SERVED = "served"
-    NOT_RUN = "not_run"  # the module turned it away, or no server took it
-    KEPT = "kept"  # the module answered from its key, which it keeps as failed; nothing was launched
-    SAID_NO = "said_no"  # the service ran it, and said no
+    NOT_RUN = "not_run"  # The module refused it, or no server took it
+    KEPT = "kept"  # The module answered from its key, which it keeps as failed; nothing was launched
+    SAID_NO = "said_no"  # The service ran it and refused it
     UNKNOWN = "unknown"
 
 
@@ -71,29 +73,33 @@
 class Running:
     entry: Entry
     live: bool
-    straight: list[tuple[str, int, str]] = field(default_factory=list)  # member, its number, its writer
-    offered: list[tuple[str, Dot, str]] = field(default_factory=list)  # member, its dot, its edge
+    # Live requests that await the outcome: member, its number, its writer
+    straight: list[tuple[str, int, str]] = field(default_factory=list)
+    offered: list[tuple[str, Dot, str]] = field(default_factory=list)  # Offers: member, dot, edge
 
 
 @dataclass(slots=True)
 class Upstream:
     log: Log
     marks: Marks
-    spare: int = 1  # runs that can begin beside live ones; told by those round it
+    spare: int = 1  # Number of replayed runs that may be under way beside live ones; set by the actor
     running: dict[int, Running] = field(default_factory=dict)
     active: dict[str, float] = field(default_factory=dict)
     turned: OrderedDict[tuple[str, int], None] = field(default_factory=OrderedDict)
     results: OrderedDict[int, tuple[bytes, str]] = field(default_factory=OrderedDict)
     records: int = 0
     snapshot_records: int = SNAPSHOT_RECORDS
-    folder: bytes = b""  # the mark of this log
+    folder: bytes = b""  # Packed mark of this log
     sweep_s: float = SWEEP_S
     sweep_at: float = 0.0
 
     def restore(
         self, snapshot: bytes | None, records: Iterable[bytes], flights: Mapping[int, Running] | None = None
     ) -> None:
-        """``flights``: runs that this process has under way, by key; their ends are still to be heard."""
+        """Restore the marks from a snapshot and later records.
+
+        ``flights`` are the runs that this process has under way, by key; their outcomes are still to come.
+        """
         if snapshot is not None:
             self.marks.restore(snapshot.removeprefix(SNAPSHOT))
         for record in records:
@@ -101,8 +107,11 @@
         self.running = dict(flights or {})
         self.marks.restarted(self.running)
 
-    def anew(self, log: Log, marks: Marks) -> "Upstream":
-        """One whose marks are to be read from the log, with what needs no log to be known."""
+    def renewed(self, log: Log, marks: Marks) -> "Upstream":
+        """Return a new state machine for ``marks``, which are yet to be restored from the log.
+
+        It takes over the state of this one that is not in the log.
+        """
         marks.lives, marks.longest_s = self.marks.lives, self.marks.longest_s
         return Upstream(
             log,
@@ -117,10 +126,10 @@
         )
 
     def compact(self) -> None:
-        """Once so many records have come, a snapshot takes their place. All of them have to be synced."""
+        """Replace the records with a snapshot once there are enough; all of them have to be synced."""
         if self.records >= self.snapshot_records:
             self.records = 0
-            # Without room the records stay what they are, and as many more come before the next try.
+            # On a full disk the records stay, and the next attempt is after as many more.
             with suppress(StoreFullError):
                 self.log.save_snapshot(self.log.last, SNAPSHOT + self.marks.plain())
 
@@ -133,7 +142,7 @@
         return max(1, self.spare // max(1, edges))
 
     def hear(self, now: float, now_s: float, sender: str, word: Word) -> list[Action]:
-        """``now``: monotonic, ``now_s``: Unix seconds."""
+        """Handle a message; ``now`` is in monotonic and ``now_s`` in Unix seconds."""
         match word:
             case Probe(number, edge, waiting, writer, closed_at):
                 if writer:
@@ -150,7 +159,7 @@
                     (dot.writer, dot.n, state.value)
                     for dot, state in islice(
                         ((d, s) for d, s in reversed(self.marks.gone.items()) if d.edge == edge),
-                        MOST_GONE_TOLD,
+                        MAX_GONE_SENT,
                     )
                 )
                 ended = self.marks.ended.plain()
@@ -159,19 +168,19 @@
                     Send(sender, ProbeAck(number, ended, self.credit(edge, now), gone, *closed, self.folder))
                 ]
             case Offer():
-                return self._offered(now, now_s, sender, word)
+                return self._on_offer(now, now_s, sender, word)
             case Settle():
-                return self._settle(now, sender, word)
+                return self._on_settle(now, sender, word)
             case Straight():
-                return self._straight(now_s, sender, word)
+                return self._on_straight(now_s, sender, word)
         return []
 
     # --- replayed writes
 
-    def _offered(self, now: float, now_s: float, sender: str, offer: Offer) -> list[Action]:
+    def _on_offer(self, now: float, now_s: float, sender: str, offer: Offer) -> list[Action]:
         if not self.marks.fenced(offer.edge, offer.fence):
             dots = [Entry.unpack(packed).dot for packed in offer.entries]
-            stale = tuple(_said(dot, Said.STALE) for dot in dots)
+            stale = tuple(_result(dot, Said.STALE) for dot in dots)
             return [Send(sender, Ends(offer.edge, stale, 0, offer.fence))]
         self._record(self.marks.fence(offer.edge, offer.fence))
         self.active[offer.edge] = now
@@ -181,7 +190,7 @@
             entry = Entry.unpack(packed)
             judged = self.marks.judge(entry, released, now_s)
             if judged.verdict is Verdict.RUN and self.replaying >= max(1, self.spare):
-                judged = Judged(Verdict.WAIT, Said.LATER, why=NO_ROOM)
+                judged = Judged(Verdict.WAIT, Said.LATER, reason=NO_ROOM)
             match judged.verdict:
                 case Verdict.RUN:
                     key = self.marks.key(entry)
@@ -194,27 +203,29 @@
                     if judged.said is Said.BUSY and run is not None and waits not in run.offered:
                         run.offered.append(waits)
                     said.append(
-                        _said(
+                        _result(
                             entry.dot,
                             judged.said,
                             judged.state,
-                            judged.why,
+                            judged.reason,
                             LATER_S if judged.said is Said.LATER else 0.0,
                             judged.dots,
                         )
                     )
                 case Verdict.END:
-                    if not judged.told:
-                        self._record(self.marks.end(entry, judged.state, judged.why))
-                        out.append(Noted(entry.dot, entry.nonce, judged.state, judged.why))
-                    said.append(_said(entry.dot, Said.ENDED, judged.state, judged.why))
+                    if not judged.already_ended:
+                        self._record(self.marks.end(entry, judged.state, judged.reason))
+                        out.append(Noted(entry.dot, entry.nonce, judged.state, judged.reason))
+                    said.append(_result(entry.dot, Said.ENDED, judged.state, judged.reason))
         if said:
             out.append(Send(sender, Ends(offer.edge, tuple(said), self.credit(offer.edge, now))))
         return out
 
-    def _settle(self, now: float, sender: str, word: Settle) -> list[Action]:
-        """Ends without a run that an edge's holder asks for. What has ended otherwise stays so; what runs,
-        runs."""
+    def _on_settle(self, now: float, sender: str, word: Settle) -> list[Action]:
+        """Record ends without a run that an edge's holder requests.
+
+        A write that has ended before keeps its end, and one that is running is left to run.
+        """
         said = []
         out: list[Action] = []
         fenced = self.marks.fenced(word.edge, word.fence)
@@ -223,25 +234,25 @@
         for writer, n, value, why in word.ends:
             dot, state = Dot(writer, n), State(value)
             if not fenced:
-                said.append(_said(dot, Said.STALE))
+                said.append(_result(dot, Said.STALE))
             elif dot in self.marks.ended:
-                said.append(_said(dot, Said.ENDED, self.marks.gone.get(dot, State.APPLIED)))
+                said.append(_result(dot, Said.ENDED, self.marks.gone.get(dot, State.APPLIED)))
             elif dot in self.marks.intents or state not in ENDS:
-                said.append(_said(dot, Said.BUSY))
+                said.append(_result(dot, Said.BUSY))
             else:
                 self._record(self.marks.settle(dot, state))
                 out.append(Noted(dot, "", state, why))
-                said.append(_said(dot, Said.ENDED, state, why))
+                said.append(_result(dot, Said.ENDED, state, why))
         out.append(Send(sender, Ends(word.edge, tuple(said), self.credit(word.edge, now), word.fence)))
         return out
 
     # --- live writes of contracts that may queue
 
-    def _straight(self, now_s: float, sender: str, word: Straight) -> list[Action]:
+    def _on_straight(self, now_s: float, sender: str, word: Straight) -> list[Action]:
         entry = Entry.unpack(word.entry)
         key, writer = self.marks.key(entry), entry.dot.writer
-        # Seen in a drawn history (seed 20108): a doubled message came after its write had been told as turned
-        # away, and ran.
+        # In a simulated history (seed 20108) a duplicate message ran after its write had been reported as
+        # refused.
         if (writer, word.number) in self.turned:
             return []
         judged = self.marks.judge(entry, False, now_s)
@@ -257,12 +268,12 @@
                 self._turn_away(writer, word.number)
                 return [Send(sender, StraightDone(word.number, "refused", b"", "", 1.0))]
             case Verdict.WAIT, _:
-                return [Send(sender, StraightDone(word.number, "failed", judged.why.encode(), "", 0.0))]
+                return [Send(sender, StraightDone(word.number, "failed", judged.reason.encode(), "", 0.0))]
         body, media = self.results.get(key, (b"", ""))
         verdict = "served" if judged.state is State.APPLIED else "failed"
-        return [Send(sender, StraightDone(word.number, verdict, body or judged.why.encode(), media, 0.0))]
+        return [Send(sender, StraightDone(word.number, verdict, body or judged.reason.encode(), media, 0.0))]
 
-    # --- how runs came out
+    # --- outcomes of runs
 
     def ran(
         self,
@@ -280,15 +291,15 @@
         match came:
             case Came.SERVED:
                 self._record(self.marks.end(entry, state, ran=True))
-                self.results[key] = (body[:MOST_RESULT], media)
-                if len(self.results) > MOST_RESULTS:
+                self.results[key] = (body[:MAX_RESULT_BYTES], media)
+                if len(self.results) > MAX_RESULTS:
                     self.results.popitem(last=False)
             case Came.SAID_NO:
                 state, why = State.REFUSED, "the service refused it"
                 self._record(self.marks.end(entry, state, why, ran=True))
             case Came.NOT_RUN | Came.KEPT:
-                # Seen in the run of all parts (seed 27): LATER has it offered again before all others, and in
-                # a window of 1 nothing else of its edge went up for minutes. HELD lets others pass.
+                # LATER has the write offered again before all others. In the run of all parts (seed 27), with
+                # a window of 1, it blocked its edge's replay for minutes. HELD lets other writes pass.
                 said = Said.LATER if came is Came.NOT_RUN else Said.HELD
                 self._record(self.marks.not_run(entry))
             case Came.UNKNOWN:
@@ -298,14 +309,14 @@
         if said is Said.ENDED:
             out.append(Noted(entry.dot, entry.nonce, state, why))
         for member, dot, edge in run.offered:
-            if said is Said.ENDED and dot != entry.dot:  # another try of the key, with a dot of its own
+            if said is Said.ENDED and dot != entry.dot:  # Another attempt of the key, with its own dot
                 self._record(self.marks.settle(dot, state))
                 out.append(Noted(dot, entry.nonce, state, "as another try of its key"))
             out.append(
                 Send(
                     member,
                     Ends(
-                        edge, (_said(dot, said, state, why, max(after_s, LATER_S)),), self.credit(edge, now)
+                        edge, (_result(dot, said, state, why, max(after_s, LATER_S)),), self.credit(edge, now)
                     ),
                 )
             )
@@ -320,9 +331,9 @@
         return out
 
     def _turn_away(self, writer: str, number: int) -> None:
-        """Its caller hears that this try never ran: so a late copy of it must not."""
+        """Remember a live write reported as refused, so that a late duplicate of it does not run."""
         self.turned[writer, number] = None
-        if len(self.turned) > MOST_TURNED:
+        if len(self.turned) > MAX_TURNED_AWAY:
             self.turned.popitem(last=False)
 
     @property
@@ -330,7 +341,7 @@
         return self.marks.ended
 
     def _intend(self, entry: Entry, now_s: float) -> None:
-        """Durable before the run: without it a restart would not know that the write may have run."""
+        """Record an intent, so that after a restart it is known that the write may have run."""
         record = self.marks.intend(entry, now_s)
         if "intent" not in self.marks.without:
             self._record(record)
@@ -341,7 +352,7 @@
             self.records += 1
 
 
-def _said(
+def _result(
     dot: Dot,
     said: Said,
     state: State = State.WAITING,
