--- a/beechrock/inventory/__init__.py
+++ b/beechrock/inventory/__init__.py
@@ -1,5 +1,6 @@
-"""Decides what YAML and CSV files say of teams, services, contracts, budgets, machines and front ends.
+"""Reads the inventory: teams, services, contracts, budgets, machines and front ends, from YAML and CSV files.
 
-Owns: sources, problems, generations and the plan from one to the next. May import: the standard library,
-PyYAML, blake3; of ``core/`` plain data only, of ``net/`` nothing. Import the modules: nothing is loaded here.
+Owns: reading the files, problem reports, generations, and the plan from one generation to the next. May
+import: the standard library, PyYAML and blake3; only plain data from ``core/``; nothing from ``net/``. Import
+the modules directly: this package loads none of them.
 """
--- a/beechrock/inventory/csv_source.py
+++ b/beechrock/inventory/csv_source.py
@@ -1,4 +1,4 @@
-"""CSV: a header row, then a row an entry; the host ``*`` gives the variables that a group's entries share."""
+"""Reads CSV: a header row, then one row per entry; the host ``*`` sets variables shared by a whole group."""
 
 import csv
 import io
@@ -7,13 +7,13 @@
 from beechrock.inventory.raw import Raw, Told
 from beechrock.inventory.schema import ALL_KEYS, FOREIGN, KEYS
 
-MOST_FIELD = 65_536
-MOST_COLUMNS = 200
+MAX_FIELD = 65_536  # Maximum length of a field, in characters
+MAX_COLUMNS = 200
 
 
 def read(text: str, file: str, raw: Raw) -> None:
-    """Add what rows of group, host and variables say; a bad row costs itself, and the rest is checked."""
-    csv.field_size_limit(MOST_FIELD)
+    """Add the groups, hosts and variables of all rows to ``raw``; skip a bad row and check the others."""
+    csv.field_size_limit(MAX_FIELD)
     rows = csv.reader(io.StringIO(text, newline=""), strict=True)
     names: list[str] | None = None
     while True:
@@ -43,7 +43,7 @@
     elif "expected after" in what:
         what = "a quote inside a field is not doubled"
     elif "field larger" in what:
-        what = f"a field of over {MOST_FIELD} characters; is a quote missing?"
+        what = f"a field of over {MAX_FIELD} characters; is a quote missing?"
     raw.problems.add(Place(file, line), "", "", what)
 
 
@@ -52,8 +52,8 @@
     if "group" not in names or "host" not in names:
         problems.add(place, "", "", "the columns group and host are needed, in the first row")
         return None
-    if len(names) > MOST_COLUMNS:
-        problems.add(place, "", "", f"over {MOST_COLUMNS} columns")
+    if len(names) > MAX_COLUMNS:
+        problems.add(place, "", "", f"over {MAX_COLUMNS} columns")
         return None
     for at, name in enumerate(names):
         if name in names[:at]:
@@ -68,11 +68,11 @@
         return raw.problems.add(place, "", "", "a field runs over several lines; is a quote missing?")
     if len(row) != len(names):
         return raw.problems.add(place, "", "", f"{len(row)} columns, not {len(names)}")
-    told = {key: cell.strip() for key, cell in zip(names, row, strict=True)}
-    group, host = told.pop("group"), told.pop("host")
+    variables = {key: cell.strip() for key, cell in zip(names, row, strict=True)}
+    group, host = variables.pop("group"), variables.pop("host")
     if not group or (group not in KEYS and nearest(group, KEYS)):
         return raw.problems.add(place, group, "", f"unknown group{nearest(group, KEYS)}")
-    values = {key: Told(value, place) for key, value in told.items() if value and key in ALL_KEYS}
+    values = {key: Told(value, place) for key, value in variables.items() if value and key in ALL_KEYS}
     into = raw.group(group, place)
     if host == "*":
         raw.set_vars(into.vars, values, f"{group}.vars")
--- a/beechrock/inventory/errors.py
+++ b/beechrock/inventory/errors.py
@@ -1,4 +1,4 @@
-"""What an operator hears of an inventory that can't be used, or of a part of one."""
+"""Errors for an inventory, or a part of one, that can't be used; operators see their messages."""
 
 from typing import TYPE_CHECKING, ClassVar
 
@@ -11,7 +11,7 @@
 
 
 class InventoryError(OperatorError, ValueError):
-    """An inventory that can't be used; ``problems`` has every fault of all files, each with its place."""
+    """An inventory that can't be used; ``problems`` lists the faults of all files with file and line."""
 
     exit_code: ClassVar[int] = 1
     event: ClassVar[str] = "inventory.refused"
@@ -22,42 +22,42 @@
 
 
 class BadValueError(OperatorError, ValueError):
-    """A value that its key can't have. Whoever reads the files knows where it stands, and says so."""
+    """A value that its key does not allow. The reader of the files adds the file, line, entry and key."""
 
     exit_code: ClassVar[int] = 1
     event: ClassVar[str] = "inventory.bad_value"
 
 
 class BadRangeError(OperatorError, ValueError):
-    """A name with a range in brackets that stands for no names, or for too many."""
+    """A name with a range in brackets that is malformed, or that expands to too many names."""
 
     exit_code: ClassVar[int] = 1
     event: ClassVar[str] = "inventory.bad_range"
 
 
 class DamagedError(OperatorError, ValueError):
-    """Bytes that are no generation, or not the one that they were written as."""
+    """Bytes that are no valid generation, or whose digest or length does not match their header."""
 
     exit_code: ClassVar[int] = 1
     event: ClassVar[str] = "inventory.damaged"
 
 
 class KeptUnreadableError(DamagedError):
-    """The disk does not give the last good generation now; nothing is known of what it holds."""
+    """The disk fails to read the last good generation, so its content is unknown."""
 
     exit_code: ClassVar[int] = 2
     event: ClassVar[str] = "inventory.kept_unreadable"
 
 
 class MissingError(OperatorError):
-    """There is no snapshot: a first start, and no damage."""
+    """There is no snapshot, as at a first start; this is not damage."""
 
     exit_code: ClassVar[int] = 2
     event: ClassVar[str] = "inventory.missing"
 
 
 class ReadingError(OperatorError, ValueError):
-    """The process that reads the files apart gave nothing to go by; the generation in force goes on."""
+    """The reader process printed no usable result; the generation in force stays in force."""
 
     exit_code: ClassVar[int] = 2
     event: ClassVar[str] = "inventory.not_read"
--- a/beechrock/inventory/export.py
+++ b/beechrock/inventory/export.py
@@ -1,4 +1,4 @@
-"""A checked inventory written out again: YAML or CSV as they are read, JSON with where each value is from."""
+"""Writes a checked inventory as YAML or CSV that can be read back, or as JSON with each value's origin."""
 
 import csv
 import io
@@ -12,7 +12,7 @@
 
 
 def plain(value: Any) -> Any:
-    """A value as files hold it: whole numbers without a point, addresses as HOST:PORT."""
+    """Return a value in the form used in files: whole numbers without a point, addresses as HOST:PORT."""
     if isinstance(value, float):
         return int(value) if value.is_integer() and abs(value) < 1e15 else value
     if isinstance(value, tuple):
@@ -46,7 +46,10 @@
 
 
 def _groups(checked: Checked) -> dict[str, Any]:
-    """Groups of machines that services are told by; others mean nothing once each entry has its variables."""
+    """Return the machine groups that upstreams of services refer to.
+
+    Other groups are not needed: each entry already holds its merged variables.
+    """
     used = {host for s in checked.kinds["services"].values() for host, _ in s.values.get("upstreams", ())}
     return {
         name: {"hosts": dict.fromkeys(checked.groups[name])}
@@ -56,7 +59,7 @@
 
 
 def to_csv(checked: Checked) -> str:
-    """A row an entry, and a column a variable that any entry has."""
+    """Return CSV with one row per entry and one column per variable that any entry sets."""
     keys = [
         key
         for key in dict.fromkeys([*NODE, *(k for kind in KEYS.values() for k in kind)])
@@ -81,18 +84,18 @@
 
 
 def to_json(checked: Checked) -> str:
-    """Each value with the file and line that it comes from."""
+    """Return JSON that gives each value with the file and line that it comes from."""
 
-    def told(entry: Entry) -> dict[str, Any]:
+    def with_origins(entry: Entry) -> dict[str, Any]:
         return {
             key: {"value": plain(value), "from": str(entry.origins[key])}
             for key, value in entry.values.items()
         }
 
     everything = {
-        "all": {"vars": told(checked.node)},
+        "all": {"vars": with_origins(checked.node)},
         **{
-            kind: {name: told(entry) for name, entry in entries.items()}
+            kind: {name: with_origins(entry) for name, entry in entries.items()}
             for kind, entries in checked.kinds.items()
         },
     }
@@ -100,7 +103,7 @@
 
 
 def only(checked: Checked, host: str) -> Checked:
-    """The entries of one name."""
+    """Return an inventory that holds only the entries named ``host``, of every kind."""
     kinds = {
         kind: {name: entry for name, entry in entries.items() if name == host}
         for kind, entries in checked.kinds.items()
--- a/beechrock/inventory/generation.py
+++ b/beechrock/inventory/generation.py
@@ -1,7 +1,7 @@
-"""A checked inventory as an immutable generation with a number and a digest, and its one written form.
+"""A checked inventory as an immutable generation with a number and a digest, and its canonical encoding.
 
-The form is a line of JSON an entry, sorted, so that the same content has the same bytes and the same digest
-in whichever file, order or form it was told. The reader's process, the snapshot and ``diff`` all use it.
+The encoding has one line of JSON per entry, sorted, so that the same content has the same bytes and the same
+digest whatever the files, their order or their format. The reader process, the snapshot and ``diff`` use it.
 """
 
 from collections.abc import Iterator
@@ -23,10 +23,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Generation:
-    """``number`` counts up within a node's life and state folder; ``digest`` is of the content alone.
+    """One version of the inventory; ``number`` increases within a node's life and its state folder.
 
-    A node in service keeps the meaning without the entries: those stand in the file that its readers
-    compare with.
+    ``digest`` covers the content alone, not the number. A node in service keeps ``meaning`` but not the
+    entries, to save memory: the entries are in the file that the reader process compares with.
     """
 
     number: int
@@ -35,7 +35,7 @@
     checked: Checked | None = None
 
     def entries(self) -> Checked:
-        """The entries, of one that has them."""
+        """Return the checked entries, which this generation must hold."""
         assert self.checked is not None, "a generation in service holds no entries"
         return self.checked
 
@@ -44,7 +44,7 @@
 
 
 def content(checked: Checked) -> bytes:
-    """The written form."""
+    """Return the canonical encoding of the entries."""
     return b"".join(_lines(checked))
 
 
@@ -53,7 +53,7 @@
     for kind in KEYS:
         for name in sorted(checked.kinds[kind]):
             yield _line([kind, name, checked.kinds[kind][name].values])
-    # What a group's name stands for, where a service's servers are told by it.
+    # Machines of each group that an upstream of a service refers to.
     wanted = {host for s in checked.kinds["services"].values() for host, _ in s.values.get("upstreams", ())}
     for name in sorted(wanted & checked.groups.keys()):
         yield _line(["group", name, {"machines": sorted(checked.groups[name])}])
@@ -69,7 +69,7 @@
 
 
 def checked_from(data: bytes) -> Checked:
-    """The entries that ``content`` wrote; DamagedError where these are none."""
+    """Decode the entries that ``content`` encoded; raise DamagedError if the bytes are malformed."""
     node, kinds = Entry("all.vars", HERE, {}, {}), {kind: dict[str, Entry]() for kind in KEYS}
     groups: dict[str, tuple[str, ...]] = {}
     try:
@@ -97,7 +97,7 @@
 
 
 def from_content(number: int, data: bytes) -> Generation:
-    """A generation from its written form, checked again: what others wrote may be anything."""
+    """Decode and check a generation, as the bytes may be damaged; raise DamagedError if it is invalid."""
     checked, problems = checked_from(data), Problems()
     meaning = model.build(checked, problems)
     if meaning is None or problems.errors:
--- a/beechrock/inventory/hours.py
+++ b/beechrock/inventory/hours.py
@@ -1,7 +1,7 @@
-"""Hours in which a contract holds: ``mon-fri 08:00-18:00, sat 22:00-02:00``. Pure.
+"""Weekly hours in which a contract is in effect: ``mon-fri 08:00-18:00, sat 22:00-02:00``. Pure.
 
-Kept as spans of a week's seconds, so a look is a search among a few of them. The zone is a fixed offset from
-UTC: a change to summer time is a change of the inventory, and never a surprise at night.
+Hours are kept as sorted spans of seconds in a week, so a lookup is a binary search. The time zone is a fixed
+offset from UTC: daylight saving time takes effect only when an operator changes the inventory.
 """
 
 import re
@@ -12,20 +12,26 @@
 
 DAYS = ("mon", "tue", "wed", "thu", "fri", "sat", "sun")
 DAY_S, WEEK_S = 86_400, 604_800
-MOST_SPANS = 64
+MAX_SPANS = 64
 _PART = re.compile(r"(?:([a-z]{3})(?:-([a-z]{3}))?\s+)?(\d\d):(\d\d)-(\d\d):(\d\d)")
 WANTED = "as mon-fri 08:00-18:00, sat 10:00-14:00"
 
 
 @dataclass(frozen=True, slots=True)
 class Hours:
-    """Spans of the week in order, apart from each other, as seconds since Monday 00:00 of the zone."""
+    """Sorted, disjoint spans of the week, as (start, end) in seconds since Monday 00:00 local time.
+
+    ``offset_s`` is the offset of local time from UTC, in seconds.
+    """
 
     spans: tuple[tuple[int, int], ...] = ((0, WEEK_S),)
     offset_s: int = 0
 
     def look(self, wall: float) -> tuple[bool, float]:
-        """Whether they hold at this Unix time, and for how many seconds that stays so; always: infinity."""
+        """Return whether the Unix time ``wall`` is within the hours, and the seconds until that changes.
+
+        The seconds are infinite if the hours cover the whole week.
+        """
         if self.spans == ((0, WEEK_S),):
             return True, float("inf")
         # 1970-01-01 was a Thursday.
@@ -34,7 +40,7 @@
         if place >= 0 and at < self.spans[place][1]:
             end = self.spans[place][1]
             first = self.spans[0]
-            if end == WEEK_S and first[0] == 0:  # it goes on over the end of the week
+            if end == WEEK_S and first[0] == 0:  # The span continues past the end of the week
                 end += first[1]
             return True, end - at
         after = self.spans[place + 1][0] if place + 1 < len(self.spans) else self.spans[0][0] + WEEK_S
@@ -42,7 +48,10 @@
 
 
 def parse(text: str, offset_s: int = 0) -> Hours:
-    """BadValueError says what is wrong. An end not after its begin is on the next day; 24:00 ends a day."""
+    """Parse weekly hours; raise BadValueError with the fault if the text is malformed.
+
+    An end that is not after its begin is on the next day; 24:00 is the end of a day.
+    """
     spans: list[tuple[int, int]] = []
     for part in text.lower().split(","):
         found = _PART.fullmatch(part.strip())
@@ -64,7 +73,7 @@
 
 
 def _joined(spans: list[tuple[int, int]]) -> tuple[tuple[int, int], ...]:
-    """In the week, in order, overlaps made one."""
+    """Wrap spans into one week, sort them, and merge those that overlap or touch."""
     cut = [(a, min(b, WEEK_S)) for a, b in spans] + [(0, b - WEEK_S) for _, b in spans if b > WEEK_S]
     found: list[tuple[int, int]] = []
     for a, b in sorted(cut):
@@ -72,6 +81,6 @@
             found[-1] = found[-1][0], max(b, found[-1][1])
         else:
             found.append((a, b))
-    if len(found) > MOST_SPANS:
-        raise BadValueError(f"{len(found)} spans a week", wanted=f"at most {MOST_SPANS}")
+    if len(found) > MAX_SPANS:
+        raise BadValueError(f"{len(found)} spans a week", wanted=f"at most {MAX_SPANS}")
     return tuple(found)
--- a/beechrock/inventory/keeper.py
+++ b/beechrock/inventory/keeper.py
@@ -1,4 +1,4 @@
-"""The actor round ``Watch``: looks at the files, has them read apart, hands on what is to be taken."""
+"""Actor that drives ``Watch``: checks the files, runs the reader process, hands over new generations."""
 
 import asyncio
 import contextlib
@@ -15,18 +15,19 @@
 from beechrock.inventory.generation import Generation
 from beechrock.inventory.plan import Change
 
-Taken = Callable[[Generation], bool]  # False: not now, ask again soon
+Taken = Callable[[Generation], bool]  # Returns False if it must be called again later
 Result = TypeVar("Result")
 ReadApart = Callable[[Path, Path, int, float], watch.Done]
-AGAIN_S = 0.05
-KEEP_S = 5.0  # between tries to write down what a disk did not take
+AGAIN_S = 0.05  # Seconds between calls of ``taken`` while it returns False
+KEEP_S = 5.0  # Seconds between attempts to save a generation after a disk error
 
 
 class Keeper:
-    """One task. Files are looked at off the event loop and read in a process of their own.
+    """Keeps the inventory up to date, in one task.
 
-    ``first`` has its entries; they are written to the state folder, or to a temporary one, and let go. What
-    the state folder did not take is owed to it, and tried again for as long as the node lives.
+    File stamps are taken in a thread and files are read in a separate process, so neither blocks the event
+    loop. ``first`` holds its entries; they are written to the state folder, or to a temporary one, and then
+    dropped. A generation that the state folder failed to store is retried until it is stored.
     """
 
     def __init__(
@@ -45,22 +46,22 @@
         self.path, self.counters, self.taken, self.watch_s = path, counters, taken, watch_s
         self.most_removed, self.clock, self.read = most_removed, clock, read
         self._first: Generation | None = first
-        # The stamp of no files: what was written since they were read is seen as a change.
+        # An empty stamp, so that a write since ``first`` was read counts as a change.
         self.life = watch.Watch(rules, Generation(first.number, first.digest, first.meaning), ())
         self.state = state
         self._apart: tempfile.TemporaryDirectory[str] | None = None
         self.mailbox: Mailbox[watch.Word] = Mailbox(4)
         self._read_at = 0.0
-        # The state folder lacks what is in force; when it is tried again.
-        self._owed_at: float | None = None
-        self._writing: asyncio.Task[Any] | None = None  # the last write, which may be under way
+        # Next attempt to save the generation in force, in clock seconds; None if the state folder has it.
+        self._save_retry_at: float | None = None
+        self._writing: asyncio.Task[Any] | None = None  # Last write to a folder; it may still be running
 
     def word(self) -> None:
-        """The operator asks to read now, or gives leave to what is held."""
+        """Handle the operator's request to read the files now, or to confirm a held change."""
         self.mailbox.put(watch.Word())
 
     async def run(self) -> None:
-        """For as long as the node lives."""
+        """Check the files every ``watch_s`` seconds, or at the operator's request, until cancelled."""
         while True:
             alarm = asyncio.get_running_loop().call_later(self.watch_s, self.mailbox.wake)
             await self.mailbox.wait()
@@ -68,49 +69,49 @@
             words = self.mailbox.drain()
             try:
                 await self.look(bool(words))
-            except Exception as error:  # the inventory in force goes on, and is looked at again
+            except Exception as error:  # The inventory in force stays; the next round tries again
                 self.counters.record_error("inventory", error)
 
     async def finish(self) -> None:
-        """Wait for a write that is under way, after ``run`` was cancelled; a reading is not waited for."""
+        """Wait for a running write after ``run`` was cancelled; do not wait for a reader process."""
         if self._writing is not None:
             await asyncio.wait((self._writing,))
         if self._apart is not None:
-            with contextlib.suppress(OSError):  # a reading may write there
+            with contextlib.suppress(OSError):  # A reader process may still write there
                 self._apart.cleanup()
 
     async def _write(self, step: Callable[..., Result], *arguments: object) -> Result:
-        """Change a folder off the event loop; a cancel leaves it going, and ``finish`` waits for it."""
+        """Run ``step`` in a thread; it continues if this call is cancelled, and ``finish`` waits for it."""
         self._writing = asyncio.create_task(asyncio.to_thread(step, *arguments))
         return await asyncio.shield(self._writing)
 
     async def look(self, word: bool = False) -> None:
-        """One look at the files, and all that follows from it."""
+        """Check the files once and carry out every action that results."""
         if self._first is not None:
             await self._write(self._keep_first, self._first)
             self._first = None
-        if self._owed_at is not None and self.clock() >= self._owed_at:
-            await self._keep_owed()
+        if self._save_retry_at is not None and self.clock() >= self._save_retry_at:
+            await self._retry_save()
         stamp = await asyncio.to_thread(reader.stamp, self.path)
         actions = self.life.take(self.clock(), watch.Word() if word else watch.Seen(stamp))
         while actions:
             actions = [more for action in actions for more in await self._carry_out(action)]
 
     def _keep_first(self, first: Generation) -> None:
-        """Write down what is in force. A state folder that can't be written to costs only what it is for."""
+        """Save the first generation; fall back to a temporary folder if the state folder fails."""
         if self.state is not None:
             try:
                 snapshot.save(self.state, first)
                 return
             except OSError as error:
-                self._not_kept(self.state, error)
+                self._record_save_error(self.state, error)
         if self._apart is None:
             self._apart = tempfile.TemporaryDirectory(prefix="beechrock-")
         snapshot.save(Path(self._apart.name), first)
 
     @property
     def folder(self) -> Path:
-        """Where the generation in force is written."""
+        """Folder that holds the generation in force and the reader's candidate."""
         if self._apart is not None:
             return Path(self._apart.name)
         return self.state if self.state is not None else Path(".")
@@ -129,16 +130,17 @@
                     while not self.taken(new):
                         await asyncio.sleep(AGAIN_S)
                 except Exception as error:
-                    # Read over: the watch had it in force already, and would never have taken it again.
+                    # Tell the watch to go back: it already counts the new generation as running and would
+                    # otherwise never take it again.
                     self.counters.record_error("inventory", error)
                     return self.life.take(self.clock(), watch.Undone(before, f"can't be taken up: {error}"))
                 await self._adopt()
                 self.counters.add("inventory.taken")
                 self.counters.set("inventory.generation", new.number)
-                self._tell("inventory.taken", new, change)
+                self._log_change("inventory.taken", new, change)
             case watch.Hold(new, change):
                 self.counters.add("inventory.held")
-                self._tell("inventory.held", new, change, why=list(change.held))
+                self._log_change("inventory.held", new, change, why=list(change.held))
             case watch.Refuse(problems):
                 self.counters.add("inventory.refused")
                 logs.event("inventory.refused", "error", generation=number, problems=list(problems))
@@ -147,37 +149,40 @@
         return []
 
     async def _adopt(self) -> None:
-        """Make what was read the one in force on the disk; where that fails a broken start is worse off."""
+        """Rename the reader's candidate to the generation in force.
+
+        If that fails, a restart with broken files finds an older generation.
+        """
         try:
             await self._write(snapshot.adopt, self.folder / reader.CANDIDATE, self.folder)
         except OSError as error:
-            self._not_kept(self.folder, error)
+            self._record_save_error(self.folder, error)
         else:
-            if self._apart is None:  # what was owed before is of an earlier one
-                self._owed_at = None
+            if self._apart is None:  # A save still due belongs to an earlier generation
+                self._save_retry_at = None
 
-    async def _keep_owed(self) -> None:
-        """What is in force, to the state folder, which did not take it."""
-        # Seen: a disk that was full at the start, or as a change was taken up, had the node without a last
-        # good inventory, or with an earlier one, until its next start or change.
+    async def _retry_save(self) -> None:
+        """Retry saving the generation in force to the state folder."""
+        # Without this retry, a disk that was full at the start or during a change left the node with no last
+        # good inventory, or an older one, until its next start or change.
         if self.state is None:
             return
         found = (self.folder / snapshot.NAME, self.folder / reader.CANDIDATE)
         try:
             kept = await self._write(snapshot.keep_again, found, self.state, self.life.running.digest)
         except OSError as error:
-            self._not_kept(self.state, error)
+            self._record_save_error(self.state, error)
             return
-        self._owed_at = None if kept else self.clock() + KEEP_S
+        self._save_retry_at = None if kept else self.clock() + KEEP_S
         if kept:
             apart, self._apart = self._apart, None
             if apart is not None:
                 await self._write(apart.cleanup)
             logs.event("inventory.kept", folder=str(self.state), generation=self.life.running.number)
 
-    def _not_kept(self, folder: Path, error: OSError) -> None:
+    def _record_save_error(self, folder: Path, error: OSError) -> None:
         self.counters.add("trouble.inventory_snapshot")
-        if self._owed_at is None:  # told of once
+        if self._save_retry_at is None:  # Logged once until a save succeeds
             logs.event(
                 "inventory.not_kept",
                 "error",
@@ -185,9 +190,9 @@
                 why=error.strerror,
                 do="look at the disk; it is tried again, and goes on by itself",
             )
-        self._owed_at = self.clock() + KEEP_S
+        self._save_retry_at = self.clock() + KEEP_S
 
-    def _tell(self, name: str, new: Generation, change: Change, **more: object) -> None:
+    def _log_change(self, name: str, new: Generation, change: Change, **more: object) -> None:
         fields = {
             "generation": new.number,
             "digest": new.digest[:12],
--- a/beechrock/inventory/merge.py
+++ b/beechrock/inventory/merge.py
@@ -1,8 +1,8 @@
-"""Raw groups to checked entries: who is what, which variable counts, and what each may be. Pure.
+"""Merges raw groups into checked entries: the kind of each entry, and its variables with precedence. Pure.
 
-What counts, weakest first: variables of groups in the inventory's files, then of group_vars/all, then of the
-other group_vars, then of the entry itself, then of host_vars. Between groups a nearer one comes before a
-farther one, and of two as near the one later in the alphabet.
+Precedence, lowest first: variables of groups in the inventory files, then group_vars/all, then the other
+group_vars, then the entry's own variables, then host_vars. A nearer group overrides a farther one; of two
+equally near groups, the later in the alphabet wins.
 """
 
 from collections.abc import Iterable
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True)
 class Entry:
-    """One checked entry; ``origins`` has the place of each value, and is no part of what it means."""
+    """One checked entry; ``origins`` holds the file and line of each value and is ignored in comparisons."""
 
     name: str
     place: Place = field(compare=False)
@@ -29,15 +29,15 @@
 
 @dataclass(slots=True)
 class Checked:
-    """The node's own variables, and by kind the entries of that kind in order."""
+    """The node's own variables, and for each kind its entries in the order of the files."""
 
     node: Entry
     kinds: dict[str, dict[str, Entry]]
-    groups: dict[str, tuple[str, ...]]  # the machines of each group that has some, by name
+    groups: dict[str, tuple[str, ...]]  # Names of the machines in each group, by group name
 
 
 class Merger:
-    """Works out ancestors once a group, and merged variables once a set of groups."""
+    """Computes ancestors once per group and merged variables once per set of groups."""
 
     def __init__(self, raw: Raw, problems: Problems) -> None:
         self.raw, self.problems = raw, problems
@@ -49,11 +49,11 @@
         self.looped = self._loops()
         self.depth: dict[str, int] = {}
         self.above: dict[str, frozenset[str]] = {}
-        self._good: dict[tuple[str, str, int], tuple[bool, Any]] = {}
+        self._check_results: dict[tuple[str, str, int], tuple[bool, Any]] = {}
         self._merged: dict[tuple[str, frozenset[str]], Vars] = {}
 
     def _loops(self) -> set[str]:
-        """Groups that stand below themselves; each loop is one problem, at the line that closes it."""
+        """Return the groups that are their own descendants; report each loop at the line that closes it."""
         state: dict[str, int] = {}
         looped: set[str] = set()
         for start in self.raw.groups:
@@ -83,7 +83,7 @@
         return looped
 
     def ancestors(self, name: str) -> frozenset[str]:
-        """The group itself and all above it; groups in a loop have none."""
+        """Return the group itself and all of its ancestors."""
         found = self.above.get(name)
         if found is None:
             seen, border = {name}, [name]
@@ -108,39 +108,39 @@
     # --- variables
 
     def shared(self, kind: str, direct: frozenset[str]) -> Vars:
-        """What an entry of this kind gets from its groups; those of another kind have no say."""
+        """Return the variables that an entry of this kind inherits; groups of other kinds are ignored."""
         found = self._merged.get((kind, direct))
         if found is not None:
             return found
         above = frozenset(g for name in direct for g in self.ancestors(name)) | {ALL}
-        heard = [self.raw.groups[g] for g in above if g in self.raw.groups and self._speaks_to(g, kind)]
-        heard.sort(key=lambda g: (self.depth_of(g.name), g.name))
+        groups = [self.raw.groups[g] for g in above if g in self.raw.groups and self._applies_to(g, kind)]
+        groups.sort(key=lambda g: (self.depth_of(g.name), g.name))
         found = {}
-        for group in heard:
-            # The node's own variables stand in the same place as those that all entries share.
+        for group in groups:
+            # The group ``all`` holds the node's own variables as well as those that all entries share.
             own = group.name == ALL
             found.update({k: v for k, v in group.vars.items() if not (own and k in schema.NODE)})
-        for group in heard:
+        for group in groups:
             found.update(
                 {k: v for k, v in group.more_vars.items() if not (group.name == ALL and k in schema.NODE)}
             )
         self._merged[kind, direct] = found
         return found
 
-    def _speaks_to(self, group: str, kind: str) -> bool:
+    def _applies_to(self, group: str, kind: str) -> bool:
         kinds = self.kinds([group])
         return not kinds or kind in kinds
 
     def check_keys(self) -> None:
-        """Unknown keys, once where they stand, however many entries they reach."""
+        """Report each unknown key once, at its line, however many entries inherit it."""
         for group in self.raw.groups.values():
             kinds = self.kinds([group.name])
             known = self._keys(kinds)
-            for told, entry in (
+            for variables, entry in (
                 (group.vars, f"{group.name}.vars"),
                 (group.more_vars, f"group_vars.{group.name}"),
             ):
-                self._unknown(told, entry, known)
+                self._unknown(variables, entry, known)
             for name, host in group.hosts.items():
                 if host.vars:
                     self._unknown(host.vars, f"{group.name}.{name}", known if kinds else schema.ALL_KEYS)
@@ -148,42 +148,44 @@
     def _keys(self, kinds: set[str]) -> Iterable[str]:
         return set().union(*(schema.KEYS[kind] for kind in kinds)) if kinds else schema.ALL_KEYS
 
-    def _unknown(self, told: Vars, entry: str, known: Iterable[str]) -> None:
-        for key, value in told.items():
+    def _unknown(self, variables: Vars, entry: str, known: Iterable[str]) -> None:
+        for key, value in variables.items():
             if key not in known and not key.startswith(schema.FOREIGN):
                 self.problems.add(value.place, entry, key, f"unknown key{nearest(key, known)}")
 
-    def checked(self, kind: str, entry: str, told: Vars, keys: dict[str, schema.Check]) -> dict[str, Any]:
-        """Values that pass; one that does not is a problem where it stands, once."""
+    def checked(
+        self, kind: str, entry: str, variables: Vars, keys: dict[str, schema.Check]
+    ) -> dict[str, Any]:
+        """Return the valid values; report each invalid one once, at its line."""
         found = {}
-        for key, value in told.items():
+        for key, value in variables.items():
             if key not in keys:
                 continue
             tag = (kind, key, id(value))
-            result = self._good.get(tag)
+            result = self._check_results.get(tag)
             if result is None:
                 try:
                     result = True, keys[key](value.value)
                 except BadValueError as error:
                     self.problems.add(value.place, entry, key, error.what, wanted=error.wanted)
                     result = False, None
-                self._good[tag] = result
+                self._check_results[tag] = result
             if result[0]:
                 found[key] = result[1]
         return found
 
 
 def merge(raw: Raw, problems: Problems) -> Checked:
-    """All entries that pass. What does not is left out, and is among the problems."""
+    """Merge and check all entries; leave out invalid values and add them to ``problems``."""
     merger = Merger(raw, problems)
     merger.check_keys()
     everything = raw.groups.get(ALL) or Group(ALL, Place(""))
-    told = {**everything.vars, **everything.more_vars}
+    variables = {**everything.vars, **everything.more_vars}
     node = Entry(
         "all.vars",
         everything.place,
-        merger.checked("all", "all.vars", told, schema.NODE),
-        {k: v.place for k, v in told.items() if k in schema.NODE},
+        merger.checked("all", "all.vars", variables, schema.NODE),
+        {k: v.place for k, v in variables.items() if k in schema.NODE},
     )
     member: dict[str, set[str]] = {}
     for group in raw.groups.values():
@@ -200,11 +202,11 @@
         if "machines" in cache[direct]:
             for group_name in {g for d in direct for g in merger.ancestors(d)}:
                 groups.setdefault(group_name, []).append(name)
-    for name, told in raw.host_vars.items():
-        if name not in member and told:
-            problems.warn(next(iter(told.values())).place, f"host_vars.{name}", "", "no such host")
-    # Seen in a drawn test: a contract of a service's name stood before all others, as that service did. The
-    # order of contracts is that of the decision module's classes, and another file form changed it.
+    for name, variables in raw.host_vars.items():
+        if name not in member and variables:
+            problems.warn(next(iter(variables.values())).place, f"host_vars.{name}", "", "no such host")
+    # Sort by place: contract order sets the order of the decision module's classes. Without the sort a
+    # contract named like a service took that service's position, and the order depended on the file format.
     ordered = {
         kind: dict(sorted(entries.items(), key=lambda one: one[1].place)) for kind, entries in kinds.items()
     }
@@ -227,19 +229,21 @@
     more = raw.host_vars.get(name, {})
     merger._unknown(more, f"host_vars.{name}", merger._keys(its_kinds))
     for kind in its_kinds:
-        # The entry's own variables, of the groups that are of this kind or of none, the nearest last.
-        own = sorted((g for g in direct if merger._speaks_to(g, kind)), key=lambda g: (merger.depth_of(g), g))
+        # Groups of this kind or of no kind that list the entry, nearest last so that they override.
+        own = sorted(
+            (g for g in direct if merger._applies_to(g, kind)), key=lambda g: (merger.depth_of(g), g)
+        )
         place = min(
             (raw.groups[g].hosts[name].place for g in own if kind in merger.kinds([g])),
             default=first.hosts[name].place,
         )
-        told: dict[str, Told] = dict(merger.shared(kind, direct))
+        variables: dict[str, Told] = dict(merger.shared(kind, direct))
         for group in own:
-            told.update(raw.groups[group].hosts[name].vars)
-        told.update(more)
+            variables.update(raw.groups[group].hosts[name].vars)
+        variables.update(more)
         entry = f"{kind}.{name}"
         for key in schema.NEEDED[kind]:
-            if key not in told:
+            if key not in variables:
                 problems.add(place, entry, key, "missing")
-        values = merger.checked(kind, entry, told, schema.KEYS[kind])
-        into[kind][name] = Entry(name, place, values, {k: told[k].place for k in values})
+        values = merger.checked(kind, entry, variables, schema.KEYS[kind])
+        into[kind][name] = Entry(name, place, values, {k: variables[k].place for k in values})
--- a/beechrock/inventory/model.py
+++ b/beechrock/inventory/model.py
@@ -1,4 +1,4 @@
-"""What checked entries mean to a node: classes, tenants, servers, who may connect. Pure."""
+"""Builds a node's settings, upstream addresses and allowed front ends from checked entries. Pure."""
 
 import ipaddress
 from dataclasses import dataclass, field
@@ -19,13 +19,13 @@
 
 @dataclass(frozen=True, slots=True)
 class FrontEnds:
-    """Who may connect, and as which team if it is bound to one."""
+    """Networks that may connect, each with the team it is bound to, or None if it may act for any team."""
 
-    # By version and length of the prefix, the longest first; in it by the prefix as a number.
+    # By IP version and prefix length, longest prefix first; the inner key is the prefix as a number.
     networks: dict[tuple[int, int], dict[int, str | None]]
 
     def team_of(self, host: str) -> tuple[bool, str | None]:
-        """Whether this address may connect, and as which team; the narrowest network decides."""
+        """Return whether ``host`` may connect and the team it is bound to; the longest prefix wins."""
         try:
             found = ipaddress.ip_address(host.partition("%")[0])
         except ValueError:
@@ -41,22 +41,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Inventory:
-    """``settings`` is the object that the settings' parser reads; the rest is what the SCGI side looks up."""
+    """The inventory as a node uses it.
+
+    ``settings`` is input for the settings parser; the SCGI front end, the edges and the limits look up the
+    other fields.
+    """
 
     settings: dict[str, Any]
-    teams: dict[str, int]  # by name: place among the settings' tenants
-    classes: dict[Contract, int]  # by team and service: place among the settings' classes
-    upstreams: dict[str, tuple[Address, ...]]  # by service
-    front_ends: FrontEnds | None = None  # None: all may connect
-    counts: dict[str, int] = field(default_factory=dict)  # entries of each kind
-    # For the edges: what a contract says of a cut, and a service of copies that differ; empty where nothing.
+    teams: dict[str, int]  # By name: position in the settings' tenants
+    classes: dict[Contract, int]  # By team and service: position in the settings' classes
+    upstreams: dict[str, tuple[Address, ...]]  # By service: addresses of its servers
+    front_ends: FrontEnds | None = None  # None: any address may connect
+    counts: dict[str, int] = field(default_factory=dict)  # Number of entries of each kind
+    # Read by the edges: the rules for an edge that is cut off from upstream, by contract, and for copies that
+    # differ, by service. A contract or service that sets none is absent.
     when_cut: dict[Contract, dict[str, Any]] = field(default_factory=dict)
     differing: dict[str, str] = field(default_factory=dict)
-    terms: Terms | None = None  # for the limits: this node's part of what contracts and budgets say
+    terms: Terms | None = None  # Read by the limits: this node's part of contracts and budgets
 
 
 def load(path: Path) -> Inventory:
-    """Read and check all files under ``path``; InventoryError holds what is wrong."""
+    """Read and check all files under ``path``; raise InventoryError with every fault."""
     problems = Problems()
     found = read(path, problems)
     if found is None:
@@ -65,9 +70,9 @@
 
 
 def read(path: Path, problems: Problems) -> tuple[Checked, Inventory] | None:
-    """Checked entries and their meaning; None where there is any error, which is then among the problems."""
+    """Return the checked entries and the inventory built from them, or None if ``problems`` has an error."""
     raw = sources.read(path, problems)
-    # Of a file that was not read at all, the rest would be told as missing, and hide the one true line.
+    # If a whole file can't be read, its entries would be reported as missing, which would hide the cause.
     if any(not one.entry and one.severity is Severity.ERROR for one in problems.listed):
         return None
     checked = merge.merge(raw, problems)
@@ -121,7 +126,7 @@
             self.bad(entry, "contracts", "window_ms", "needed by the effect keyed, and by no other")
         if c.get("when_cut") == "queue" and c["effect"] != "keyed":
             self.bad(entry, "contracts", "when_cut", "queue needs the effect keyed: it is sent again")
-        # A try may repeat another team's, so one service has one effect and window for all.
+        # An attempt may retry another team's request, so all contracts of a service share effect and window.
         effect = c["effect"], c.get("window_ms")
         held, other = self.effects.setdefault(c["service"], (effect, entry))
         if held != effect:
@@ -171,7 +176,10 @@
         tenant["budgetPeriodS"] = entry.values.get("period_s")
 
     def upstreams(self) -> dict[str, tuple[Address, ...]]:
-        """HOST is a machine's name, a group's that stands for all of its machines, or an address."""
+        """Return the server addresses of each service.
+
+        In HOST:PORT, HOST is an address, or names a machine or a group, which stands for all its machines.
+        """
         machines = self.checked.kinds["machines"]
         found = {}
         for entry in self.checked.kinds["services"].values():
@@ -197,24 +205,24 @@
                 continue
             if "team" in v and not self.refer(entry, "front_ends", "team", self.teams):
                 continue
-            told = v.get("address") or v["network"]
-            if told in first:
+            network = v.get("address") or v["network"]
+            if network in first:
                 self.bad(
                     entry,
                     "front_ends",
                     "address" if "address" in v else "network",
-                    f"{told} stands twice, first at {first[told].place}",
+                    f"{network} stands twice, first at {first[network].place}",
                 )
                 continue
-            first[told] = entry
-            net = ipaddress.ip_network(told)
+            first[network] = entry
+            net = ipaddress.ip_network(network)
             key = int(net.network_address) >> (net.max_prefixlen - net.prefixlen)
             held.setdefault((net.version, net.prefixlen), {})[key] = v.get("team")
         return FrontEnds(dict(sorted(held.items(), key=lambda item: -item[0][1])))
 
 
 def build(checked: Checked, problems: Problems, whole: Place = HERE) -> Inventory | None:
-    """Check references and sums, and word entries as settings; None where too little is there for that."""
+    """Check references and sums and build the inventory; return None if ``problems`` has an error."""
     builder, node = _Builder(checked, problems), checked.node.values
     here = checked.node.place if checked.node.place.file else whole
     for key in NODE_NEEDED:
@@ -264,11 +272,11 @@
     )
 
 
-def over(told: dict[str, Any], inventory: Inventory) -> dict[str, Any]:
-    """A deployment's settings with the inventory's classes and tenants in place of its own."""
+def over(settings: dict[str, Any], inventory: Inventory) -> dict[str, Any]:
+    """Return a deployment's settings with its classes and tenants replaced by those of the inventory."""
     mine = inventory.settings
-    given = told.get("extra")
+    given = settings.get("extra")
     calls = {k: mine["extra"][k] for k in ("classCalls", "classSkipWorth")}
     extra = {**(given if isinstance(given, dict) else {}), **calls}
     chosen = {k: mine[k] for k in ("grades", "tenants", "overShareWorth") if mine[k] is not None}
-    return {**told, **chosen, "extra": extra}
+    return {**settings, **chosen, "extra": extra}
--- a/beechrock/inventory/plan.py
+++ b/beechrock/inventory/plan.py
@@ -1,7 +1,7 @@
-"""From the running generation to a new one: what changes, in which order, and what speaks against it. Pure.
+"""Plans the change from the running generation to a new one: ordered steps, and reasons against it. Pure.
 
-Order: what others refer to is added first and removed last. What is removed is drained: no new requests go
-there, those that were read before are answered as they were promised.
+Entries that others refer to are added first and removed last. Removed contracts, services and teams drain:
+they accept no new requests, and requests read before the change are still answered under the old contract.
 """
 
 from dataclasses import dataclass
@@ -11,17 +11,18 @@
 from beechrock.inventory.generation import Generation
 from beechrock.inventory.schema import KEYS
 
-MOST_CONTRACTS = 20_000  # places in the module's lists; each decision's cost must stay bounded
+MOST_CONTRACTS = 20_000  # Positions in the decision module's lists; bounds the cost of each decision
 ADD_ORDER = ("machines", "departments", "teams", "services", "contracts", "budgets", "front_ends")
-# Above this part of a kind a removal is held: a file cut off at the end of a row is still a valid one.
+# Share of the entries of a kind whose removal needs no confirmation. A file cut off at the end of a row is
+# still valid, so a larger removal may be an accident.
 MOST_REMOVED = 0.25
-FEW = 1  # of a kind that may always go at once
+FEW = 1  # Entries of a kind that may always be removed without confirmation
 
 
 class Verb(Enum):
     ADDED = "added"
     CHANGED = "changed"
-    DRAINED = "drained"  # no longer in the inventory, or a server no longer used: what is open goes on
+    DRAINED = "drained"  # Removed entry, or server no longer used; open requests continue
     REMOVED = "removed"
 
 
@@ -30,16 +31,16 @@
     verb: Verb
     kind: str
     name: str
-    keys: tuple[tuple[str, Any, Any], ...] = ()  # of a change: key, old value, new value
+    keys: tuple[tuple[str, Any, Any], ...] = ()  # For CHANGED: (key, old value, new value)
 
     def __str__(self) -> str:
-        told = ", ".join(f"{key}: {shown(old)} -> {shown(new)}" for key, old, new in self.keys)
-        return f"{self.verb.value:8} {self.kind}.{self.name}" + (f"  {told}" if told else "")
+        details = ", ".join(f"{key}: {shown(old)} -> {shown(new)}" for key, old, new in self.keys)
+        return f"{self.verb.value:8} {self.kind}.{self.name}" + (f"  {details}" if details else "")
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """``refused`` has reasons against the change as a whole; ``held`` those to have it confirmed."""
+    """Steps of a change; ``refused`` lists reasons to reject it, ``held`` reasons to ask for confirmation."""
 
     steps: tuple[Step, ...]
     refused: tuple[str, ...] = ()
@@ -54,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """What a node in service needs of a plan."""
+    """Summary of a plan: steps by verb, and the reasons to reject the change or ask for confirmation."""
 
     counts: dict[str, int]
     refused: tuple[str, ...] = ()
@@ -70,7 +71,7 @@
 
 
 def plan(running: Generation, new: Generation, most_removed: float = MOST_REMOVED) -> Plan:
-    """What it takes to go on under ``new``."""
+    """Return the plan that leads from ``running`` to ``new``."""
     steps: list[Step] = []
     old_kinds, new_kinds = running.entries().kinds, new.entries().kinds
     if changed := _changed(running.entries().node.values, new.entries().node.values):
@@ -110,7 +111,7 @@
     for service, effect in _effects(new).items():
         held = effects.get(service, effect)
         if held != effect and "keyed" in (held, effect):
-            # Keys that are out would be forgotten, or never have been kept: a repeat could run again.
+            # Keys of requests in flight would be forgotten, or were never stored, so a retry could run twice.
             found.append(
                 f"services.{service}: effect: {held} -> {effect}: take the service out, wait for its"
                 " window, and put it in again"
--- a/beechrock/inventory/problems.py
+++ b/beechrock/inventory/problems.py
@@ -1,17 +1,17 @@
-"""What is wrong with an inventory: every problem of all files in one pass, with its place."""
+"""Collects the problems of an inventory: those of all files in one pass, each with file and line."""
 
 import difflib
 from collections.abc import Iterable
 from dataclasses import dataclass
 from enum import Enum
 
-MOST_LISTED = 200  # problems kept; the rest are counted, as one bad default can spoil 100,000 entries
-MOST_SHOWN = 80  # characters of a value in a message
+MOST_LISTED = 200  # Problems kept; others are only counted, as one bad default can affect 100,000 entries
+MOST_SHOWN = 80  # Characters of a value in a message
 
 
 class Severity(Enum):
-    ERROR = "error"  # the inventory can't be used
-    WARNING = "warning"  # it can, but it hardly says what was meant
+    ERROR = "error"  # The inventory can't be used
+    WARNING = "warning"  # The inventory can be used, but is probably not what the author meant
 
 
 @dataclass(frozen=True, slots=True, order=True)
@@ -27,14 +27,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """``FILE:LINE: ENTRY: KEY: what is wrong``; entry and key are empty where a file as a whole is meant."""
+    """One problem, printed as ``FILE:LINE: ENTRY: KEY: TEXT``; entry and key are empty for a whole file."""
 
     place: Place
     entry: str
     key: str
     text: str
     severity: Severity = Severity.ERROR
-    wanted: str = ""  # what the key may be, where that is known
+    wanted: str = ""  # Values that the key allows; empty if unknown
 
     def __str__(self) -> str:
         mark = "warning: " if self.severity is Severity.WARNING else ""
@@ -53,7 +53,7 @@
 
 
 class Problems:
-    """Collects problems; each is kept once, and no more than ``most`` of them."""
+    """Problems found so far, without duplicates; at most ``most`` are kept and the others are counted."""
 
     def __init__(self, most: int = MOST_LISTED) -> None:
         self.most = most
@@ -85,19 +85,19 @@
         self.add(place, entry, key, text, Severity.WARNING)
 
     def lines(self) -> list[str]:
-        """In the order of files and lines; the last says how many more there are."""
+        """Return the problems sorted by file and line; a last line counts those that were not kept."""
         found = [str(p) for p in sorted(self.listed, key=lambda p: (p.place, p.entry, p.key))]
         more = self.errors + self.warnings - len(found)
         return [*found, f"and {more} more problems"] if more > 0 else found
 
 
 def nearest(word: str, known: Iterable[str]) -> str:
-    """`` (is NAME meant?)`` where a known name is near, else nothing."""
+    """Return `` (is NAME meant?)`` for the known name most similar to ``word``, or an empty string."""
     found = difflib.get_close_matches(word[:MOST_SHOWN], list(known), 1, 0.75)
     return f" (is {found[0]} meant?)" if found else ""
 
 
 def shown(value: object) -> str:
-    """A value as a message can hold it."""
+    """Return the value as text for a message, cut to ``MOST_SHOWN`` characters."""
     text = repr(value)
     return text if len(text) <= MOST_SHOWN else text[: MOST_SHOWN - 3] + "..."
--- a/beechrock/inventory/ranges.py
+++ b/beechrock/inventory/ranges.py
@@ -1,17 +1,17 @@
-"""Names that stand for many: ``api[01:16].east-hall.example.org``, ``rack[a:f]``, ``n[0:100:10]``."""
+"""Expands names with ranges: ``api[01:16].east-hall.example.org``, ``rack[a:f]``, ``n[0:100:10]``."""
 
 import itertools
 import re
 
 from beechrock.inventory.errors import BadRangeError
 
-MOST_NAMES = 200_000  # that one pattern may stand for
+MOST_NAMES = 200_000  # Maximum number of names that one pattern expands to
 FORM = "[FROM:TO] or [FROM:TO:STEP], numbers or letters, upwards"
 _PART = re.compile(r"\[([^\[\]]*)\]")
 
 
 def expand(name: str) -> list[str]:
-    """All names that ``name`` stands for, in order; BadRangeError says what is wrong with a range."""
+    """Return all names that ``name`` expands to, in order; raise BadRangeError if a range is malformed."""
     if "[" not in name and "]" not in name:
         return [name]
     fixed = _PART.split(name)[::2]
@@ -29,24 +29,24 @@
     ]
 
 
-def _choices(told: str) -> list[str]:
-    parts = told.split(":")
+def _choices(text: str) -> list[str]:
+    parts = text.split(":")
     if len(parts) not in (2, 3):
-        raise BadRangeError(f"[{told}] is not [FROM:TO] or [FROM:TO:STEP]", wanted=FORM)
+        raise BadRangeError(f"[{text}] is not [FROM:TO] or [FROM:TO:STEP]", wanted=FORM)
     first, last, step = parts[0], parts[1], parts[2] if len(parts) == 3 else "1"
     if not (step.isascii() and step.isdigit()) or not int(step) or len(step) > 9:
-        raise BadRangeError(f"[{told}]: the step is not a number above 0", wanted=FORM)
+        raise BadRangeError(f"[{text}]: the step is not a number above 0", wanted=FORM)
     if first.isascii() and first.isdigit() and last.isascii() and last.isdigit() and len(last) <= 9:
         if len(first) > 1 and first[0] == "0" and len(first) != len(last):
-            raise BadRangeError(f"[{told}]: the ends have leading zeros and differ in length", wanted=FORM)
+            raise BadRangeError(f"[{text}]: the ends have leading zeros and differ in length", wanted=FORM)
         low, high, width = int(first), int(last), len(first)
     elif len(first) == len(last) == 1 and first.isalpha() and last.isalpha():
         low, high, width = ord(first), ord(last), 0
     else:
-        raise BadRangeError(f"[{told}]: the ends are neither two numbers nor two letters", wanted=FORM)
+        raise BadRangeError(f"[{text}]: the ends are neither two numbers nor two letters", wanted=FORM)
     if low > high:
-        raise BadRangeError(f"[{told}]: runs backwards", wanted=FORM)
+        raise BadRangeError(f"[{text}]: runs backwards", wanted=FORM)
     if (high - low) // int(step) >= MOST_NAMES:
-        raise BadRangeError(f"[{told}]: stands for over {MOST_NAMES} names", wanted=FORM)
+        raise BadRangeError(f"[{text}]: stands for over {MOST_NAMES} names", wanted=FORM)
     steps = range(low, high + 1, int(step))
     return [f"{n:0{width}d}" if width else chr(n) for n in steps]
--- a/beechrock/inventory/raw.py
+++ b/beechrock/inventory/raw.py
@@ -1,4 +1,4 @@
-"""What files say before it is checked: groups, hosts, variables, and the place of each."""
+"""Groups, hosts and variables as read from files, before they are checked, each with file and line."""
 
 from dataclasses import dataclass, field
 from typing import Any
@@ -8,14 +8,14 @@
 from beechrock.inventory.problems import Place, Problems, nearest
 from beechrock.inventory.schema import KEYS
 
-MOST_HOSTS = 500_000  # entries of all files together
-MOST_GROUPS = 20_000
-MOST_VARS = 200  # of one entry or group
+MOST_HOSTS = 500_000  # Maximum number of entries in all files together
+MOST_GROUPS = 20_000  # Maximum number of groups in all files together
+MOST_VARS = 200  # Maximum number of variables of one entry or group
 
 
 @dataclass(slots=True, eq=False)
 class Told:
-    """A variable's value, and where it stands."""
+    """A variable's value, with the file and line that set it."""
 
     value: Any
     place: Place
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True, eq=False)
 class Host:
-    """An entry as one group lists it."""
+    """An entry as listed in one group; ``vars`` holds the variables set there."""
 
     place: Place
     vars: Vars
@@ -36,14 +36,14 @@
 class Group:
     name: str
     place: Place
-    vars: Vars = field(default_factory=dict)  # in the inventory itself
-    more_vars: Vars = field(default_factory=dict)  # of group_vars/, which come before
+    vars: Vars = field(default_factory=dict)  # Set in the inventory files
+    more_vars: Vars = field(default_factory=dict)  # Set in group_vars/; these override ``vars``
     hosts: dict[str, Host] = field(default_factory=dict)
     children: dict[str, Place] = field(default_factory=dict)
 
 
 class Raw:
-    """All groups and hosts of all files."""
+    """Groups and hosts of all files."""
 
     def __init__(self, problems: Problems) -> None:
         self.problems = problems
@@ -68,8 +68,8 @@
         parent.children.setdefault(name, place)
         return self.group(name, place)
 
-    def host(self, group: Group, pattern: str, place: Place, told: Vars) -> None:
-        """List an entry, or all that a range stands for; a second one of a name in a group is a fault."""
+    def host(self, group: Group, pattern: str, place: Place, variables: Vars) -> None:
+        """Add an entry to the group, or every entry of a range; report a name that the group already has."""
         entry = f"{group.name}.{pattern}"
         try:
             names = ranges.expand(pattern)
@@ -85,11 +85,11 @@
             if self.hosts >= MOST_HOSTS:
                 return self._full(place, f"over {MOST_HOSTS} hosts")
             self.hosts += 1
-            group.hosts[name] = Host(place, told)
+            group.hosts[name] = Host(place, variables)
         return None
 
-    def set_vars(self, into: Vars, told: Vars, entry: str) -> None:
-        for key, value in told.items():
+    def set_vars(self, into: Vars, variables: Vars, entry: str) -> None:
+        for key, value in variables.items():
             if key in into:
                 self.problems.add(value.place, entry, key, f"stands twice, first at {into[key].place}")
             else:
--- a/beechrock/inventory/reader.py
+++ b/beechrock/inventory/reader.py
@@ -1,12 +1,12 @@
-"""Reads and checks an inventory in a process of its own, so that no file can slow or end a running node.
+"""Reads and checks an inventory in a separate process, so that no file can slow or crash a running node.
 
     python -m beechrock.inventory.reader PATH FOLDER NUMBER MOST_REMOVED
 
-FOLDER holds the generation in force; the one that is read is compared with it, and written beside it. The
-process lowers its own priority and bounds its own memory and time. It prints one line of JSON: stamps,
-problems, digest, what changes, and the meaning. Entries never reach the node. Seen with 20,000 rows:
-understood in a thread of the node, they took the interpreter from its loop, and a third of the service was
-gone for as long.
+FOLDER holds the generation in force. The process compares the new generation with it and writes the new one
+to the same folder as a candidate. It lowers its own priority and bounds its own memory and time. It prints
+one line of JSON: stamps, problems, digest, the change, and the inventory without its entries. The node does
+not parse entries: with 20,000 rows, parsing in a thread of the node held the interpreter lock and cut the
+node's throughput by a third meanwhile.
 """
 
 import contextlib
@@ -28,15 +28,15 @@
 from beechrock.inventory.problems import Problems
 from beechrock.inventory.watch import Done, Stamp
 
-MOST_MEMORY = 2 << 30
+MOST_MEMORY = 2 << 30  # Maximum address space of the process, in bytes
 MOST_CPU_S = 60
-LONGEST_S = 120.0
+LONGEST_S = 120.0  # Seconds until the node gives up on the process
 NICE = 10
-CANDIDATE = ".candidate"  # in FOLDER: what was read last
+CANDIDATE = ".candidate"  # File name in FOLDER of the generation read last
 
 
 def stamp(root: Path) -> Stamp:
-    """What changes with any file there: written in place, renamed over, or swapped behind a symlink."""
+    """Return a stamp that changes if any file is written, renamed over, or swapped behind a symlink."""
     try:
         paths = sources.find(root).paths()
     except OSError:
@@ -53,24 +53,25 @@
 
 
 def answer(root: Path, folder: Path, number: int, most_removed: float = MOST_REMOVED) -> bytes:
-    """What this process prints."""
+    """Read the files and return the line of JSON that this process prints."""
     before, problems = stamp(root), Problems()
     found = model.read(root, problems)
-    told: dict[str, Any] = {"problems": problems.lines()}
+    result: dict[str, Any] = {"problems": problems.lines()}
     if found is not None:
         new = generation.from_checked(number, *found)
         try:
             change = plan(snapshot.load(folder), new, most_removed).summary()
             snapshot.write(folder / CANDIDATE, new)
         except (OSError, KeptUnreadableError) as error:
-            # Seen: a disk that was full for a moment had a good inventory refused until it was changed again.
-            told |= {"problems": [f"{folder}: the disk failed: {error}"], "failed": True}
+            # Marked as failed, so the node retries: otherwise a disk that was full for a moment made the node
+            # reject a good inventory until its files changed again.
+            result |= {"problems": [f"{folder}: the disk failed: {error}"], "failed": True}
         else:
-            told |= {"digest": new.digest, "change": asdict(change), "meaning": _told(new.meaning)}
-    return ujson.dumps({**told, "before": before, "after": stamp(root)}).encode()
+            result |= {"digest": new.digest, "change": asdict(change), "meaning": _encoded(new.meaning)}
+    return ujson.dumps({**result, "before": before, "after": stamp(root)}).encode()
 
 
-def _told(meaning: Inventory) -> dict[str, Any]:
+def _encoded(meaning: Inventory) -> dict[str, Any]:
     known = meaning.front_ends
     return {
         "settings": meaning.settings,
@@ -90,13 +91,13 @@
     }
 
 
-def _meant(told: dict[str, Any]) -> Inventory:
-    known = told["front_ends"]
+def _decoded(result: dict[str, Any]) -> Inventory:
+    known = result["front_ends"]
     return Inventory(
-        told["settings"],
-        told["teams"],
-        {(team, service): at for team, service, at in told["classes"]},
-        {name: tuple((host, port) for host, port in places) for name, places in told["upstreams"].items()},
+        result["settings"],
+        result["teams"],
+        {(team, service): at for team, service, at in result["classes"]},
+        {name: tuple((host, port) for host, port in places) for name, places in result["upstreams"].items()},
         None
         if known is None
         else FrontEnds(
@@ -105,32 +106,32 @@
                 for version, prefix, held in known
             }
         ),
-        told["counts"],
-        # Seen with processes: left out here, a changed inventory took the edges' terms from every contract.
-        {(team, service): terms for team, service, terms in told["when_cut"]},
-        told["differing"],
-        None if told["terms"] is None else limits.unpacked(told["terms"]),
+        result["counts"],
+        # Without this field a reload removed the edges' terms from every contract.
+        {(team, service): terms for team, service, terms in result["when_cut"]},
+        result["differing"],
+        None if result["terms"] is None else limits.unpacked(result["terms"]),
     )
 
 
 def understood(data: bytes, number: int) -> Done:
-    """The reading that ``answer`` printed, as generation ``number``. ReadingError where it printed none."""
+    """Decode what ``answer`` printed, as generation ``number``; raise ReadingError if it is malformed."""
     try:
-        told = ujson.loads(data)
-        before, after = (tuple(tuple(part) for part in told[key]) for key in ("before", "after"))
-        problems = tuple(told["problems"])
-        if "digest" not in told:
-            return Done(None, None, problems, before, after, bool(told.get("failed")))
-        what = told["change"]
+        result = ujson.loads(data)
+        before, after = (tuple(tuple(part) for part in result[key]) for key in ("before", "after"))
+        problems = tuple(result["problems"])
+        if "digest" not in result:
+            return Done(None, None, problems, before, after, bool(result.get("failed")))
+        what = result["change"]
         change = Change(what["counts"], tuple(what["refused"]), tuple(what["held"]))
-        new = generation.Generation(number, told["digest"], _meant(told["meaning"]))
+        new = generation.Generation(number, result["digest"], _decoded(result["meaning"]))
         return Done(new, change, problems, before, after)
     except (ValueError, KeyError, TypeError) as error:
         raise ReadingError(f"{type(error).__name__}: {error}", wanted="one line of JSON") from None
 
 
 def read_apart(root: Path, folder: Path, number: int, most_removed: float) -> Done:
-    """Read in a process of its own; whatever becomes of that process is a reading, at worst a bad one."""
+    """Read the files in a separate process; if that process fails, return a result that holds the failure."""
     try:
         run = subprocess.run(
             [
--- a/beechrock/inventory/schema.py
+++ b/beechrock/inventory/schema.py
@@ -1,6 +1,6 @@
-"""What each variable of each group may be: the one table that reading, checking and showing go by.
+"""Table of the variables of each group and the values they allow, used to read, check and export them.
 
-A check gives the value, or raises BadValueError; file, line, entry and key are added by ``merge``.
+A check returns the converted value or raises BadValueError; ``merge`` adds file, line, entry and key.
 """
 
 import ipaddress
@@ -14,11 +14,11 @@
 Address = tuple[str, int]
 Check = Callable[[Any], Any]
 EFFECTS = ("safe", "keyed", "unsafe")
-FOREIGN = "ansible_"  # variables of configuration tools themselves say nothing to us
+FOREIGN = "ansible_"  # Prefix of variables that belong to configuration tools; they are ignored
 
 
 def number(least: float, most: float) -> Check:
-    """Above ``least``, up to ``most``; text that is a number counts as one, as CSV holds only text."""
+    """Return a check for numbers above ``least`` and up to ``most``; it accepts text, for CSV."""
 
     def check(value: Any) -> float:
         try:
@@ -67,7 +67,7 @@
 
 
 def address(value: Any) -> Address:
-    """HOST:PORT, an IPv6 host in brackets."""
+    """Parse HOST:PORT; an IPv6 host is in brackets."""
     host, _, port = str(value).rpartition(":")
     if not host or not (port.isascii() and port.isdigit()) or not 0 < int(port) < 65536:
         raise BadValueError(f"{shown(value)} is not HOST:PORT", wanted="HOST:PORT, an IPv6 host in brackets")
@@ -75,7 +75,7 @@
 
 
 def addresses(value: Any) -> tuple[Address, ...]:
-    """A list, or words; HOST may be the name of a machine, or of a group that stands for its machines."""
+    """Parse a list, or words, of HOST:PORT; HOST may name a machine or a group of machines."""
     parts = value.split() if isinstance(value, str) else value if isinstance(value, list) else [value]
     found = tuple(address(part) for part in parts)
     if not found or len(set(found)) < len(found):
@@ -84,7 +84,7 @@
 
 
 def network(value: Any) -> str:
-    """An address or a network in CIDR form, in its canonical text."""
+    """Parse an address or a network in CIDR form and return its canonical text."""
     try:
         return str(ipaddress.ip_network(str(value)))
     except ValueError as error:
@@ -95,7 +95,7 @@
 
 
 def words(value: Any) -> list[str]:
-    """A list of words, or words in a text; lists in lists are not read: what belongs together is a word."""
+    """Parse a list of words, or a text of words; nested lists are invalid."""
     parts = value.split() if isinstance(value, str) else value if isinstance(value, list) else [value]
     if any(isinstance(part, (bool, list, dict)) or part is None for part in parts) or len(parts) > 1000:
         raise BadValueError(f"{shown(value)} is not a list of words", wanted="a list of up to 1000 words")
@@ -103,7 +103,7 @@
 
 
 def hours(value: Any) -> str:
-    """Hours of the week in which a contract holds; kept as told."""
+    """Check weekly hours and return their text unchanged."""
     if not isinstance(value, str):
         raise BadValueError(f"{shown(value)} is not a text", wanted=WANTED)
     parse(value)
@@ -111,20 +111,20 @@
 
 
 def parts(value: Any) -> list[float]:
-    """Up to eight numbers above 0, up to 1, each above the one before."""
-    told = value if isinstance(value, list) else str(value).split()
-    found = [number(0, 1)(part) for part in told]
+    """Parse one to eight increasing numbers, each above 0 and up to 1."""
+    thresholds = value if isinstance(value, list) else str(value).split()
+    found = [number(0, 1)(part) for part in thresholds]
     if not 0 < len(found) <= 8 or sorted(set(found)) != found:
         raise BadValueError(f"{shown(value)} are no parts", wanted="up to 8 numbers up to 1 that grow")
     return found
 
 
 def weights(value: Any) -> list[str]:
-    """Words NAME=NUMBER; NAME alone is NAME=1."""
+    """Parse words NAME=NUMBER; NAME alone means NAME=1."""
     found = [part if "=" in part else f"{part}=1" for part in words(value)]
     for part in found:
-        number_told = part.rpartition("=")[2]
-        if not (number_told.isascii() and number_told.isdigit()) or not 0 < int(number_told) <= 1_000_000:
+        weight = part.rpartition("=")[2]
+        if not (weight.isascii() and weight.isdigit()) or not 0 < int(weight) <= 1_000_000:
             raise BadValueError(f"{shown(part)} is not NAME=NUMBER", wanted="NAME=NUMBER, a whole one from 1")
     return found
 
--- a/beechrock/inventory/snapshot.py
+++ b/beechrock/inventory/snapshot.py
@@ -1,7 +1,7 @@
-"""The last good generation in the state folder: written whole, checked when it is read.
+"""Stores the last good generation in the state folder, with atomic writes and a checksum.
 
-A header line (format, number, digest, length) and the generation's written form. It is written beside,
-flushed to the disk and renamed over, so that a crash at any moment leaves the old one or the new one.
+The file is a header line (magic, format, number, digest, length) and the generation's canonical encoding. It
+is written under a temporary name, synced and renamed, so that a crash leaves either the old or the new file.
 """
 
 import os
@@ -25,7 +25,7 @@
 
 
 def decode(data: bytes) -> Generation:
-    """DamagedError says what is wrong with it."""
+    """Decode and verify a snapshot; raise DamagedError if it is damaged."""
     head, line_end, body = data.partition(b"\n")
     words = head.decode("latin-1").split(" ")
     if (
@@ -45,13 +45,13 @@
 
 
 def write(path: Path, generation: Generation) -> None:
-    """Write it to the disk. OSError where that does not take it."""
+    """Write and sync a snapshot at ``path``; raise OSError if the disk fails."""
     _write(path, encode(generation))
 
 
 def _write(path: Path, data: bytes) -> None:
     path.parent.mkdir(parents=True, exist_ok=True)
-    path.unlink(missing_ok=True)  # another file than any whose sync failed
+    path.unlink(missing_ok=True)  # Use a new file: after a failed sync the state of the old one is unknown
     with path.open("wb") as file:
         file.write(data)
         file.flush()
@@ -59,7 +59,7 @@
 
 
 def save(folder: Path, generation: Generation) -> None:
-    """Write it whole, as the one that ``load`` finds; where the disk does not take it the old one stays."""
+    """Replace the snapshot that ``load`` reads atomically; raise OSError and keep the old one on failure."""
     _save(folder, encode(generation))
 
 
@@ -69,15 +69,15 @@
         _write(candidate, data)
         adopt(candidate, folder)
     finally:
-        with suppress(OSError):  # of a disk that fails; the next one takes it away
+        with suppress(OSError):  # The disk failed; the next save of this process removes the file
             candidate.unlink(missing_ok=True)
 
 
 def keep_again(found: Iterable[Path], folder: Path, digest: str) -> bool:
-    """Save what is in force, which a disk did not keep, from the first of these files that still has it.
+    """Save the generation in force again, from the first file in ``found`` that holds ``digest``.
 
-    After a failed sync nothing is known of a file, or of a renaming: so it is another file, synced and
-    renamed anew. False: none of them has it any more. OSError: the disk still does not take it.
+    After a failed sync the state of a file or a rename is unknown, so the data goes to a new file, which is
+    synced and renamed. Returns False if no file holds the generation. Raises OSError if the disk fails again.
     """
     for path in found:
         try:
@@ -92,7 +92,7 @@
 
 
 def adopt(candidate: Path, folder: Path) -> None:
-    """Make what ``write`` has written the one that ``load`` finds; a crash leaves the old or the new."""
+    """Rename a file from ``write`` to the snapshot that ``load`` reads, and sync the folder."""
     os.replace(candidate, folder / NAME)
     listing = os.open(folder, os.O_RDONLY)
     try:
@@ -102,7 +102,7 @@
 
 
 def load(folder: Path) -> Generation:
-    """MissingError, DamagedError, or the last good generation."""
+    """Return the last good generation; raise MissingError if there is none, DamagedError if it is damaged."""
     try:
         with (folder / NAME).open("rb") as file:
             data = file.read(MOST_BYTES + 1)
--- a/beechrock/inventory/sources.py
+++ b/beechrock/inventory/sources.py
@@ -1,4 +1,4 @@
-"""Files to raw groups: one file, or a folder with YAML and CSV side by side, group_vars/ and host_vars/."""
+"""Reads inventory files into raw groups: one file, or a folder of YAML and CSV; group_vars/, host_vars/."""
 
 import os
 from collections.abc import Callable
@@ -9,8 +9,8 @@
 from beechrock.inventory.problems import Place, Problems
 from beechrock.inventory.raw import Raw
 
-MOST_FILES = 2_000
-MOST_BYTES = 64 << 20  # of all files together
+MOST_FILES = 2_000  # Maximum number of files
+MOST_BYTES = 64 << 20  # Maximum size of all files together
 READERS: dict[str, Callable[[str, str, Raw], None]] = {
     ".csv": csv_source.read,
     ".yaml": yaml_source.read,
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Files:
-    """Paths by what they are; ``group_vars`` and ``host_vars`` with the name that each is about."""
+    """Paths of an inventory by role; ``group_vars`` and ``host_vars`` pair each with its group or host."""
 
     inventories: tuple[Path, ...] = ()
     group_vars: tuple[tuple[str, Path], ...] = ()
@@ -33,12 +33,12 @@
 
 
 def _ignored(name: str) -> bool:
-    """What editors and tools leave beside a file while they write it."""
+    """Return whether a file name is that of a backup or temporary file of an editor or tool."""
     return name.startswith((".", "#", "~")) or name.endswith(("~", ".swp", ".tmp", ".bak", ".orig", ".retry"))
 
 
 def find(root: Path) -> Files:
-    """The files that ``root`` stands for, in a fixed order. OSError where it can't be looked at."""
+    """Return the files of the inventory at ``root`` in a fixed order; raise OSError if listing fails."""
     if not root.is_dir():
         beside = root.parent
         inventories: list[Path] = [root]
@@ -53,7 +53,7 @@
 
 
 def _vars_files(folder: Path) -> tuple[tuple[str, Path], ...]:
-    """NAME.yaml, NAME, or a folder NAME of such files."""
+    """Return (name, path) for each file NAME.yaml or NAME, and for each such file in a folder NAME."""
     found: list[tuple[str, Path]] = []
     if not folder.is_dir():
         return ()
@@ -74,7 +74,7 @@
 
 
 def read(root: Path, problems: Problems) -> Raw:
-    """All that the files under ``root`` say; what can't be read is a problem, and never an exception."""
+    """Read all files under ``root``; add a problem, not an exception, for each file that can't be read."""
     raw = Raw(problems)
     try:
         files = find(root)
@@ -99,13 +99,13 @@
     for name, path in files.group_vars:
         if (text := _text(path, left, problems)) is not None:
             left -= len(text)
-            told = yaml_source.read_vars(text, str(path), problems, f"group_vars.{name}")
-            raw.set_vars(raw.group(name, Place(str(path))).more_vars, told, f"group_vars.{name}")
+            variables = yaml_source.read_vars(text, str(path), problems, f"group_vars.{name}")
+            raw.set_vars(raw.group(name, Place(str(path))).more_vars, variables, f"group_vars.{name}")
     for name, path in files.host_vars:
         if (text := _text(path, left, problems)) is not None:
             left -= len(text)
-            told = yaml_source.read_vars(text, str(path), problems, f"host_vars.{name}")
-            raw.set_vars(raw.host_vars.setdefault(name, {}), told, f"host_vars.{name}")
+            variables = yaml_source.read_vars(text, str(path), problems, f"host_vars.{name}")
+            raw.set_vars(raw.host_vars.setdefault(name, {}), variables, f"host_vars.{name}")
     return raw
 
 
--- a/beechrock/inventory/terms.py
+++ b/beechrock/inventory/terms.py
@@ -1,4 +1,4 @@
-"""What contracts and budgets say, as plain data: one generation of it. Pure."""
+"""Terms of contracts and budgets in one generation, as plain data. Pure."""
 
 import math
 from collections.abc import Mapping
@@ -7,64 +7,70 @@
 
 from beechrock.inventory.hours import Hours
 
-Contract = tuple[str, str]  # team and service
-ROOT = ""  # the node above all departments
+Contract = tuple[str, str]  # Team and service
+ROOT = ""  # Name of the root group, above all departments
 MILLION = 1_000_000
 MOST_AMOUNT = 1e12
 
 
 def whole(amount: float) -> int:
-    """In millionths; rounded up, so that no price is nothing."""
+    """Convert an amount to millionths, rounded up so that a price above 0 is not rounded to 0."""
     return math.ceil(min(amount, MOST_AMOUNT) * MILLION - 1e-6)
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """What a budget's entry says; amounts in millionths."""
+    """A budget; ``amount`` is in millionths per period of ``period_s`` seconds."""
 
     amount: int
     period_s: float
-    per_cost: float = 0.0  # price of a second of work; 0: a start's price is what it costs
-    carry: float = 0.0  # part of the amount that may be carried over
-    soft: float = 1.0  # part of it beyond which the team is marked, and not turned away
+    per_cost: float = 0.0  # Price of a second of work; 0: each start costs its fixed price
+    carry: float = 0.0  # Share of the amount that may carry over to the next period
+    soft: float = (
+        1.0  # Share of the amount above which requests count as over the fair share, but are not rejected
+    )
     hard: bool = True
     warn: tuple[float, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """A contract: what one team may ask of one service. Units a second, and bodies' bytes a second."""
+    """A contract between a team and a service; rates are in units per second, bodies in bytes per second."""
 
     rate: float
     burst: float
     most: float = math.inf
     at_once: float = math.inf
     hours: Hours = field(default_factory=Hours)
-    outside: bool = True  # outside of its hours it may borrow
+    outside: bool = True  # Whether the team may borrow capacity outside of the contract's hours
     priority: int = 0
     borrows: bool = True
     bytes_per_s: float = math.inf
-    price: int = 0  # of a start, in millionths
+    price: int = 0  # Price of a start, in millionths
 
 
 @dataclass(frozen=True, slots=True)
 class Group:
-    """A team, or a department. Its rate is at least that of all below it."""
+    """A team or a department; its rate is at least the sum of the rates of its members."""
 
     rate: float
     burst: float
     most: float = math.inf
     at_once: float = math.inf
     borrows: bool = True
-    above: str = ROOT  # a team's department
-    weight: float = 1.0  # a team's, in the fair shares
-    budget: Plan | None = None  # a team's
-    connections: float = math.inf  # a team's, held at once
+    above: str = ROOT  # Department of a team
+    weight: float = 1.0  # Weight of a team in the fair shares
+    budget: Plan | None = None  # Budget of a team
+    connections: float = math.inf  # Maximum number of open connections of a team
 
 
 @dataclass(frozen=True, slots=True)
 class Terms:
-    """``slack_s``: of all cores' work, how far a team may be ahead of its share. ``cost_s``: first guess."""
+    """All terms of one node.
+
+    ``slack_s`` is the work, in seconds over all cores, by which a team may exceed its share. ``cost_s`` is
+    the initial estimate of a request's cost, in seconds.
+    """
 
     root: Group
     departments: Mapping[str, Group]
@@ -76,7 +82,7 @@
 
 
 def packed(terms: Terms) -> list[Any]:
-    """As JSON can hold them; None stands for no bound."""
+    """Convert terms to values that JSON can hold; None means no bound."""
     return [
         _packed(terms.root),
         {name: _packed(group) for name, group in terms.departments.items()},
@@ -89,7 +95,7 @@
 
 
 def _packed(one: object) -> list[Any]:
-    """The fields in order; a plan and hours as lists of their own."""
+    """Return the values of a dataclass in field order; a plan and hours become nested lists."""
     found: list[Any] = []
     for field_ in fields(one):  # type: ignore[arg-type]
         value = getattr(one, field_.name)
@@ -99,8 +105,8 @@
     return found
 
 
-def unpacked(told: list[Any]) -> Terms:
-    root, departments, teams, services, cores, slack_s, cost_s = told
+def unpacked(values: list[Any]) -> Terms:
+    root, departments, teams, services, cores, slack_s, cost_s = values
     return Terms(
         _group(root),
         {name: _group(one) for name, one in departments.items()},
@@ -116,8 +122,8 @@
     return math.inf if value is None else value
 
 
-def _group(told: list[Any]) -> Group:
-    rate, burst, most, at_once, borrows, above, weight, plan, connections = told
+def _group(values: list[Any]) -> Group:
+    rate, burst, most, at_once, borrows, above, weight, plan, connections = values
     budget = None
     if plan is not None:
         *numbers, warn = plan
@@ -128,8 +134,8 @@
     )
 
 
-def _service(told: list[Any]) -> Service:
-    rate, burst, most, at_once, hours, outside, priority, borrows, bytes_per_s, price = told
+def _service(values: list[Any]) -> Service:
+    rate, burst, most, at_once, hours, outside, priority, borrows, bytes_per_s, price = values
     held = Hours() if hours is None else Hours(tuple((a, b) for a, b in hours[0]), hours[1])
     return Service(
         rate,
--- a/beechrock/inventory/watch.py
+++ b/beechrock/inventory/watch.py
@@ -1,10 +1,10 @@
-"""When an inventory is read anew, and whether what was read is taken. Pure: told stamps, readings, times.
+"""Decides when to read the inventory again and whether to apply the result. Pure: events and times come in.
 
-States: STEADY, SETTLING (something is being written), READING, HELD (a good reading would remove so much that
-it must be confirmed). Events: ``Seen``, ``Word`` (the operator's), ``Done``, ``Undone``. Actions: ``Read``,
-``Take``, ``Refuse``, ``Hold``, ``Same``. Invariants: one reading at a time; nothing is taken that changed
-while it was read; a bad file is told of once; a held generation is taken only if a second reading,
-``confirm_s`` later, or the operator's word finds it again.
+States: STEADY, SETTLING (files are being written), READING, HELD (a valid result removes so many entries that
+it needs confirmation). Events: ``Seen``, ``Word`` (the operator's), ``Done``, ``Undone``. Actions: ``Read``,
+``Take``, ``Refuse``, ``Hold``, ``Same``. Invariants: only one read runs at a time; a result is not applied if
+files changed during the read; a bad file is reported once; a held generation is applied only if a second
+read, ``confirm_s`` later or at the operator's request, returns the same generation.
 """
 
 from dataclasses import dataclass
@@ -13,7 +13,7 @@
 from beechrock.inventory.generation import Generation
 from beechrock.inventory.plan import Change
 
-Stamp = tuple[tuple[object, ...], ...]  # of each file: name, device, inode, size, times
+Stamp = tuple[tuple[object, ...], ...]  # For each file: path, device, inode, size, mtime, ctime
 
 
 class State(Enum):
@@ -25,31 +25,31 @@
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """Seconds."""
+    """Intervals of the watch, in seconds."""
 
-    settle_s: float = 0.5
-    longest_s: float = 10.0  # what never settles is read all the same
-    confirm_s: float = 10.0
-    again_s: float = 5.0  # until what the node's own disk did not take is read again
+    settle_s: float = 0.5  # Time without changes before files are read
+    longest_s: float = 10.0  # Time after which files are read even if they keep changing
+    confirm_s: float = 10.0  # Time before a held change is read a second time
+    again_s: float = 5.0  # Time before a retry if the node's disk failed
 
 
 @dataclass(frozen=True, slots=True)
 class Seen:
-    """The files as they are now."""
+    """A stamp of the files as they are now."""
 
     stamp: Stamp
 
 
 @dataclass(frozen=True, slots=True)
 class Word:
-    """The operator asks to read now; of a change that is held it is the leave to take it."""
+    """The operator's request to read now, which also confirms a held change if it is read again."""
 
 
 @dataclass(frozen=True, slots=True)
 class Done:
-    """A reading: a generation and what it changes, or the lines of what is wrong; stamps before and after.
+    """Result of a read: a generation and its change, or the problems; stamps from before and after the read.
 
-    ``failed``: nothing is wrong with the files; the node's own disk did not take the reading.
+    ``failed`` means that the node's own disk failed and the files are not at fault.
     """
 
     found: Generation | None
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Undone:
-    """What was to be taken could not be: ``before`` goes on."""
+    """A generation could not be applied; ``before`` stays in force."""
 
     before: Generation
     why: str
@@ -75,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Take:
-    """``before`` is the one in force until then, for an owner that can't do it."""
+    """Apply ``new``; the owner reports ``Undone`` with ``before``, the generation in force, if it can't."""
 
     new: Generation
     change: Change
@@ -95,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Same:
-    """The files changed, and say the same as before."""
+    """The files changed but their content means the same as the generation in force."""
 
 
 Event = Seen | Word | Done | Undone
@@ -103,17 +103,17 @@
 
 
 class Watch:
-    """``take`` is told what happened; ``running`` is the generation that the node goes by."""
+    """State machine: ``take`` handles an event; ``running`` is the generation in force."""
 
     def __init__(self, rules: Rules, running: Generation, stamp: Stamp) -> None:
         self.rules, self.running, self.stamp = rules, running, stamp
         self.state = State.STEADY
-        self.problems: tuple[str, ...] = ()  # of the last bad reading, until a good one
+        self.problems: tuple[str, ...] = ()  # Problems of the last read; empty after a good one
         self._candidate, self._since, self._started = stamp, 0.0, 0.0
-        self._held: str | None = None  # digest of what waits to be confirmed
+        self._held: str | None = None  # Digest of the generation that waits for confirmation
         self._held_at = 0.0
-        self._again_at: float | None = None  # a reading that the node's own disk did not take
-        self._word = self._again = False
+        self._retry_at: float | None = None  # Time of the retry after a failure of the node's disk
+        self._requested = self._reread = False
 
     def take(self, now: float, event: Event) -> list[Action]:
         match event:
@@ -121,9 +121,9 @@
                 return self._seen(now, stamp)
             case Word():
                 if self.state is State.READING:
-                    self._again = True  # the reading under way began before this
+                    self._reread = True  # The running read started before this request
                     return []
-                self._word = True
+                self._requested = True
                 return self._read()
             case Undone(before, why):
                 self.running = before
@@ -132,7 +132,7 @@
                 return self._done(now, event) if self.state is State.READING else []
 
     def _read(self) -> list[Action]:
-        self.state, self._again_at = State.READING, None
+        self.state, self._retry_at = State.READING, None
         return [Read()]
 
     def _seen(self, now: float, stamp: Stamp) -> list[Action]:
@@ -142,7 +142,7 @@
                 self._started = now
             case State.HELD if now - self._held_at >= self.rules.confirm_s:
                 return self._read()
-            case State.STEADY if self._again_at is not None and now >= self._again_at:
+            case State.STEADY if self._retry_at is not None and now >= self._retry_at:
                 return self._read()
             case State.SETTLING if stamp != self._candidate:
                 self._settle(now, stamp)
@@ -156,19 +156,19 @@
         self.state, self._candidate, self._since = State.SETTLING, stamp, now
 
     def _done(self, now: float, done: Done) -> list[Action]:
-        word, self._word = self._word, False
-        if self._again:
-            self._again, self._word = False, True
+        requested, self._requested = self._requested, False
+        if self._reread:
+            self._reread, self._requested = False, True
             return self._read()
         if done.before != done.after:
-            # Seen in a test that swaps files while they are read: half of the old, half of the new.
+            # Files were swapped during the read, so the result may mix old and new files.
             self._settle(now, done.after)
             return []
         self.stamp = done.after
         if done.found is None or done.change is None:
-            told, self._again_at = self.problems, now + self.rules.again_s if done.failed else None
+            last_problems, self._retry_at = self.problems, now + self.rules.again_s if done.failed else None
             refused = self._refuse(done.problems)
-            return [] if done.failed and told == done.problems else refused  # told of once
+            return [] if done.failed and last_problems == done.problems else refused  # Reported once
         self.problems = ()
         if done.found.digest == self.running.digest:
             self.state, self._held = State.STEADY, None
@@ -176,12 +176,12 @@
         change = done.change
         if change.refused:
             return self._refuse(change.refused)
-        again = done.found.digest == self._held
-        if change.held and not (again and (word or now - self._held_at >= self.rules.confirm_s)):
-            if not again:
+        is_held = done.found.digest == self._held
+        if change.held and not (is_held and (requested or now - self._held_at >= self.rules.confirm_s)):
+            if not is_held:
                 self._held, self._held_at = done.found.digest, now
             self.state = State.HELD
-            return [] if again else [Hold(done.found, change)]
+            return [] if is_held else [Hold(done.found, change)]
         before, self.running = self.running, done.found
         self.state, self._held = State.STEADY, None
         return [Take(done.found, change, before)]
--- a/beechrock/inventory/yaml_source.py
+++ b/beechrock/inventory/yaml_source.py
@@ -1,6 +1,6 @@
-"""YAML as configuration tools keep it, read from the parser's events: lines are kept, and all is bounded.
+"""Reads YAML inventories from parser events, with line numbers and with bounds on size and depth.
 
-Nodes hold what they expand to, so that aliases of aliases meet the bound and not the memory.
+Each node counts the values that it expands to, so that nested aliases hit the bound before they use memory.
 """
 
 import sys
@@ -11,15 +11,17 @@
 from beechrock.inventory.problems import Place, Problems, nearest, shown
 from beechrock.inventory.raw import MOST_VARS, Group, Raw, Told, Vars
 
-MOST_NODES = 8_000_000  # of one file, with aliases expanded
-MOST_DEPTH = 40
+MOST_NODES = 8_000_000  # Maximum number of values in one file, with aliases expanded
+MOST_DEPTH = 40  # Maximum nesting depth
 TAGS = (None, "!", *(f"tag:yaml.org,2002:{kind}" for kind in ("str", "map", "seq")))
 PARTS = ("hosts", "vars", "children")
-Parser: Any = getattr(sys.modules.get("yaml._yaml"), "CParser", None)  # 20 times as fast
+Parser: Any = getattr(
+    sys.modules.get("yaml._yaml"), "CParser", None
+)  # libyaml, 20 times as fast as _PyParser
 
 
 class _PyParser(yaml.reader.Reader, yaml.scanner.Scanner, yaml.parser.Parser):
-    """Where PyYAML was built without its C part."""
+    """Pure Python parser, used if PyYAML was built without libyaml."""
 
     def __init__(self, text: str) -> None:
         yaml.reader.Reader.__init__(self, text)
@@ -28,7 +30,7 @@
 
 
 class Node:
-    """A scalar, a list of nodes or a mapping of them; ``size`` counts what it expands to."""
+    """A scalar, a list of nodes or a mapping of nodes; ``size`` counts its values with aliases expanded."""
 
     __slots__ = ("line", "size", "value")
 
@@ -47,7 +49,7 @@
 
 
 class _Builder:
-    """Nodes from events. A key that stands twice is a problem, and not silently the last one."""
+    """Builds nodes from parser events; a duplicate key is a problem and does not override the first."""
 
     def __init__(self, text: str, file: str, problems: Problems) -> None:
         self.parser = (Parser or _PyParser)(text)
@@ -62,11 +64,11 @@
 
     def document(self) -> Node | None:
         next_event = self._event
-        next_event()  # the stream's start
+        next_event()  # Start of the stream
         if isinstance(next_event(), yaml.StreamEndEvent):
             return None
         root = self._node(next_event(), 0)
-        next_event()  # the document's end
+        next_event()  # End of the document
         event = next_event()
         if not isinstance(event, yaml.StreamEndEvent):
             raise _BadError(_line(event), "a second document; one is wanted")
@@ -115,7 +117,7 @@
                 return self.made.construct_yaml_int(node)
             case "float":
                 return self.made.construct_yaml_float(node)
-        return text  # dates and the like are words here
+        return text  # Other types, such as dates, stay text
 
     def _grown(self, size: int, more: Node) -> int:
         size += more.size
@@ -160,13 +162,13 @@
 
 
 def tree(text: str, file: str, problems: Problems) -> Node | None:
-    """The whole document, or None where it is empty or can't be read, which is then a problem."""
+    """Parse the document; return None if it is empty, or if it is invalid, which adds a problem."""
     try:
         return _Builder(text, file, problems).document()
     except _BadError as error:
         problems.add(Place(file, error.line), "", "", f"not YAML that is taken: {error}")
     except yaml.MarkedYAMLError as error:
-        mark: Any = error.problem_mark or error.context_mark  # of the Python or of the C parser
+        mark: Any = error.problem_mark or error.context_mark  # The two parsers fill in different marks
         what = str(error.problem or error.context)
         if error.context and "quoted scalar" in error.context and "end of stream" in what:
             mark, what = error.context_mark or mark, "a quote is never closed"
@@ -185,11 +187,11 @@
     return mark.line < len(lines) and "\t" in lines[mark.line][: mark.column + 1]
 
 
-# --- into groups and hosts
+# --- Conversion to groups and hosts
 
 
 def read(text: str, file: str, raw: Raw) -> None:
-    """Add what an inventory in YAML says: each key at the top is a group."""
+    """Add a YAML inventory to ``raw``; each top-level key is a group."""
     root = tree(text, file, raw.problems)
     if root is None:
         return
@@ -198,7 +200,7 @@
 
 
 def read_vars(text: str, file: str, problems: Problems, entry: str) -> Vars:
-    """What a file under group_vars/ or host_vars/ says."""
+    """Return the variables in a file of group_vars/ or host_vars/."""
     root = tree(text, file, problems)
     return {} if root is None else _vars(root, entry, file, problems)
 
@@ -216,8 +218,8 @@
     for part, node in _mapping(body, group.name, file, raw).items():
         place = Place(file, node.line)
         if part == "vars":
-            told = _vars(node, f"{group.name}.vars", file, raw.problems)
-            raw.set_vars(group.vars, told, f"{group.name}.vars")
+            variables = _vars(node, f"{group.name}.vars", file, raw.problems)
+            raw.set_vars(group.vars, variables, f"{group.name}.vars")
         elif part == "hosts":
             for name, host in _mapping(node, f"{group.name}.hosts", file, raw).items():
                 entry = f"{group.name}.{name}"
@@ -242,7 +244,7 @@
 
 
 def _plain(node: Node) -> Any:
-    """A variable's value without its lines: a scalar, or a list; no variable of ours is deeper."""
+    """Return a variable's value without line numbers: a scalar, or a list; no variable is nested deeper."""
     if isinstance(node.value, list):
         return [None if isinstance(part.value, (list, dict)) else part.value for part in node.value]
     return node.value if not isinstance(node.value, dict) else {key: None for key in node.value}
