--- a/beechrock/config/__init__.py
+++ b/beechrock/config/__init__.py
@@ -1,7 +1,8 @@
-"""Decides what a node is told: by its environment, LB_CONFIG, and the operator's file; all of it checked.
+"""Reads and checks a node's configuration: its environment, the file of LB_CONFIG and the operator's file.
 
-``told`` is the data, ``checks`` what a key may hold, ``operator`` the operator's file, ``platform`` the rest.
-It imports the decisions' settings, and an inventory only where the SCGI front is on.
+``told`` has the data classes, ``checks`` the checks of values, ``operator`` the operator's file, ``platform``
+the environment and LB_CONFIG. Imports the settings of the decision module, and the inventory only if the SCGI
+front end is on.
 """
 
 from beechrock.config.errors import ConfigError
--- a/beechrock/config/checks.py
+++ b/beechrock/config/checks.py
@@ -1,6 +1,6 @@
-"""What a key may hold, and what an operator hears of one that holds something else.
+"""Checks configuration values and raises ConfigError for those that are invalid.
 
-``where`` is the file or variable, and the keys down to the one that is meant.
+``where`` names the file or variable and the path of keys to the value.
 """
 
 import os
@@ -14,25 +14,25 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
-LARGEST = 1e12  # of any number: what is told beyond, and infinity, only shows later
+LARGEST = 1e12  # Upper bound of every number; a larger or infinite one would fail only later
 KEY_FILE = "make one: head -c 32 /dev/urandom | base64 > FILE; each process of the fleet needs the same"
 
 
-def known(told: Mapping[str, Any], keys: set[str], where: str) -> bool:
-    """Whether a part of the operator's file is on; its keys are checked either way."""
-    for key in told:
+def known(table: Mapping[str, Any], keys: set[str], where: str) -> bool:
+    """Return whether a table of the operator's file is enabled; reject unknown keys either way."""
+    for key in table:
         if key not in keys:
             raise ConfigError(
                 "unknown key", where=f"{where}: {key}", wanted=f"one of {', '.join(sorted(keys))}"
             )
-    on = told.get("enabled", False)
+    on = table.get("enabled", False)
     if not isinstance(on, bool):
         raise ConfigError(f"{on!r} is neither true nor false", where=f"{where}: enabled")
     return on
 
 
 def secret(root: "Path", file: object, where: str) -> bytes:
-    """What a key file holds, of at least 16 bytes."""
+    """Return the secret in a key file; raise ConfigError if it has fewer than 16 bytes."""
     if not isinstance(file, str) or not file:
         raise ConfigError("the path of a file is needed", where=f"{where}: key_file", do=KEY_FILE)
     try:
@@ -54,15 +54,15 @@
     name: str,
     keys: set[str],
 ) -> tuple[dict[str, Any], str] | None:
-    """A table of the operator's file and where it stands; None unless it is enabled."""
-    told, where = operators.get(name, {}), f"{path}: {name}"
-    if not isinstance(told, dict):
+    """Return a table of the operator's file and its location for messages; None unless it is enabled."""
+    table, where = operators.get(name, {}), f"{path}: {name}"
+    if not isinstance(table, dict):
         raise ConfigError("not a table", where=where, wanted=f"[{name}] and its keys")
-    return (told, where) if known(told, keys, where) else None
+    return (table, where) if known(table, keys, where) else None
 
 
 def address(value: object, where: str, least: int = 1) -> Address:
-    """HOST:PORT; where we listen, port 0 stands for any free one."""
+    """Parse HOST:PORT; ``least`` is the lowest port, 0 for listeners, where it means any free port."""
     host, _, port = value.rpartition(":") if isinstance(value, str) else ("", "", "")
     if not host or not (port.isascii() and port.isdigit()) or not least <= int(port) < 65536:
         raise ConfigError(
@@ -74,7 +74,7 @@
 
 
 def inherited(text: str, address: Address) -> int:
-    """The descriptor of a listening socket that was made for us, at the address that we are told."""
+    """Return the descriptor of an inherited listening socket, checked against the configured address."""
     where = f"LB_LISTEN_FD {text!r}"
     if not (text.isascii() and text.isdigit()):
         raise ConfigError("not the number of a descriptor", where=where)
@@ -96,9 +96,12 @@
     return int(text)
 
 
-def number(told: Mapping[str, Any], key: str, default: float, where: str) -> float:
-    """A number above 0; null is as absent. Seen: an infinite one ended the start in a traceback."""
-    value = told.get(key)
+def number(table: Mapping[str, Any], key: str, default: float, where: str) -> float:
+    """Return a number above 0, or the default if it is absent or null.
+
+    Infinity is rejected: it made the start fail with a traceback.
+    """
+    value = table.get(key)
     if value is None:
         return default
     if isinstance(value, bool) or not isinstance(value, (int, float)) or not 0 < value <= LARGEST:
--- a/beechrock/config/errors.py
+++ b/beechrock/config/errors.py
@@ -1,4 +1,4 @@
-"""What an operator hears of a configuration that can't be used."""
+"""Error for a configuration that can't be used; operators see its message."""
 
 from typing import ClassVar
 
--- a/beechrock/config/operator.py
+++ b/beechrock/config/operator.py
@@ -1,4 +1,4 @@
-"""The operator's file (TOML): the SCGI front, the record, the membership, and the fleet's parts."""
+"""Reads the operator's file (TOML): the SCGI front end, the trace, the membership and the fleet's parts."""
 
 import re
 import tomllib
@@ -9,7 +9,7 @@
 from beechrock.config.errors import ConfigError
 from beechrock.config.told import CONFIRM_S, MOST_REMOVED, SETTLE_S, WATCH_S, Scgi, Trace
 
-if TYPE_CHECKING:  # pathlib brings urllib and ipaddress, and is loaded where a table that needs it is on
+if TYPE_CHECKING:  # pathlib imports urllib and ipaddress, so it is loaded only for a table that needs it
     from pathlib import Path
 
     from beechrock.inventory.generation import Generation
@@ -35,7 +35,7 @@
 
 
 def read(path: str) -> dict[str, Any]:
-    """The operator's file; no file says nothing."""
+    """Parse the operator's file; return an empty table if there is no file."""
     try:
         with open(path) as file:
             return tomllib.loads(file.read())
@@ -46,7 +46,7 @@
 
 
 def line_of(text: str, keys: list[str]) -> int:
-    """The line that holds most of these keys, from the outermost; 0 where none does. For people's eyes."""
+    """Return the line that matches the longest prefix of ``keys``, or 0; used only in messages."""
     wanted = [key.partition("[")[0] for key in keys]
     best, line, tables = 0, 0, list[str]()
     for at, content in enumerate(text.splitlines(), 1):
@@ -62,7 +62,7 @@
 
 
 def lined(where: str, path: str) -> str:
-    """``FILE: key`` as ``FILE:LINE: key``, where the line is found."""
+    """Change ``FILE: key`` to ``FILE:LINE: key`` if the line is found."""
     if not where.startswith(f"{path}: "):
         return where
     keys = where[len(f"{path}: ") :].split(": ")
@@ -79,21 +79,21 @@
         return None
     from pathlib import Path
 
-    told, where = table
-    if not isinstance(told.get("folder"), str) or not told["folder"]:
+    values, where = table
+    if not isinstance(values.get("folder"), str) or not values["folder"]:
         raise ConfigError("the path of a folder is needed", where=f"{where}: folder")
-    sample = number(told, "sample", 1.0, where)
+    sample = number(values, "sample", 1.0, where)
     if sample > 1:
         raise ConfigError(f"{sample:g} is a part, and above 1", where=f"{where}: sample")
     key = None
-    if told.get("key_file") is not None:
-        key = secret(Path(root), told["key_file"], where)
+    if values.get("key_file") is not None:
+        key = secret(Path(root), values["key_file"], where)
     defaults = Trace(Path())
     numbers = {
-        name: number(told, name, getattr(defaults, name), where)
+        name: number(values, name, getattr(defaults, name), where)
         for name in ("segment_mb", "segment_s", "most_mb", "flush_s")
     }
-    return Trace(Path(root) / told["folder"], sample, key, **numbers)
+    return Trace(Path(root) / values["folder"], sample, key, **numbers)
 
 
 def members(path: str, operators: dict[str, Any], root: str) -> "MembersSettings | None":
@@ -109,13 +109,13 @@
         return None
     from pathlib import Path
 
-    beside = operators.get("fleet")  # its hall holds for the membership too, unless told here
-    hall = beside.get("hall", "") if isinstance(beside, dict) else ""
+    fleet_table = operators.get("fleet")  # Its hall is the default for the membership
+    hall = fleet_table.get("hall", "") if isinstance(fleet_table, dict) else ""
     return settings.read({"hall": hall, **table[0]}, table[1], Path(root))
 
 
 def fleet(path: str, operators: dict[str, Any], root: str) -> dict[str, object]:
-    """Those of the fleet's parts that are on; each part's own package checks its table."""
+    """Return the settings of each enabled part of the fleet; the part's package checks its table."""
     found: dict[str, object] = {}
     for name in parts.TABLES:
         if not operators.get(name):
@@ -141,31 +141,31 @@
     return found
 
 
-def scgi(path: str, told: dict[str, Any], root: str, running: "Generation | None") -> Scgi | None:
-    """The SCGI front; no file, like ``enabled = false``, keeps it off."""
-    if not known(told, SCGI_KEYS, path):
+def scgi(path: str, values: dict[str, Any], root: str, running: "Generation | None") -> Scgi | None:
+    """Return the settings of the SCGI front end, or None if there is no file or ``enabled`` is not true."""
+    if not known(values, SCGI_KEYS, path):
         return None
     from pathlib import Path
 
-    if not isinstance(told.get("inventory"), str):
+    if not isinstance(values.get("inventory"), str):
         raise ConfigError("the path of a file is needed", where=f"{path}: inventory")
-    if told.get("log", "text") not in LOG_FORMS:
-        raise ConfigError(f"{told['log']!r} is none of {', '.join(LOG_FORMS)}", where=f"{path}: log")
-    state = told.get("state")
+    if values.get("log", "text") not in LOG_FORMS:
+        raise ConfigError(f"{values['log']!r} is none of {', '.join(LOG_FORMS)}", where=f"{path}: log")
+    state = values.get("state")
     if state is not None and (not isinstance(state, str) or not state):
         raise ConfigError("the path of a folder is needed", where=f"{path}: state")
-    most_removed = number(told, "most_removed", MOST_REMOVED, path)
+    most_removed = number(values, "most_removed", MOST_REMOVED, path)
     if most_removed > 1:
         raise ConfigError(f"{most_removed:g} is a part, and above 1", where=f"{path}: most_removed")
     folder = Path(root) / state if state else None
-    source = Path(root) / told["inventory"]
-    listen = address(told.get("listen"), f"{path}: listen", 0)
-    watch_s = number(told, "watch_s", WATCH_S, path)
-    settle_s = number(told, "settle_s", SETTLE_S, path)
-    confirm_s = number(told, "confirm_s", CONFIRM_S, path)
+    source = Path(root) / values["inventory"]
+    listen = address(values.get("listen"), f"{path}: listen", 0)
+    watch_s = number(values, "watch_s", WATCH_S, path)
+    settle_s = number(values, "settle_s", SETTLE_S, path)
+    confirm_s = number(values, "confirm_s", CONFIRM_S, path)
     notes: tuple[str, ...] = ()
     if running is None:
-        far = "" if Path(told["inventory"]).is_absolute() else f"relative paths are taken from {root}"
+        far = "" if Path(values["inventory"]).is_absolute() else f"relative paths are taken from {root}"
         running, notes = _inventory(path, source, folder, far if not source.exists() else "")
     return Scgi(
         listen,
@@ -173,7 +173,7 @@
         running,
         folder,
         notes,
-        told.get("log", "text"),
+        values.get("log", "text"),
         watch_s,
         settle_s,
         confirm_s,
@@ -187,7 +187,10 @@
     folder: "Path | None",
     do: str,
 ) -> "tuple[Generation, tuple[str, ...]]":
-    """What the files say now; where they are broken, the last good generation of the state folder."""
+    """Return the generation of the files, or the last good one of the state folder if the files are broken.
+
+    The second value holds notes for the start: a damaged snapshot, and warnings and errors of the files.
+    """
     try:
         from beechrock.inventory import generation, model, snapshot
         from beechrock.inventory.errors import DamagedError, MissingError
@@ -211,8 +214,8 @@
         new = generation.from_checked(1, *found)
         number = 1 if last is None else last.number + (last.digest != new.digest)
         return generation.from_checked(number, *found), tuple(notes + problems.lines())
-    told = "\n".join(problems.lines() + notes)
+    problem_text = "\n".join(problems.lines() + notes)
     if last is None:
-        raise ConfigError(f"it can not be used:\n{told}", where=f"{path}: inventory", do=do)
+        raise ConfigError(f"it can not be used:\n{problem_text}", where=f"{path}: inventory", do=do)
     served = f"the inventory is broken; generation {last} of the state folder is served"
-    return last, (served, *told.split("\n"))
+    return last, (served, *problem_text.split("\n"))
--- a/beechrock/config/told.py
+++ b/beechrock/config/told.py
@@ -1,11 +1,11 @@
-"""All that a node can be told, as it was read and checked."""
+"""Data classes of a node's configuration, after it was read and checked."""
 
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Any
 
 from beechrock.interface import Settings
 
-if TYPE_CHECKING:  # read only where the SCGI front is on: PyYAML, pathlib and the rest cost memory
+if TYPE_CHECKING:  # Imported only if the SCGI front end is on, as PyYAML and pathlib cost memory
     from pathlib import Path
 
     from beechrock.inventory.generation import Generation
@@ -16,36 +16,36 @@
 
 @dataclass(frozen=True, slots=True)
 class Scgi:
-    """The SCGI front, where it is on."""
+    """Settings of the SCGI front end and of its inventory."""
 
     listen: Address
-    path: "Path"  # of the inventory: a file, or a folder
-    generation: "Generation"  # as it was read
-    state: "Path | None" = None  # where the last good generation is kept
-    notes: tuple[str, ...] = field(default=(), compare=False)  # what there is to say of the start
+    path: "Path"  # Inventory file or folder
+    generation: "Generation"  # Generation in force at the start
+    state: "Path | None" = None  # Folder that stores the last good generation
+    notes: tuple[str, ...] = field(default=(), compare=False)  # Warnings to log at the start
     log: str = "text"
-    watch_s: float = WATCH_S  # the files are looked at so often
-    settle_s: float = SETTLE_S  # they must have stood still for so long
-    confirm_s: float = CONFIRM_S  # after which a large removal is read a second time
-    most_removed: float = MOST_REMOVED  # part of a kind of entries that may go unconfirmed
+    watch_s: float = WATCH_S  # Seconds between checks of the files
+    settle_s: float = SETTLE_S  # Seconds without changes before files are read
+    confirm_s: float = CONFIRM_S  # Seconds before a large removal is read a second time
+    most_removed: float = MOST_REMOVED  # Share of the entries of a kind whose removal needs no confirmation
 
 
 @dataclass(frozen=True, slots=True)
 class Trace:
-    """What is recorded, where the operator's file turns that on."""
+    """Settings of the trace recorder."""
 
     folder: "Path"
-    sample: float = 1.0  # part of the requests; below 1 nothing can be played again
-    key: bytes | None = None  # hides subjects and keys at the source
-    segment_mb: float = 64.0
-    segment_s: float = 3600.0
-    most_mb: float = 1024.0  # of all files together; the oldest go
-    flush_s: float = 1.0
+    sample: float = 1.0  # Share of requests that are recorded; below 1 the trace can't be replayed
+    key: bytes | None = None  # Secret for hashing subjects and keys before they are recorded
+    segment_mb: float = 64.0  # Size at which a new segment file is started
+    segment_s: float = 3600.0  # Age at which a new segment file is started
+    most_mb: float = 1024.0  # Maximum size of all files together; the oldest are deleted
+    flush_s: float = 1.0  # Maximum seconds that rows wait before they are written
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """All that a node is told; without LB_CONFIG there is no ``listen`` and no ``agent``."""
+    """Configuration of a node; without LB_CONFIG, ``listen`` and ``agent`` are None."""
 
     name: str
     listen: Address | None
@@ -60,10 +60,10 @@
     gauges: tuple[str, ...]
     scgi: Scgi | None
     trace: Trace | None = None
-    members: Any = None  # ``members.settings.MembersSettings``, where that table is on
-    admin: Address | None = None  # the operators' second address
-    admin_at: str = field(default="", compare=False)  # where that was told
-    listen_fd: int | None = None  # the listening socket that the platform holds for us
-    handover: "Path | None" = None  # with it: the folder that this node's processes share
-    raw: dict[str, Any] | None = None  # the platform's own settings, under those of an inventory
-    parts: dict[str, object] = field(default_factory=dict)  # by table: what each part of the fleet is told
+    members: Any = None  # ``members.settings.MembersSettings`` if that table is enabled, else None
+    admin: Address | None = None  # Address of the admin listener
+    admin_at: str = field(default="", compare=False)  # Source of ``admin``, for messages
+    listen_fd: int | None = None  # Inherited listening socket, which the platform keeps open
+    handover: "Path | None" = None  # With ``listen_fd``: folder shared by the node's processes
+    raw: dict[str, Any] | None = None  # Settings of LB_CONFIG, which those of an inventory override
+    parts: dict[str, object] = field(default_factory=dict)  # Settings of each enabled part, by table
