--- a/beechrock/inventory/generation.py
+++ b/beechrock/inventory/generation.py
@@ -26,7 +26,7 @@
     """One version of the inventory; ``number`` increases within a node's life and its state folder.
 
     ``digest`` covers the content alone, not the number. A node in service keeps ``meaning`` but not the
-    entries, to save memory: the entries are in the file that the reader process compares with.
+    entries: those are in the file that the reader process compares with.
     """
 
     number: int
--- a/beechrock/inventory/snapshot.py
+++ b/beechrock/inventory/snapshot.py
@@ -102,7 +102,7 @@
 
 
 def load(folder: Path) -> Generation:
-    """Return the last good generation; raise MissingError if there is none, DamagedError if it is damaged."""
+    """Return the last good generation; raise MissingError if absent, DamagedError if it is unusable."""
     try:
         with (folder / NAME).open("rb") as file:
             data = file.read(MOST_BYTES + 1)
--- a/tests/samples/conftest.py
+++ b/tests/samples/conftest.py
@@ -1,5 +1,5 @@
 import sys
 from pathlib import Path
 
-# The helper modules of this folder.
+# Make the helper modules of this folder importable.
 sys.path.insert(0, str(Path(__file__).parent))
--- a/tests/samples/sample_files.py
+++ b/tests/samples/sample_files.py
@@ -1,7 +1,7 @@
-"""Where the samples lie, and how they are read and compared.
+"""Paths of the sample files, and functions that read and compare them.
 
-A sample is a file in tests/data/PACKAGE that a former tree has written. Tests read these bytes; they never
-write them anew in place.
+A sample is a file in tests/data/PACKAGE that an earlier version wrote. Tests read samples and never
+overwrite them.
 """
 
 import itertools
--- a/tests/samples/test_agree_samples.py
+++ b/tests/samples/test_agree_samples.py
@@ -1,4 +1,4 @@
-"""Messages of the agreed log, its journal and the snapshot of its machines, as an earlier tree wrote them."""
+"""Messages of the agreed log, its journal and the snapshot of its machines, from an earlier version."""
 
 import asyncio
 from pathlib import Path
@@ -60,7 +60,7 @@
 
 
 class BytesMachine:
-    """Keeps its last command."""
+    """State machine whose state is the last command."""
 
     def __init__(self) -> None:
         self.state = b""
@@ -77,7 +77,7 @@
 
 
 async def write_journal(folder: Path) -> None:
-    """A whole state at entry 2 of the log, then two records."""
+    """Write a snapshot at entry 2 of the log, then two records."""
     with fixed_random():
         disk = Disk(Files(folder), MAX_BYTES)
     written: asyncio.Queue[int] = asyncio.Queue()
--- a/tests/samples/test_duties_samples.py
+++ b/tests/samples/test_duties_samples.py
@@ -1,4 +1,4 @@
-"""Messages about duties, and what the log and the disk hold of them, as an earlier tree wrote them."""
+"""Messages about duties, and their commands and files, as an earlier version wrote them."""
 
 from pathlib import Path
 from unittest.mock import patch
@@ -39,7 +39,7 @@
     "renewal reply": RenewalReply(7, LIFE, (RenewedLease(3, 2.0),), (4, 5), True),
     "move request": MoveRequest("index"),
 }
-# In the order of the log, from index 1 on; by name what each gives.
+# Commands in the order of the log, from index 1, by a descriptive name.
 COMMANDS: dict[str, bytes] = {
     "declare": grants.declare(FLEET_DUTY),
     "declare of a hall": grants.declare(HALL_DUTY),
@@ -57,13 +57,13 @@
 
 
 def write_fences(files: Files) -> None:
-    """One store with entries alone; one with a snapshot and an entry after it."""
+    """Write one store with entries only, and one with a snapshot and a later entry."""
     with fixed_random():
         few = Fences(Store.open(files, FENCES_PREFIX))
         for fence in (3, 5, 9):
             assert few.accept("index", fence)
         assert few.accept("cool", 6)
-        # The product's number would make the sample 50 KB.
+        # With the default number of entries the sample would have 50 KB.
         with patch.object(fences, "SNAPSHOT_ENTRIES", 2):
             many = Fences(Store.open(files, COMPACTED_PREFIX))
             for fence in (2, 4, 8, 16):
--- a/tests/samples/test_edges_member_samples.py
+++ b/tests/samples/test_edges_member_samples.py
@@ -1,4 +1,4 @@
-"""The queue that a member of an edge keeps on its disk, as an earlier tree wrote it."""
+"""The queue that a member of an edge keeps on its disk, as an earlier version wrote it."""
 
 from pathlib import Path
 
@@ -15,7 +15,7 @@
 PREFIX = "edge"
 WRITER = "north/n1/life1"
 NOW_S, UNIX_S = 5.0, 1_700_000_000.0
-LARGE = bytes(3000)  # once it has ended the log is worth compacting
+LARGE = bytes(3000)  # Large enough that the log is compacted once the write has ended
 DOTS = [Dot(WRITER, n) for n in range(1, 6)]
 SHARES = {"packagers": 0.5, "readers": 0.5}
 WRITES = (
@@ -35,7 +35,7 @@
 
 
 def write(folder: Path) -> None:
-    """Writes that wait behind a cut link; some end, then the log is compacted, and goes on."""
+    """Queue writes while the link is cut, end some of them, compact the log, then append more."""
     files = Files(folder)
     with fixed_random():
         store = Store.open(files, PREFIX)
@@ -54,7 +54,7 @@
 
 
 def opened(folder: Path) -> Edge:
-    """A later life of the member, from the files."""
+    """Open the files as a later incarnation of the member does."""
     store = Store.open(Files(sample_copy(SAMPLE, folder)), PREFIX)
     member, saved = edge("life2", store), store.snapshot()
     assert saved is not None
@@ -90,7 +90,7 @@
         keep_s=600.0,
         accepted_at=UNIX_S,
     )
-    # The second write of its subject comes after the first one.
+    # The second write of a subject depends on the first.
     assert fourth.seen == Seen(frozenset((DOTS[2],)), {}, {WRITER: 3}, 1)
     assert (fourth.body, fourth.when_gone) == (b"four", WhenGone.CASCADE)
     assert (fifth.dot, fifth.body, fifth.seen) == (DOTS[4], b"five", Seen())
--- a/tests/samples/test_edges_messages_samples.py
+++ b/tests/samples/test_edges_messages_samples.py
@@ -1,4 +1,4 @@
-"""What members of an edge and upstream say to one another, and tokens, as an earlier tree wrote them."""
+"""Messages between the members of an edge and upstream, and tokens, as an earlier version wrote them."""
 
 from pathlib import Path
 
@@ -57,7 +57,7 @@
 }
 TOKENS = {"one write": Token(Seen(frozenset((Dot(WRITER, 4),)), {}, {WRITER: 4}, 6), ("n1", "n2"))}
 SPANS = {WRITER: [[1, 4], [7, 9]]}
-# Whoever reads a message finds lists inside its fields, so the values here have lists there too.
+# Decoding a message gives lists inside its fields, so the values here use lists too.
 MESSAGES: dict[str, Word] = {
     "copy": Copy((ENTRIES["plain"].pack(), ENTRIES["after others"].pack())),
     "copied": Copied(([WRITER, 1], [WRITER, 4]), b"mark"),  # type: ignore[arg-type]
--- a/tests/samples/test_edges_upstream_samples.py
+++ b/tests/samples/test_edges_upstream_samples.py
@@ -1,4 +1,4 @@
-"""Upstream's marks on the disk, of one node and of one among several, as an earlier tree wrote them."""
+"""Upstream's marks on the disk, of one node and of one among several, as an earlier version wrote them."""
 
 from pathlib import Path
 
@@ -48,7 +48,7 @@
 
 
 def lived(marks: Marks) -> list[bytes]:
-    """A life that is over and closed, one that is over, and one that was called over too early."""
+    """Mark three incarnations: one over and closed, one over, and one declared over too early."""
     records = [marks.end(entry(1, writer), State.APPLIED) for writer in (CLOSED, OVER, "south/s2/life2")]
     marks.lives["north/n2"] = "north/n2/life2"
     records += marks.sweep(NOW_S)
@@ -59,7 +59,7 @@
 
 
 def marked(marks: Marks) -> list[bytes]:
-    """Each end that a write can come to; the last one is under way."""
+    """Mark a write for each final state; the last write is still running."""
     judged = [entry(n) for n in range(8)]
     third, fourth = judged[3], judged[4]
     fence = marks.fence("north", 7)
@@ -81,7 +81,7 @@
 
 
 def write(folder: Path) -> None:
-    """A snapshot in the middle of the records, so that both are read."""
+    """Write a snapshot in the middle of the records, so that both are read."""
     files, marks = Files(folder), new_marks()
     with fixed_random():
         store, fences = Store.open(files, PREFIX), Store.open(files, FENCES_PREFIX)
@@ -103,7 +103,7 @@
 
 
 def check_ends(marks: Marks) -> None:
-    """What ``marked`` left, but for the write that was under way."""
+    """Check the marks that ``marked`` made, except that of the running write."""
     until = NOW_S + KEEP_S + KEY_SLACK_S
     assert {dot.n: state for dot, state in marks.gone.items()} == {
         2: State.REFUSED,
@@ -125,7 +125,7 @@
 
 
 def test_the_marks_of_one_node_are_read() -> None:
-    upstream = Upstream(None, new_marks())  # type: ignore[arg-type]  # nothing is written here
+    upstream = Upstream(None, new_marks())  # type: ignore[arg-type]  # Nothing is written to a store here
     upstream.marks.restore((DATA / SAMPLE / OF_ONE).read_bytes().removeprefix(SNAPSHOT))
     check_ends(upstream.marks)
     assert upstream.marks.intents == {Dot(WRITER, 7): Marks.key(entry(7))}
@@ -149,7 +149,7 @@
     assert marks.over == {OVER: NOW_S + 100}
     assert marks.fences == {"north": 7, "south": 9}
     assert (marks.reign, marks.group, marks.begun, marks.openings) == (FENCE, GROUP, 1, ((FENCE, 0),))
-    # It was under way when the process ended, so nobody knows whether it ran.
+    # The write was running when the process ended, so whether it ran is unknown.
     assert marks.doubts[Marks.key(entry(7))] == Dot(WRITER, 7) and not marks.intents
 
 
--- a/tests/samples/test_handover_samples.py
+++ b/tests/samples/test_handover_samples.py
@@ -1,4 +1,4 @@
-"""What two processes of one node tell each other, as an earlier tree wrote it."""
+"""Hand-over messages between two processes of one node, as an earlier version wrote them."""
 
 from pathlib import Path
 
--- a/tests/samples/test_inventory_samples.py
+++ b/tests/samples/test_inventory_samples.py
@@ -1,4 +1,4 @@
-"""A snapshot of the inventory with every key that an entry can have, as an earlier tree wrote it."""
+"""A snapshot of the inventory with every key that an entry can have, as an earlier version wrote it."""
 
 from pathlib import Path
 from typing import Any
@@ -124,7 +124,7 @@
 }
 GROUPS: dict[str, dict[str, Any]] = {
     "machines": {"machine-1": MACHINE, "machine-2": {}},
-    "workers": {"machine-1": {}, "machine-2": {}},  # no kind of its own: a name for these machines
+    "workers": {"machine-1": {}, "machine-2": {}},  # Not a kind, but a named group of machines
     "front_ends": {"f1": {"address": "10.0.1.1", "team": "packagers"}, "f2": {"network": "10.0.2.0/24"}},
     "teams": {"packagers": TEAM, "readers": {}},
     "departments": {"build": DEPARTMENT},
--- a/tests/samples/test_limits_samples.py
+++ b/tests/samples/test_limits_samples.py
@@ -1,4 +1,4 @@
-"""What the disk holds of budgets' spending, as an earlier tree wrote it."""
+"""Stored spending of budgets, as an earlier version wrote it."""
 
 from pathlib import Path
 
@@ -16,7 +16,7 @@
 
 
 def account(period: int, carried: int, moved: int, ceiling: int, warned: int) -> Account:
-    """As a start reads it: all that the disk allows counts as spent."""
+    """Return an account as read at a start: the whole stored ceiling counts as spent."""
     return Account(period, carried, moved, ceiling, 0, ceiling, warned)
 
 
@@ -27,7 +27,7 @@
 
 
 def write(folder: Path) -> None:
-    """A snapshot with two teams, one of which no budget knows any more, then an entry."""
+    """Write spending of two teams, a snapshot after one of them lost its budget, then an entry."""
     files = Files(folder)
     with fixed_random():
         disk = SpendingDisk(files)
--- a/tests/samples/test_lowering_samples.py
+++ b/tests/samples/test_lowering_samples.py
@@ -1,4 +1,4 @@
-"""Plans, their messages, and the agreed state of rollouts, as an earlier tree wrote them."""
+"""Plans, their messages, and the agreed state of rollouts, as an earlier version wrote them."""
 
 from pathlib import Path
 from types import SimpleNamespace
@@ -25,7 +25,7 @@
     return "propose", FENCE, "n1", DIGESTS[n], POLICIES[n], 100 + n, CLASSES, LOST, FLEET
 
 
-# In the order of the log, from index 1 on; a rollout has the number of its proposal.
+# Commands in the order of the log, from index 1; a rollout has the index of its proposal as its number.
 COMMANDS: list[tuple[Any, ...]] = [
     ("here", "n1", LIFE, "big", "east", "10.0.0.1:8000", [["entries", 1000, 900]]),
     ("here", "n2", LIFE + 1, "small", "west", "", []),
@@ -64,7 +64,7 @@
 
 
 class Transport:
-    """Keeps what is said over the talk's channel."""
+    """Records the messages sent over the channel."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -102,7 +102,7 @@
     holder = new_plans("n1", folder, [])
     digest = holder.keep(plan().data, ())
     asker = SimpleNamespace(talk=Transport("n2"), coming={})
-    Plans.ask(asker, digest, ["n1"])  # type: ignore[arg-type]  # it needs no folder
+    Plans.ask(asker, digest, ["n1"])  # type: ignore[arg-type]  # ``ask`` needs no folder
     [want] = asker.talk.said
     holder.take("n2", LIFE, want)
     [have] = holder.talk.said
--- a/tests/samples/test_members_samples.py
+++ b/tests/samples/test_members_samples.py
@@ -1,4 +1,4 @@
-"""Datagrams of the membership and the stream of a full state, as an earlier tree wrote them."""
+"""Datagrams of the membership and the stream of a full state, as an earlier version wrote them."""
 
 from pathlib import Path
 
--- a/tests/samples/test_releases_samples.py
+++ b/tests/samples/test_releases_samples.py
@@ -1,4 +1,4 @@
-"""Messages, log commands, the agreed state and the marker of releases, as an earlier tree wrote them."""
+"""Messages, log commands, the agreed state and the marker of releases, as an earlier version wrote them."""
 
 import asyncio
 from pathlib import Path
@@ -21,7 +21,7 @@
 SAMPLE = "releases"
 MESSAGES_FILE, COMMANDS_FILE, MACHINE = "messages.json", "commands.json", "machine.bin"
 LIFE = 1_000_000
-DRIVER = 1  # the fence of whoever drives
+DRIVER = 1  # Fence of the node that drives the release
 FIGURES = [100, 90, 5, 5, 1, 0]
 MESSAGES: dict[str, Word | tuple[Told, ...]] = {
     "word": Word("ready", "in", "1.0", 3, Figures(*FIGURES), 21, ("n2: over a budget",), 2.5, 40),
@@ -37,7 +37,7 @@
 NODES = {"n1": "east", "n2": "east", "n3": "west", "n4": "west", "n5": "east"}
 HERE = [command("here", name, LIFE, hall, "large", "1.0") for name, hall in NODES.items()]
 PROVED = [command("proved", name, LIFE) for name in NODES]
-# In the order of the log, behind HERE and PROVED, so the first one has index 11.
+# Commands in the order of the log, after HERE and PROVED, so the first has index 11.
 COMMANDS: list[tuple[Any, ...]] = [
     (
         "describe",
@@ -175,7 +175,7 @@
 def test_the_marker_is_found(tmp_path: Path) -> None:
     folder = sample_copy(SAMPLE, tmp_path)
     assert Marker(Files(folder)).found()
-    # The supervisor reads them as text.
+    # The supervisor reads these files as text.
     assert (folder / OUT).read_text() == "24" and (folder / WANTED).read_text() == "1.1"
     assert {path.name for path in folder.iterdir()} >= {"out", "wanted"}
 
--- a/tests/samples/test_replica_disk_samples.py
+++ b/tests/samples/test_replica_disk_samples.py
@@ -1,4 +1,4 @@
-"""A node's copies on its disk, with records of every kind, as an earlier tree wrote them."""
+"""A node's copies on its disk, with records of every kind, as an earlier version wrote them."""
 
 from pathlib import Path
 
@@ -16,7 +16,7 @@
 
 SAMPLE = "replica/disk"
 WRITER, LATER_WRITER, LIFE = "n1/00ff", "n1/11ff", 1_000_000
-CURSOR = 1000  # of a copy that is under way
+CURSOR = 1000  # Cursor of a copy that is in progress
 PEER_MARK = Mark(b"i" * 16, 1, 7, b"d" * 16, ((b"d" * 16, 0),))
 SPENDING = spending_key("packagers", 100)
 ENTRY_KINDS = {"records", "aside", "copy"}
@@ -24,7 +24,7 @@
 
 
 def set_aside(core: Core) -> None:
-    """As a copy does whose memory was found older than it was."""
+    """Set all records aside, as a replica does that finds its stored state rolled back."""
     core.aside |= core.table.set_aside()
     core.reset = True
 
--- a/tests/samples/test_replica_messages_samples.py
+++ b/tests/samples/test_replica_messages_samples.py
@@ -1,4 +1,4 @@
-"""What copies say to one another, and the states and values inside, as an earlier tree wrote them."""
+"""Messages between replicas, and the states and values inside, as an earlier version wrote them."""
 
 from pathlib import Path
 
@@ -38,7 +38,7 @@
 MESSAGES: dict[str, Message] = {
     "hello": Hello(b"mark", "whole", 12, b"r" * 16, 1),
     "welcome": Welcome(b"d" * 16, "outdated", True, 12, "repair"),
-    "batch": Batch(7, ENTRIES),  # type: ignore[arg-type]  # whoever reads it finds lists
+    "batch": Batch(7, ENTRIES),  # type: ignore[arg-type]  # Decoding gives lists
     "ack": Ack(7, True, False),
     "ask": Ask(3, 1, [[1, 5, [[0, 0]] * 16]], [[4, 1000, [[b"note\0key", b"s" * 16]]]]),
     "answer": Answer(3, 1, [[2, 80]], [b"note\0a"], [b"note\0b"], True),
@@ -49,7 +49,7 @@
 WORDS = [Word("127.0.0.1:9101", 0.02, 40, 1.5, 0.0), Word("127.0.0.1:9102", 0.0, 3, 2.5, 9.0)]
 BUDGET: PotKey = ("budget", "packagers", 100)
 RATE: PotKey = ("rate", "127.0.0.1:9101", 0)
-# In the order of the log, from index 1 on; a lease's id is 256 times the index, and the place in the command.
+# Commands in the order of the log, from index 1; a lease's id is 256 * index + position in the command.
 LEASE_COMMANDS: dict[str, bytes] = {
     "ask": leases.ask("n1", LIFE, [(BUDGET, 1000.0, 3, 100.0), (RATE, 50.0, 3, 10.0)]),
     "ask of another": leases.ask("n2", LIFE + 1, [(BUDGET, 1000.0, 3, 200.0)]),
--- a/tests/samples/test_store_samples.py
+++ b/tests/samples/test_store_samples.py
@@ -1,4 +1,4 @@
-"""The store's files, the witness's file and a life's number, as an earlier tree wrote them."""
+"""The store's files, the witness's file and a life's number, as an earlier version wrote them."""
 
 from pathlib import Path
 
@@ -14,7 +14,7 @@
 from beechrock.store.witness import Verdict, Witness
 
 SAMPLE = "store"
-CUT, RESET = "cut", "reset"  # prefixes: a log in two segments with a cut, and one behind a snapshot
+CUT, RESET = "cut", "reset"  # Prefixes: a log in two segments with a cut, and one after a snapshot
 RULES = StoreLimits(segment_bytes=200)
 LIFE_START_S = 1000.0
 PEER_MARK = Mark(b"i" * 16, 2, 7, b"d" * 16, ((b"c" * 16, 0), (b"d" * 16, 5)))
--- a/tests/samples/test_talk_samples.py
+++ b/tests/samples/test_talk_samples.py
@@ -1,4 +1,4 @@
-"""Frames between two nodes, as an earlier tree wrote them."""
+"""Frames between two nodes, as an earlier version wrote them."""
 
 from pathlib import Path
 
--- a/tests/samples/test_trace_samples.py
+++ b/tests/samples/test_trace_samples.py
@@ -1,7 +1,7 @@
-"""A trace file of the present version with a row of every kind, as an earlier tree wrote it.
+"""A trace file of the present version with a row of every kind, as an earlier version wrote it.
 
-Its bytes are not compared with what is written now: they are compressed, and another version of that library
-may compress otherwise.
+The bytes are not compared with those written now: they are compressed, and another version of the compression
+library may produce other bytes.
 """
 
 from dataclasses import fields
@@ -198,7 +198,7 @@
 
 
 def test_every_row_that_is_written_has_a_value_for_each_field_that_is_read() -> None:
-    """A value beyond the named fields was written and never read."""
+    """A value beyond the named fields was once written and never read."""
     for row in (row for block in blocks() for row in block):
         assert len(row) == 2 + len(FIELDS[row[0]]), row
 
--- a/tests/samples/write_samples.py
+++ b/tests/samples/write_samples.py
@@ -1,8 +1,8 @@
 """Writes the samples of stored data and messages into tests/data: ``python tests/samples/write_samples.py``.
 
-A package whose folder is there is passed over: what a former tree has written is not to be written anew by a
-later one, as that would prove nothing. After a change of a format, the new one gets a folder of its own, by a
-new name in ``SAMPLE``, and the old folder stays to be read.
+A package whose folder exists is skipped: a sample rewritten by the current version would not prove that older
+files can be read. After a change of a format, the new format gets its own folder, with a new name in
+``SAMPLE``, and the old folder is kept for the tests that read it.
 """
 
 import importlib
@@ -34,14 +34,14 @@
 
 
 def main() -> None:
-    sys.path.append(str(DATA.parent))  # helpers of all tests
+    sys.path.append(str(DATA.parent))  # Helpers shared by all tests
     for name in MODULES:
         module = importlib.import_module(name)
         folder = DATA / module.SAMPLE
         if folder.exists():
             print(f"{module.SAMPLE}: is there, left as it is")
             continue
-        with tempfile.TemporaryDirectory(dir=DATA) as made:  # a failed one leaves nothing behind
+        with tempfile.TemporaryDirectory(dir=DATA) as made:  # Removed if writing fails
             module.write(Path(made))
             shutil.copytree(made, folder)
         print(f"{module.SAMPLE}: written")
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Configuration and inventory: what is wrong is refused with the file, the entry and the key."""
+"""Configuration and inventory: a fault is rejected with the file, the entry and the key."""
 
 import socket
 from pathlib import Path
@@ -39,31 +39,31 @@
 """
 
 
-def load(tmp_path: Path, told: object, **environ: str) -> config.Config:
+def load(tmp_path: Path, document: object, **environ: str) -> config.Config:
     path = tmp_path / "config.json"
-    path.write_text(told if isinstance(told, str) else ujson.dumps(told))
+    path.write_text(document if isinstance(document, str) else ujson.dumps(document))
     return config.load({"LB_CONFIG": str(path), **environ}, tmp_path)
 
 
-def test_a_whole_configuration_is_read_and_the_variables_come_first(tmp_path: Path) -> None:
-    told = load(tmp_path, TOLD, LB_NAME="n9", LB_LISTEN="127.0.0.9:1")
-    assert (told.name, told.listen, told.agent) == ("n9", ("127.0.0.9", 1), ("127.1.0.1", 4400))
-    assert (told.stop_s, told.sockets, told.seed) == (3.2, 1024, 0x8C1F30D27A5BE964)
-    assert [c.name for c in told.settings.classes] == ["resolve", "submit"]
-    assert told.scgi is None
+def test_a_full_configuration_is_read_and_environment_variables_override_it(tmp_path: Path) -> None:
+    loaded = load(tmp_path, TOLD, LB_NAME="n9", LB_LISTEN="127.0.0.9:1")
+    assert (loaded.name, loaded.listen, loaded.agent) == ("n9", ("127.0.0.9", 1), ("127.1.0.1", 4400))
+    assert (loaded.stop_s, loaded.sockets, loaded.seed) == (3.2, 1024, 0x8C1F30D27A5BE964)
+    assert [c.name for c in loaded.settings.classes] == ["resolve", "submit"]
+    assert loaded.scgi is None
 
 
-def test_the_second_address_is_read_and_its_variable_comes_first(tmp_path: Path) -> None:
-    told = {**TOLD, "admin_addr": "127.0.0.1:9600"}
+def test_the_admin_address_is_read_and_its_variable_overrides_it(tmp_path: Path) -> None:
+    document = {**TOLD, "admin_addr": "127.0.0.1:9600"}
     assert load(tmp_path, TOLD).admin is None
-    assert load(tmp_path, told).admin == ("127.0.0.1", 9600)
-    assert load(tmp_path, told, LB_ADMIN_ADDR="127.0.0.1:9601").admin == ("127.0.0.1", 9601)
+    assert load(tmp_path, document).admin == ("127.0.0.1", 9600)
+    assert load(tmp_path, document, LB_ADMIN_ADDR="127.0.0.1:9601").admin == ("127.0.0.1", 9601)
     with pytest.raises(config.ConfigError, match="LB_ADMIN_ADDR: 'here' is not HOST:PORT"):
-        load(tmp_path, told, LB_ADMIN_ADDR="here")
+        load(tmp_path, document, LB_ADMIN_ADDR="here")
 
 
 def test_an_inherited_descriptor_is_a_listening_socket_at_the_named_address(tmp_path: Path) -> None:
-    def told(fd: object, at: str) -> config.Config:
+    def load_with(fd: object, at: str) -> config.Config:
         return load(tmp_path, TOLD, LB_LISTEN=at, LB_LISTEN_FD=str(fd))
 
     assert load(tmp_path, TOLD).listen_fd is None
@@ -73,8 +73,8 @@
         socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as datagrams,
     ):
         port = held.getsockname()[1]
-        assert told(held.fileno(), f"127.0.0.1:{port}").listen_fd == held.fileno()
-        assert held.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)  # looking did not close it
+        assert load_with(held.fileno(), f"127.0.0.1:{port}").listen_fd == held.fileno()
+        assert held.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)  # The check did not close the socket
         for fd, at, words in (
             ("x", "127.0.0.1:1", "'x': not the number of a descriptor"),
             (99_999, "127.0.0.1:1", "'99999': Bad file descriptor"),
@@ -84,7 +84,7 @@
             (held.fileno(), "127.0.0.1:1", f"listens at 127.0.0.1:{port}, and not at 127.0.0.1:1"),
         ):
             with pytest.raises(config.ConfigError, match="LB_LISTEN_FD") as error:
-                told(fd, at)
+                load_with(fd, at)
             assert words in str(error.value)
 
 
@@ -111,7 +111,7 @@
     ("text", "words"),
     [("", "line 1 column 1"), ("[]", "not a JSON object"), ('{\n"name": n}', "line 2 column 9")],
 )
-def test_what_is_no_configuration_ends_the_program_with_code_2(
+def test_an_invalid_configuration_exits_with_code_2(
     tmp_path: Path, text: str, words: str, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = tmp_path / "config.json"
@@ -128,10 +128,10 @@
 
 
 def test_the_scgi_front_alone_takes_its_settings_from_the_inventory(tmp_path: Path) -> None:
-    told = scgi(tmp_path, f'enabled = true\nlisten = "127.0.0.1:4000"\ninventory = "{SHIPPED}"')
-    assert told.listen is told.agent is None
-    assert told.scgi is not None and told.scgi.listen == ("127.0.0.1", 4000)
-    assert [t.name for t in told.settings.tenants] == ["packagers", "releases"]
+    loaded = scgi(tmp_path, f'enabled = true\nlisten = "127.0.0.1:4000"\ninventory = "{SHIPPED}"')
+    assert loaded.listen is loaded.agent is None
+    assert loaded.scgi is not None and loaded.scgi.listen == ("127.0.0.1", 4000)
+    assert [t.name for t in loaded.settings.tenants] == ["packagers", "releases"]
 
 
 @pytest.mark.parametrize(
@@ -176,7 +176,7 @@
     assert ("packagers", "submit") not in found.classes
 
 
-def test_csv_says_the_same_as_yaml(tmp_path: Path) -> None:
+def test_csv_and_yaml_give_the_same_inventory(tmp_path: Path) -> None:
     (tmp_path / "i.csv").write_text(CSV)
     (tmp_path / "i.yaml").write_text("""
 all:
@@ -266,9 +266,9 @@
 def test_the_membership_is_off_unless_the_operators_file_says_so(tmp_path: Path) -> None:
     assert members(tmp_path, "") is None
     assert members(tmp_path, MEMBERS.replace("true", "false")) is None
-    told = members(tmp_path, MEMBERS + 'seeds = ["127.0.0.1:9"]\nperiod_s = 0.5\nstate = "s"\n')
-    assert told is not None and len(told.key) == 32
-    assert (told.seeds, told.period_s, told.state) == (("127.0.0.1:9",), 0.5, tmp_path / "s")
+    loaded = members(tmp_path, MEMBERS + 'seeds = ["127.0.0.1:9"]\nperiod_s = 0.5\nstate = "s"\n')
+    assert loaded is not None and len(loaded.key) == 32
+    assert (loaded.seeds, loaded.period_s, loaded.state) == (("127.0.0.1:9",), 0.5, tmp_path / "s")
 
 
 @pytest.mark.parametrize(
@@ -297,7 +297,7 @@
 
 
 def test_a_table_that_needs_another_is_refused_without_it(tmp_path: Path) -> None:
-    """Seen by hand: [agree] alone ended in a traceback."""
+    """The table [agree] alone once ended the start in a traceback."""
     (tmp_path / "op.toml").write_text('[agree]\nenabled = true\nvoters = ["n"]\n')
     with pytest.raises(config.ConfigError, match=r"toml:1: agree: needs the table fleet.* turn \[fleet\] on"):
         config.load({"LB_SCGI": str(tmp_path / "op.toml"), "LB_CONFIG": _platform(tmp_path)}, tmp_path)
@@ -314,7 +314,7 @@
         ('[trace]\nenabled = true\nfolder = "t"\nkey_file = "op.toml"\nflush_s = 0', "flush_s: 0 is not"),
     ],
 )
-def test_a_fault_in_the_records_settings_is_named(tmp_path: Path, text: str, words: str) -> None:
+def test_a_fault_in_the_trace_settings_is_named(tmp_path: Path, text: str, words: str) -> None:
     (tmp_path / "op.toml").write_text(text)
     with pytest.raises(config.ConfigError) as caught:
         config.load({"LB_SCGI": str(tmp_path / "op.toml"), "LB_CONFIG": _platform(tmp_path)}, tmp_path)
@@ -329,11 +329,11 @@
     return str(path)
 
 
-def test_relative_paths_lead_from_the_working_folder_where_the_file_is_named_and_else_from_the_programs(
+def test_relative_paths_start_at_the_working_folder_for_a_named_file_else_at_the_programs_folder(
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Seen with an installed program: its inventory was looked for in site-packages."""
+    """An installed program once searched for its inventory in site-packages."""
     work, away = tmp_path / "work", tmp_path / "away"
     for folder in (work, away):
         folder.mkdir()
@@ -342,11 +342,11 @@
         'enabled = true\nlisten = "127.0.0.1:4000"\ninventory = "inventory.yaml"\nstate = "state"\n'
     )
     monkeypatch.chdir(work)
-    told = config.load({"LB_SCGI": "../away/scgi.toml"})
-    assert told.scgi is not None and told.scgi.path == work / "inventory.yaml"
-    assert told.scgi.state == work / "state"
+    loaded = config.load({"LB_SCGI": "../away/scgi.toml"})
+    assert loaded.scgi is not None and loaded.scgi.path == work / "inventory.yaml"
+    assert loaded.scgi.state == work / "state"
     monkeypatch.chdir(away)
     with pytest.raises(config.ConfigError, match=f"relative paths are taken from {away}"):
         config.load({"LB_SCGI": "scgi.toml"})
-    # The file beside the program is read from wherever that is started, and speaks of the program's folder.
+    # Without LB_SCGI, paths start at the program's folder, whatever the working folder is.
     assert base({}) == base({"LB_SCGI": ""}) == str(SHIPPED.parent.parent) != str(Path.cwd())
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -1,7 +1,7 @@
-"""Deployments drawn over the ranges that the operators' pages give, played against the module on model cores.
+"""Random deployments within the documented ranges, run against the decision module with simulated cores.
 
-The model is plain: cores shared evenly by what runs on them, runs that stop for calls, calls that take
-a while. It measures no service under overload; it shows that no told value starves a class or breaks a rule.
+The model is simple: running requests share the cores evenly, pause for calls, and calls take a fixed time. It
+does not measure throughput under overload; it shows that no setting starves a class or breaks an invariant.
 """
 
 import random
@@ -18,7 +18,7 @@
 from beechrock.settings import settings_from
 
 STEP_S = 0.01
-# What lies below, and the share of calls that is told: 0 means nothing over a tier.
+# Kind of downstream, and the configured share of calls; a share of 0 has no meaning for a tier.
 BELOW = [
     ("none", 0.0),
     ("tier", 0.0),
@@ -33,15 +33,15 @@
 class Work:
     klass: int
     due: float
-    parts: list[float]  # seconds on a core between calls
+    parts: list[float]  # Seconds on a core between calls
     state: str = "held"
-    ends_at: float = 0.0  # of its call
+    ends_at: float = 0.0  # Time at which its call ends
     ran: bool = False
 
 
 @st.composite
 def deployments(draw: Any) -> dict[str, Any]:
-    """Settings as a deployment hands them out; beside them, under ``model``, what they do not tell."""
+    """Draw a deployment's settings; the key ``model`` adds the simulation's own parameters."""
     below, share = draw(st.sampled_from(BELOW))
     count = draw(st.integers(2, 4))
     works = [draw(st.floats(0.12, 0.5)) for _ in range(count)]
@@ -100,31 +100,35 @@
 
 @dataclass
 class Day:
-    """One node, its cores and what it calls; every rule is checked at every step."""
+    """Simulates one node, its cores and its downstream; checks every invariant at every step."""
 
-    told: dict[str, Any]
+    deployment: dict[str, Any]
     seed: int
-    load: float  # of what the cores can do
+    load: float  # Offered work as a multiple of the capacity of the cores
     refusing_below: bool = False
-    first_class: int = 0  # those before it are gone
+    first_class: int = 0  # Classes before this one have been removed
     now: float = 100.0
     jobs: dict[int, Work] = field(default_factory=dict)
     served: dict[int, int] = field(default_factory=dict)
     asked: dict[int, int] = field(default_factory=dict)
-    crowd: deque[int] = field(default_factory=lambda: deque(maxlen=300))  # 3 s
+    # Number of running requests in each of the last 300 steps, which is 3 s.
+    crowd: deque[int] = field(default_factory=lambda: deque(maxlen=300))
     calls: int = 0
     skipped: int = 0
 
     def __post_init__(self) -> None:
-        self.random, self.model = random.Random(self.seed), self.told["model"]
-        self.settings, _ = settings_from(self.told)
+        self.random, self.model = random.Random(self.seed), self.deployment["model"]
+        self.settings, _ = settings_from(self.deployment)
         self.node, self.ids = Node(self.settings, self.seed, self.now), 0
         works = [w * (1 + 0.1 * c) for w, c in zip(self.model["works"], self.model["calls"], strict=True)]
         self.rate = self.load * 6 * self.model["speed"] / (sum(works) / len(works))
         self.timer = float("inf")
 
     def arrive(self) -> api.Event:
-        self.ids, klass = self.ids + 1, self.random.randrange(self.first_class, len(self.told["grades"]))
+        self.ids, klass = (
+            self.ids + 1,
+            self.random.randrange(self.first_class, len(self.deployment["grades"])),
+        )
         calls = self.model["per_request"] if self.model["calls"][klass] else 0
         work = self.model["works"][klass] * self.random.uniform(0.5, 1.5)
         parts = [work / (calls + 1)] * (calls + 1)
@@ -166,7 +170,7 @@
                 job = self.jobs[ident]
                 keyed = self.settings.classes[job.klass].idempotency is not api.Idempotency.IDEMPOTENT
                 assert not (isinstance(action, api.Reject) and job.ran and keyed)
-                del self.jobs[ident]  # what still runs of it is stopped, as no one waits
+                del self.jobs[ident]  # Its run is stopped, as no client waits for it
             case api.Call(ident, _):
                 assert self.jobs[ident].state == "at call"
                 self.jobs[ident].state, self.jobs[ident].ends_at = "in call", self.now + 0.05
@@ -194,7 +198,7 @@
                 for action in self.node.decide(self.now, events):
                     if isinstance(action, api.SetTimer) or getattr(action, "id", None) in self.jobs:
                         self.act(action)
-                # An answer given early ends its run in this model; what the node says to that counts too.
+                # In this model an early answer stops the run; the node's reaction to that is checked too.
                 events = [
                     api.RunFinished(ident, api.Outcome.STOPPED, 0.1)
                     for ident in sorted(before - set(self.jobs))
@@ -218,31 +222,35 @@
 
 @options(max_examples=40, deadline=None, derandomize=True)
 @given(deployments(), st.integers(0, 9999))
-def test_under_light_load_every_class_is_served_and_calls_are_made(told: dict[str, Any], seed: int) -> None:
-    """Seen: a share of calls told as 0 over a tier, and no request that must call was ever served."""
-    day = Day(told, seed, 0.25).play(12.0)
+def test_under_light_load_every_class_is_served_and_calls_are_made(
+    deployment: dict[str, Any], seed: int
+) -> None:
+    """A configured call share of 0 for a tier once left every request that must call unserved."""
+    day = Day(deployment, seed, 0.25).play(12.0)
     for klass, asked in day.asked.items():
         assert day.served.get(klass, 0) >= 0.99 * asked - 1, f"class {klass}: {day.served} of {day.asked}"
-    callers = [n for n, calls in enumerate(told["model"]["calls"]) if calls]
+    callers = [n for n, calls in enumerate(deployment["model"]["calls"]) if calls]
     assert (day.calls > 0) is any(day.asked.get(n) for n in callers)
     assert day.skipped <= 0.1 * day.calls + 1
 
 
 @options(max_examples=25, deadline=None, derandomize=True)
 @given(deployments(), st.integers(0, 9999), st.booleans())
-def test_under_twice_the_load_no_rule_breaks(told: dict[str, Any], seed: int, refusing: bool) -> None:
-    """Below all is well, or everything is refused there."""
-    day = Day(told, seed, 2.0, refusing_below=refusing).play(8.0)
+def test_no_invariant_breaks_under_twice_the_load(
+    deployment: dict[str, Any], seed: int, refusing: bool
+) -> None:
+    """The downstream either accepts every call or rejects every call."""
+    day = Day(deployment, seed, 2.0, refusing_below=refusing).play(8.0)
     assert sum(day.asked.values()) > 20 and not day.jobs
 
 
-def test_runs_that_lose_their_calls_together_come_back_inside_the_crowd() -> None:
-    """Seen, one draw of some 300: what waited at calls that were all refused came back in one moment."""
+def test_runs_whose_calls_are_all_rejected_resume_within_the_overload_bound() -> None:
+    """In one draw of some 300, runs whose calls were all rejected resumed at the same moment."""
     grades = [
         {"name": f"c{n}", "promiseS": aim, "giveUpS": give_up, "worth": 2, "effect": "safe", "windowS": 13.1}
         for n, (aim, give_up) in enumerate([(1.57, 5.87), (2.5, 6.84)])
     ]
-    told = {
+    deployment = {
         "grades": grades,
         "tickS": 0.005,
         "fleetSize": 12,
@@ -271,16 +279,16 @@
         "model": {"works": [0.368, 0.406], "calls": [True, True], "speed": 0.6, "per_request": 2},
     }
     for seed in range(8):
-        day = Day(told, seed, 2.0, refusing_below=True).play(8.0)
+        day = Day(deployment, seed, 2.0, refusing_below=True).play(8.0)
         assert day.skipped > 20 and not day.jobs
 
 
 @options(max_examples=15, deadline=None, derandomize=True)
 @given(deployments(), deployments(), st.integers(0, 9999))
-def test_one_deployments_settings_after_anothers_lose_nothing(
+def test_replacing_the_settings_of_a_deployment_loses_no_request(
     first: dict[str, Any], second: dict[str, Any], seed: int
 ) -> None:
-    """As taken by SIGHUP: classes that go stay on their places for what was read under them."""
+    """As a reload by SIGHUP does, removed classes keep their positions for requests read under them."""
     day = Day(first, seed, 1.5).play(3.0, to_the_end=False)
     both = {
         **second,
@@ -294,9 +302,9 @@
         both["extra"][name] = first["extra"][name] + second["extra"][name]
     for name in ("works", "calls"):
         both["model"][name] = first["model"][name] + second["model"][name]
-    for name in ("memLimitKb", "runFactor"):  # what the machine has does not change
+    for name in ("memLimitKb", "runFactor"):  # Properties of the machine do not change
         both["extra"][name] = first["extra"][name]
-    day.told, day.model, day.first_class = both, both["model"], len(first["grades"])
+    day.deployment, day.model, day.first_class = both, both["model"], len(first["grades"])
     day.settings, _ = settings_from(both)
     asked_then = sum(day.asked.values())
     day.node.decide(day.now, [api.SettingsChanged(day.settings)])
--- a/tests/test_inventory.py
+++ b/tests/test_inventory.py
@@ -1,4 +1,4 @@
-"""What files say: every malformed one by its lines, precedence, ranges, and both forms to and fro."""
+"""Inventory files: faults named by line, precedence of variables, ranges, YAML and CSV round trips."""
 
 import os
 import tempfile
@@ -116,13 +116,13 @@
 )
 def test_each_fault_of_a_yaml_file_is_named_by_its_line(tmp_path: Path, text: str, lines: list[str]) -> None:
     (tmp_path / "i.yaml").write_text(text)
-    told, found = read(tmp_path / "i.yaml")
+    problems, found = read(tmp_path / "i.yaml")
     assert found is None
     for line in lines:
-        assert any(one.startswith(line) for one in told), told
+        assert any(one.startswith(line) for one in problems), problems
 
 
-def test_of_a_file_that_is_not_read_the_rest_is_not_told_as_missing(tmp_path: Path) -> None:
+def test_an_unreadable_file_does_not_report_its_entries_as_missing(tmp_path: Path) -> None:
     (tmp_path / "i.yaml").write_text(GOOD + "  machines: {hosts: {a: {}\n")
     assert read(tmp_path / "i.yaml")[0] == ["i.yaml:10: not YAML: did not find expected ',' or '}'"]
 
@@ -163,10 +163,10 @@
 )
 def test_each_fault_of_a_csv_file_is_named_by_its_line(tmp_path: Path, rows: str, lines: list[str]) -> None:
     (tmp_path / "i.csv").write_text(HEAD + ROWS + rows)
-    told, found = read(tmp_path / "i.csv")
+    problems, found = read(tmp_path / "i.csv")
     assert found is None
     for line in lines:
-        assert any(one.startswith(line) for one in told), told
+        assert any(one.startswith(line) for one in problems), problems
 
 
 @pytest.mark.parametrize(
@@ -180,24 +180,24 @@
         ((HEAD.replace("host", "name") + ROWS).encode(), "i.csv:1: the columns group and host are needed"),
     ],
 )
-def test_a_file_of_the_wrong_kind_says_so(tmp_path: Path, data: bytes, line: str) -> None:
+def test_a_file_of_the_wrong_kind_is_reported(tmp_path: Path, data: bytes, line: str) -> None:
     (tmp_path / "i.csv").write_bytes(data)
-    told, found = read(tmp_path / "i.csv")
-    assert found is None and any(one.startswith(line) for one in told), told
+    problems, found = read(tmp_path / "i.csv")
+    assert found is None and any(one.startswith(line) for one in problems), problems
 
 
-def test_a_mark_at_the_start_and_line_ends_of_other_systems_are_taken(tmp_path: Path) -> None:
+def test_a_byte_order_mark_and_foreign_line_ends_are_accepted(tmp_path: Path) -> None:
     (tmp_path / "i.csv").write_bytes(b"\xef\xbb\xbf" + (HEAD + ROWS).replace("\n", "\r\n").encode())
     assert whole(tmp_path / "i.csv")[1].counts["contracts"] == 1
 
 
 def test_problems_are_bounded_and_the_rest_are_counted(tmp_path: Path) -> None:
     (tmp_path / "i.csv").write_text(HEAD + ROWS + "teams,releases,,,,,,,,,,,\n" * 300)
-    told, _ = read(tmp_path / "i.csv")
-    assert len(told) == 201 and told[-1] == "and 100 more problems"
+    problems, _ = read(tmp_path / "i.csv")
+    assert len(problems) == 201 and problems[-1] == "and 100 more problems"
 
 
-def test_a_folder_mixes_both_forms_and_the_nearest_variable_counts(tmp_path: Path) -> None:
+def test_a_folder_may_mix_both_formats_and_the_nearest_variable_wins(tmp_path: Path) -> None:
     (tmp_path / "a.yaml").write_text(
         GOOD
         + """    machines:
@@ -232,10 +232,10 @@
     assert found.settings["fleetSize"] == 5
 
 
-def test_a_service_stands_where_machines_or_a_group_of_them_stand(tmp_path: Path) -> None:
-    told = GOOD.replace('"127.0.0.1:9201"', '"east:9101", "w:9102", "10.9.9.9:1"')
+def test_upstreams_may_name_machines_or_groups(tmp_path: Path) -> None:
+    text = GOOD.replace('"127.0.0.1:9201"', '"east:9101", "w:9102", "10.9.9.9:1"')
     (tmp_path / "i.yaml").write_text(
-        told
+        text
         + """
     machines:
       children: {east: {hosts: {"e[1:2]": }}}
@@ -247,7 +247,7 @@
     assert found.settings["fleetSize"] == 2
 
 
-def test_the_narrowest_network_says_who_may_connect(tmp_path: Path) -> None:
+def test_the_narrowest_network_decides_who_may_connect(tmp_path: Path) -> None:
     (tmp_path / "i.yaml").write_text(
         GOOD
         + """    front_ends:
@@ -278,7 +278,7 @@
         ("plain", ["plain"]),
     ],
 )
-def test_ranges(name: str, names: list[str]) -> None:
+def test_ranges_expand_to_names(name: str, names: list[str]) -> None:
     assert ranges.expand(name) == names
 
 
@@ -293,8 +293,8 @@
         (tmp_path / name).write_text(text)
         for size in reversed(range(len(text.encode()))):
             os.truncate(tmp_path / name, size)
-            told, found = read(tmp_path / name)
-            assert found is not None or told
+            problems, found = read(tmp_path / name)
+            assert found is not None or problems
 
 
 WORDS = st.from_regex(r"[a-z][a-z0-9.-]{0,8}", fullmatch=True)
@@ -348,7 +348,7 @@
     )
 
 
-def test_a_contract_of_a_services_name_keeps_its_place(tmp_path: Path) -> None:
+def test_a_contract_named_like_a_service_keeps_its_position(tmp_path: Path) -> None:
     path = tmp_path / "i.yaml"
     path.write_text("""all:
   vars: {cores: 1, memory_mb: 8}
--- a/tests/test_inventory_disks.py
+++ b/tests/test_inventory_disks.py
@@ -1,4 +1,4 @@
-"""The last good inventory on a disk that fails for a while, in each of its steps, and a kill in mid-write."""
+"""Snapshots on a disk that fails for a while, at each step of a save, and a kill during a write."""
 
 import asyncio
 import errno
@@ -36,7 +36,7 @@
 
 
 class Half:
-    """A file of which half of a write comes to the disk."""
+    """A file whose write stores half of the data and then fails."""
 
     def __init__(self, file: Any, number: int) -> None:
         self.file, self.number = file, number
@@ -53,7 +53,7 @@
 
 
 class Faults:
-    """The steps that fail now, in one folder."""
+    """Injects disk errors into the steps named in ``fails``, for files in one folder."""
 
     def __init__(self, folder: Path, monkeypatch: pytest.MonkeyPatch) -> None:
         self.folder, self.fails, self.number = str(folder), "", errno.EIO
@@ -100,7 +100,7 @@
 
 @pytest.mark.parametrize("number", NUMBERS)
 @pytest.mark.parametrize("step", STEPS)
-def test_a_step_that_fails_leaves_the_old_one_or_the_new_one_whole(
+def test_a_failed_step_leaves_the_old_or_the_new_snapshot_intact(
     tmp_path: Path,
     faults: Faults,
     step: str,
@@ -120,20 +120,20 @@
     assert [path.name for path in state.iterdir()] == [snapshot.NAME]
 
 
-def test_a_kill_after_any_byte_of_a_write_leaves_the_old_one(tmp_path: Path) -> None:
+def test_a_kill_at_any_byte_of_a_write_keeps_the_old_snapshot(tmp_path: Path) -> None:
     state = tmp_path / "state"
     old, new = made(tmp_path / "i.yaml", 1, 50), made(tmp_path / "i.yaml", 2, 60)
     snapshot.save(state, old)
     data = snapshot.encode(new)
     for cut in range(len(data) + 1):
-        (state / reader.CANDIDATE).write_bytes(data[:cut])  # and never renamed
+        (state / reader.CANDIDATE).write_bytes(data[:cut])  # Written partly and never renamed
         assert snapshot.load(state).digest == old.digest
         kept = snapshot.keep_again([state / reader.CANDIDATE], state, new.digest)
-        assert kept is (cut == len(data))  # a part of it is never taken for it
+        assert kept is (cut == len(data))  # A partial file never counts as the generation
     assert snapshot.load(state).digest == new.digest
 
 
-def test_a_read_that_fails_is_no_damage_and_says_what_to_look_at(tmp_path: Path, faults: Faults) -> None:
+def test_a_failed_read_is_not_reported_as_damage(tmp_path: Path, faults: Faults) -> None:
     snapshot.save(tmp_path / "state", made(tmp_path / "i.yaml", 1, 50))
     faults.fails = "read"
     with pytest.raises(KeptUnreadableError, match="look at the disk"):
@@ -141,12 +141,12 @@
 
 
 def read_here(path: Path, folder: Path, number: int, most_removed: float) -> watch.Done:
-    """As the reader's process does, without its start."""
+    """Read as the reader process does, without starting a process."""
     return reader.understood(reader.answer(path, folder, number, most_removed), number)
 
 
 class Node:
-    """A keeper alone, with a clock that the test drives."""
+    """A keeper without a node, with a clock that the test advances."""
 
     def __init__(self, folder: Path) -> None:
         self.now, self.path, self.state = 100.0, folder / "i.yaml", folder / "state"
@@ -179,7 +179,7 @@
 
 @pytest.mark.parametrize("number", NUMBERS)
 @pytest.mark.parametrize("step", STEPS)
-def test_what_the_disk_did_not_take_at_the_start_is_kept_once_it_works(
+def test_a_save_that_failed_at_the_start_succeeds_once_the_disk_works(
     tmp_path: Path,
     faults: Faults,
     step: str,
@@ -194,12 +194,12 @@
     assert node.kept() == node.first.digest and node.keeper.folder == node.state
     met = faults.met
     node.look(3)
-    assert faults.met == met  # and once only
+    assert faults.met == met  # Saved once, without further writes
 
 
 @pytest.mark.parametrize("number", NUMBERS)
 @pytest.mark.parametrize("step", [*STEPS, "read"])
-def test_a_change_on_a_disk_that_fails_for_a_while_comes_into_force_and_is_kept(
+def test_a_change_during_a_disk_failure_is_applied_and_saved_later(
     tmp_path: Path,
     faults: Faults,
     step: str,
@@ -211,25 +211,26 @@
     faults.fails, faults.number = step, number
     node.look(4)
     assert faults.met
-    if step in ("write", "sync", "read"):  # it is not taken up before it is written, and told of once
+    if step in ("write", "sync", "read"):  # Not applied before it is written; reported once
         assert node.keeper.life.running.digest == node.first.digest
         assert node.keeper.counters["inventory.refused"] == 1
     faults.fails = ""
-    node.look(4)  # the files have not changed since
+    node.look(4)  # The files have not changed since then
     assert node.keeper.life.running.digest == new.digest == node.kept()
 
 
-def test_what_is_owed_is_never_another_one_than_what_is_in_force(tmp_path: Path, faults: Faults) -> None:
+def test_a_retried_save_stores_only_the_generation_in_force(tmp_path: Path, faults: Faults) -> None:
     node = Node(tmp_path)
     node.look(3)
     new = made(node.path, 2, 60)
     faults.fails = "replace"
     node.look(4)
     assert node.keeper.life.running.digest == new.digest and node.kept() == node.first.digest
-    snapshot.write(node.state / reader.CANDIDATE, made(tmp_path / "other.yaml", 3, 70))  # read, and held
+    # Another generation, which was read but is held.
+    snapshot.write(node.state / reader.CANDIDATE, made(tmp_path / "other.yaml", 3, 70))
     faults.fails = ""
     node.look(3)
-    assert node.kept() == node.first.digest  # neither that, nor nothing
+    assert node.kept() == node.first.digest  # The held generation is not saved and the snapshot is not lost
     snapshot.write(node.state / reader.CANDIDATE, new)
     node.look()
-    assert node.kept() == new.digest  # and it was still owed
+    assert node.kept() == new.digest  # The save was still due
--- a/tests/test_inventory_life.py
+++ b/tests/test_inventory_life.py
@@ -1,4 +1,4 @@
-"""Generations: plans between two, when a change is taken or held, places, servers that drain, snapshots."""
+"""Generations: plans, applying and holding changes, positions, draining servers, snapshots, the reader."""
 
 import random
 from dataclasses import replace
@@ -44,10 +44,10 @@
 # --- plans
 
 
-def test_what_others_refer_to_is_added_first_and_removed_last() -> None:
+def test_referenced_entries_are_added_first_and_removed_last() -> None:
     change = plan(made(teams="ab", services="st"), made(2, teams="bc", services="tu"))
-    told = [f"{step.verb.value} {step.kind}.{step.name}" for step in change.steps]
-    assert told == [
+    steps = [f"{step.verb.value} {step.kind}.{step.name}" for step in change.steps]
+    assert steps == [
         "added teams.c",
         "added services.u",
         "added contracts.bu",
@@ -62,7 +62,7 @@
     ]
 
 
-def test_a_change_is_told_by_key_with_both_values() -> None:
+def test_a_changed_entry_lists_each_key_with_old_and_new_value() -> None:
     change = plan(made(), made(2, contract={**CONTRACT, "rate": 60}, upstreams="127.0.0.1:2", cores=8))
     assert [str(step) for step in change.steps if step.kind != "contracts"] == [
         "changed  all.vars  cores: 6 -> 8",
@@ -74,7 +74,7 @@
     assert change.counts()[Verb.CHANGED.value] == 7 and not change.refused
 
 
-def test_keys_that_are_out_refuse_a_change_of_effect() -> None:
+def test_a_change_of_effect_to_or_from_keyed_is_refused() -> None:
     assert len(plan(made(contract=KEYED), made(2)).refused) == 2
     assert len(plan(made(), made(2, contract=KEYED)).refused) == 2
     assert not plan(made(), made(2, contract={**CONTRACT, "effect": "unsafe"})).refused
@@ -84,15 +84,15 @@
     ("before", "after", "held"),
     [(100, 75, False), (100, 74, True), (3, 2, False), (3, 1, True), (1, 0, False), (0, 9, False)],
 )
-def test_a_removal_above_the_part_is_held(before: int, after: int, held: bool) -> None:
+def test_a_removal_above_the_threshold_is_held(before: int, after: int, held: bool) -> None:
     assert bool(plan(made(machines=before), made(2, machines=after)).held) is held
 
 
-# --- watching
+# --- watch
 
 
 class Files:
-    """Files that change, and what a reading of them gives; the watch is told, and its rules are checked."""
+    """Simulated files and reads that drive a watch; checks its invariants at every step."""
 
     def __init__(self) -> None:
         self.now, self.number = 100.0, 1
@@ -112,9 +112,9 @@
 
     def look(self, seconds: float = 0.0, word: bool = False) -> list[watch.Action]:
         self.now += seconds
-        return self.told(self.watch.take(self.now, Word() if word else Seen(self.stamp)))
+        return self.check_invariants(self.watch.take(self.now, Word() if word else Seen(self.stamp)))
 
-    def told(self, actions: list[watch.Action]) -> list[watch.Action]:
+    def check_invariants(self, actions: list[watch.Action]) -> list[watch.Action]:
         for action in actions:
             if isinstance(action, Read):
                 self.readings, self.read_at = self.readings + 1, self.stamp
@@ -129,28 +129,30 @@
         before = (("i.yaml", 0),) if torn else self.read_at
         problems = () if self.found is not None else ("i.yaml:1: bad",)
         change = plan(self.watch.running, self.found).summary() if self.found is not None else None
-        return self.told(self.watch.take(self.now, Done(self.found, change, problems, before, self.stamp)))
+        return self.check_invariants(
+            self.watch.take(self.now, Done(self.found, change, problems, before, self.stamp))
+        )
 
     def settle(self) -> list[watch.Action]:
-        """Look until a reading is made, and give what comes of it."""
+        """Check the files until the watch asks for a read, and return the actions that follow."""
         for _ in range(30):
             if self.look(0.5) == [Read()]:
                 return self.done()
         return []
 
 
-def test_a_file_settles_before_it_is_read_and_is_taken_once() -> None:
+def test_a_file_settles_before_it_is_read_and_is_applied_once() -> None:
     files = Files()
     files.write(made(2, teams="abc"))
     assert files.look() == []
-    files.write(made(2, teams="abcd"))  # written on
+    files.write(made(2, teams="abcd"))  # A further write before the file settles
     assert files.look(0.4) == [] and files.look(0.4) == [] and files.look(0.2) == [Read()]
     [taken] = files.done()
     assert isinstance(taken, Take)
     assert files.settle() == []
 
 
-def test_what_never_settles_is_read_all_the_same_and_is_not_taken_torn() -> None:
+def test_files_that_keep_changing_are_read_but_a_torn_result_is_not_applied() -> None:
     files, looks = Files(), 0
     while not files.readings:
         files.write(made(2, teams="abc"))
@@ -161,7 +163,7 @@
     assert isinstance(files.settle()[0], Take)
 
 
-def test_a_bad_file_changes_nothing_and_is_told_of_once() -> None:
+def test_a_bad_file_changes_nothing_and_is_reported_once() -> None:
     files = Files()
     files.write(None)
     assert files.settle() == [Refuse(("i.yaml:1: bad",))]
@@ -170,24 +172,24 @@
     assert files.settle() == [Same()] and not files.watch.problems
 
 
-def test_a_file_cut_off_at_the_end_of_a_row_is_held_until_it_is_found_again() -> None:
+def test_a_file_cut_off_after_a_row_is_held_and_the_whole_file_is_applied() -> None:
     files = Files()
     files.watch.running = made(machines=40)
     files.write(made(2, machines=20))
     [held] = files.settle()
     assert isinstance(held, Hold) and "machines: 20 of 40 would go" in held.change.held
-    files.write(made(2, machines=39))  # the rest of the file came: the held one is never taken
+    files.write(made(2, machines=39))  # The rest of the file arrives, so the held generation is never applied
     [taken] = files.settle()
     assert isinstance(taken, Take) and taken.new.meaning.counts["machines"] == 39
 
 
-def test_a_held_change_is_taken_by_time_or_by_the_operators_second_word() -> None:
+def test_a_held_change_is_applied_after_a_delay_or_at_a_second_request() -> None:
     for word in (False, True):
         files = Files()
         files.watch.running = made(machines=40)
         files.write(made(2, machines=5))
         assert files.look(word=True) == [Read()]
-        assert isinstance(files.done()[0], Hold)  # the first word asks to read, and is no leave
+        assert isinstance(files.done()[0], Hold)  # The first request starts a read and confirms nothing
         at = files.now
         assert files.look(1.0) == []
         if word:
@@ -197,8 +199,8 @@
         assert isinstance(files.done()[0], Take) and (word or files.now - at >= 10.0)
 
 
-def test_the_rules_of_watching_hold_over_random_histories() -> None:
-    """One reading at a time; nothing torn or unsettled is taken but on the operator's word."""
+def test_the_watch_keeps_its_invariants_over_random_histories() -> None:
+    """One read at a time; no torn result is applied, and an unsettled one only at the operator's request."""
     for seed in range(300):
         rng, files = random.Random(seed), Files()
         kinds = [made(9), made(9, teams="abc"), made(9, machines=30), made(9, machines=3), None]
@@ -223,15 +225,15 @@
                 ), seed
 
 
-# --- places
+# --- positions
 
 
-def test_places_never_move_while_anything_can_mean_them() -> None:
+def test_positions_are_stable_until_they_may_be_reused() -> None:
     first = made(teams="ab", services="s")
     places, meaning = layout.first(first.meaning), first.meaning
-    told = [("b", 10.0), ("cb", 20.0), ("ab", 30.0), ("d", 40.0), ("e", 41.0 + layout.REUSE_S)]
+    changes = [("b", 10.0), ("cb", 20.0), ("ab", 30.0), ("d", 40.0), ("e", 41.0 + layout.REUSE_S)]
     held = dict(meaning.teams)
-    for teams, now in told:
+    for teams, now in changes:
         places, meaning = layout.follow(places, meaning, made(teams=teams, services="s").meaning, now)
         assert sorted(meaning.teams) == sorted(teams)
         for team, at in meaning.teams.items():
@@ -244,13 +246,13 @@
             assert meaning.settings["grades"][at]["name"] == "s"
         gone = [t["name"] for t in meaning.settings["tenants"] if t.get("gone")]
         assert set(gone).isdisjoint(teams)
-    assert places.teams == ("a", "b", "e", "d")  # e stands where c had, which is gone the longest
+    assert places.teams == ("a", "b", "e", "d")  # e reuses the position of c, which was removed first
 
 
 # --- servers
 
 
-def test_a_server_taken_out_drains_and_one_whose_service_went_still_runs_what_was_promised() -> None:
+def test_a_removed_server_drains_and_a_removed_service_keeps_its_servers() -> None:
     one, two, three = (("h", port) for port in (1, 2, 3))
     servers = Servers({"s": (one, two), "t": (two,)})
     servers.began(one)
@@ -269,7 +271,7 @@
     assert servers.choose("t") == [one] and servers.state(one) is ServerState.SERVING
 
 
-def test_a_server_that_is_out_stays_out_over_a_reload_and_what_it_runs_is_finished() -> None:
+def test_a_server_taken_out_stays_out_over_a_reload_and_finishes_its_runs() -> None:
     one, two = (("h", port) for port in (1, 2))
     servers = Servers({"s": (one, two), "t": (one,)})
     servers.began(one)
@@ -278,7 +280,7 @@
     assert servers.choose("s") == [two] and servers.choose("t") == [] and servers.listed("t") == (one,)
     assert servers.state(one) is ServerState.DRAINING and servers.draining() == [one]
     servers.renew({"s": (one, two)})
-    assert servers.choose("t") == []  # also what was promised goes to no server that is out
+    assert servers.choose("t") == []  # Requests of a removed service also avoid a server that is out
     servers.ended(one)
     assert servers.state(one) is None and servers.draining() == []
     servers.out = frozenset()
@@ -288,7 +290,7 @@
 # --- snapshots
 
 
-def test_a_snapshot_cut_or_changed_anywhere_is_damaged_and_none_is_none(tmp_path: Path) -> None:
+def test_a_truncated_or_altered_snapshot_is_damaged_and_an_absent_one_missing(tmp_path: Path) -> None:
     with pytest.raises(MissingError):
         snapshot.load(tmp_path)
     kept = made(7, teams="a", services="s", machines=2)
@@ -305,14 +307,14 @@
         at, bit = rng.randrange(len(data)), 1 << rng.randrange(8)
         spoilt = data[:at] + bytes([data[at] ^ bit]) + data[at + 1 :]
         try:
-            assert snapshot.decode(spoilt).digest == kept.digest  # only the number is no part of the digest
+            assert snapshot.decode(spoilt).digest == kept.digest  # The digest does not cover the number
         except DamagedError:
             continue
     with pytest.raises(DamagedError, match="of format 2"):
         snapshot.decode(data.replace(b"inventory 1 ", b"inventory 2 ", 1))
 
 
-def test_a_save_that_fails_leaves_the_old_one(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_failed_save_keeps_the_old_snapshot(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     snapshot.save(tmp_path, made(1))
 
     def full(descriptor: int) -> None:
@@ -326,16 +328,16 @@
     assert [p.name for p in tmp_path.iterdir()] == [snapshot.NAME]
 
 
-def test_bytes_that_are_no_generation_are_refused() -> None:
+def test_invalid_encodings_of_a_generation_are_rejected() -> None:
     for data in (b"", b"[]\n", b'["teams","a",3]\n', b"\xff\n", b'["what","a",{}]\n'):
         with pytest.raises(DamagedError):
             from_content(1, data)
 
 
-# --- the reader's process
+# --- reader process
 
 
-def test_the_reader_gives_what_files_say_and_survives_what_becomes_of_it(
+def test_the_reader_returns_the_inventory_and_reports_a_failed_process(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     path = tmp_path / "i.csv"
@@ -370,13 +372,13 @@
     root = tmp_path / "now"
     root.symlink_to("a")
     seen = [reader.stamp(root)]
-    (tmp_path / "a" / "i.yaml").write_text("any:\n")  # in place, of the same length
+    (tmp_path / "a" / "i.yaml").write_text("any:\n")  # Written in place, with the same length
     seen.append(reader.stamp(root))
     (tmp_path / "new").write_text("any:\n")
-    (tmp_path / "new").rename(tmp_path / "a" / "i.yaml")  # renamed over
+    (tmp_path / "new").rename(tmp_path / "a" / "i.yaml")  # Replaced by a rename
     seen.append(reader.stamp(root))
     (tmp_path / "next").symlink_to("b")
-    (tmp_path / "next").rename(root)  # behind a symlink
+    (tmp_path / "next").rename(root)  # Swapped behind a symlink
     seen.append(reader.stamp(root))
     (tmp_path / "b" / "host_vars").mkdir()
     (tmp_path / "b" / "host_vars" / "x.yaml").write_text("")
@@ -385,6 +387,6 @@
     assert reader.stamp(tmp_path / "none") == ((str(tmp_path / "none"),),)
 
 
-def test_a_generation_is_its_content_and_not_its_order() -> None:
+def test_a_digest_depends_on_content_and_not_on_order_or_number() -> None:
     assert made(1, teams="ab").digest == made(5, teams="ba").digest != made(teams="abc").digest
     assert replace(made(), number=2).digest == made().digest
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -1,4 +1,4 @@
-"""The inventory's actor with real files, load and a driven clock: swapped, half written, broken, removed."""
+"""The keeper with real files, load and a simulated clock: files replaced, half written, broken, removed."""
 
 import asyncio
 import threading
@@ -22,12 +22,12 @@
 
 
 def read_here(path: Path, folder: Path, number: int, most_removed: float) -> watch.Done:
-    """As the reader's process does, without its start."""
+    """Read as the reader process does, without starting a process."""
     return reader.understood(reader.answer(path, folder, number, most_removed), number)
 
 
 class Desk:
-    """A node with a keeper that the test tells when to look."""
+    """A node with a keeper that checks the files only when the test asks for it."""
 
     def __init__(self, stand: Stand, folder: Path) -> None:
         self.stand, self.folder, self.ran = stand, folder, dict[bytes, int]()
@@ -54,7 +54,7 @@
             clock=lambda: self.now,
             read=read_here,
         )
-        await self.look()  # what was written since the start's reading: nothing
+        await self.look()  # Nothing was written since the read at the start
         await self.look()
         assert self.count("same") == 1
         assert self.stand.program.scgi is not None and self.stand.program.scgi.server is not None
@@ -87,11 +87,11 @@
         return self.stand.program.counters["inventory." + name]
 
 
-def test_files_swapped_under_load_in_each_way_lose_nothing(tmp_path: Path) -> None:
+def test_replacing_files_under_load_loses_no_request(tmp_path: Path) -> None:
     async def work(stand: Stand) -> None:
         desk = Desk(stand, tmp_path)
         await desk.open()
-        asked = [asyncio.create_task(desk.ask(n)) for n in range(20)]  # all of them fit the table of 128
+        asked = [asyncio.create_task(desk.ask(n)) for n in range(20)]  # All requests fit in the table of 128
         done = asyncio.Event()
 
         async def tick() -> None:
@@ -108,7 +108,7 @@
             elif n % 3 == 1:
                 (tmp_path / "new").write_text(text)
                 (tmp_path / "new").rename(desk.path)
-            else:  # half written at first: not taken, whatever the half says
+            else:  # Half written at first: not applied, whatever the half contains
                 desk.path.write_text(text[: len(text) // 2])
                 await desk.look(0.1)
                 desk.path.write_text(text)
@@ -128,7 +128,7 @@
     run(work)
 
 
-def test_what_can_not_be_written_down_or_taken_up_is_told_and_tried_again(tmp_path: Path) -> None:
+def test_a_failure_to_save_or_apply_a_generation_is_reported_and_retried(tmp_path: Path) -> None:
     async def work(stand: Stand) -> None:
         desk = Desk(stand, tmp_path)
         await desk.open()
@@ -160,7 +160,7 @@
 
 
 def test_the_end_waits_for_a_write_and_for_no_reading(tmp_path: Path) -> None:
-    """The process ends right after: what is half written then would be left so."""
+    """The process exits right after ``finish``, so a running write would be left incomplete."""
 
     async def work(stand: Stand) -> None:
         desk = Desk(stand, tmp_path)
@@ -205,7 +205,7 @@
     run(work)
 
 
-def test_a_bad_file_a_cut_one_and_a_lost_one_change_nothing(tmp_path: Path) -> None:
+def test_a_bad_truncated_or_missing_file_changes_nothing(tmp_path: Path) -> None:
     async def work(stand: Stand) -> None:
         desk = Desk(stand, tmp_path)
         await desk.open()
@@ -220,7 +220,7 @@
         await desk.look()
         await desk.look()
         assert desk.count("refused") == 4 and desk.keeper.life.running is running
-        desk.path.write_text(desk.text(machines=10))  # valid, and 30 of 40 would go
+        desk.path.write_text(desk.text(machines=10))  # Valid, but removes 30 of 40 machines
         await desk.look()
         await desk.look()
         assert (desk.count("held"), desk.count("taken")) == (1, 0)
