--- a/beechrock/config/operator.py
+++ b/beechrock/config/operator.py
@@ -165,8 +165,8 @@
     confirm_s = number(values, "confirm_s", CONFIRM_S, path)
     notes: tuple[str, ...] = ()
     if running is None:
-        far = "" if Path(values["inventory"]).is_absolute() else f"relative paths are taken from {root}"
-        running, notes = _inventory(path, source, folder, far if not source.exists() else "")
+        hint = "" if Path(values["inventory"]).is_absolute() else f"relative paths are taken from {root}"
+        running, notes = _inventory(path, source, folder, hint if not source.exists() else "")
     return Scgi(
         listen,
         source,
--- a/beechrock/config/told.py
+++ b/beechrock/config/told.py
@@ -5,7 +5,7 @@
 
 from beechrock.interface import Settings
 
-if TYPE_CHECKING:  # Imported only if the SCGI front end is on, as PyYAML and pathlib cost memory
+if TYPE_CHECKING:  # PyYAML and pathlib cost memory; only the SCGI front end loads them
     from pathlib import Path
 
     from beechrock.inventory.generation import Generation
--- a/beechrock/inventory/keeper.py
+++ b/beechrock/inventory/keeper.py
@@ -66,9 +66,9 @@
             alarm = asyncio.get_running_loop().call_later(self.watch_s, self.mailbox.wake)
             await self.mailbox.wait()
             alarm.cancel()
-            words = self.mailbox.drain()
+            requests = self.mailbox.drain()
             try:
-                await self.look(bool(words))
+                await self.look(bool(requests))
             except Exception as error:  # The inventory in force stays; the next round tries again
                 self.counters.record_error("inventory", error)
 
--- a/beechrock/inventory/layout.py
+++ b/beechrock/inventory/layout.py
@@ -31,12 +31,12 @@
 
 
 def _assign(
-    held: tuple[K, ...],
+    current: tuple[K, ...],
     gone: Mapping[int, float],
     wanted: list[K],
     now: float,
 ) -> tuple[tuple[K, ...], dict[int, float]]:
-    places = list(held)
+    places = list(current)
     place_of = {key: at for at, key in enumerate(places)}
     wanted_set = set(wanted)
     removed = {at: gone.get(at, now) for at, key in enumerate(places) if key not in wanted_set}
--- a/beechrock/inventory/merge.py
+++ b/beechrock/inventory/merge.py
@@ -208,7 +208,7 @@
     # Sort by place: contract order sets the order of the decision module's classes. Without the sort a
     # contract named like a service took that service's position, and the order depended on the file format.
     ordered = {
-        kind: dict(sorted(entries.items(), key=lambda one: one[1].place)) for kind, entries in kinds.items()
+        kind: dict(sorted(entries.items(), key=lambda item: item[1].place)) for kind, entries in kinds.items()
     }
     return Checked(node, ordered, {name: tuple(found) for name, found in groups.items()})
 
--- a/beechrock/inventory/model.py
+++ b/beechrock/inventory/model.py
@@ -73,7 +73,7 @@
     """Return the checked entries and the inventory built from them, or None if ``problems`` has an error."""
     raw = sources.read(path, problems)
     # If a whole file can't be read, its entries would be reported as missing, which would hide the cause.
-    if any(not one.entry and one.severity is Severity.ERROR for one in problems.listed):
+    if any(not problem.entry and problem.severity is Severity.ERROR for problem in problems.listed):
         return None
     checked = merge.merge(raw, problems)
     meaning = build(checked, problems, Place(str(path)))
--- a/beechrock/inventory/terms.py
+++ b/beechrock/inventory/terms.py
@@ -87,18 +87,18 @@
         _packed(terms.root),
         {name: _packed(group) for name, group in terms.departments.items()},
         {name: _packed(group) for name, group in terms.teams.items()},
-        [[*pair, *_packed(one)] for pair, one in terms.services.items()],
+        [[*pair, *_packed(item)] for pair, item in terms.services.items()],
         terms.cores,
         terms.slack_s,
         terms.cost_s,
     ]
 
 
-def _packed(one: object) -> list[Any]:
+def _packed(item: object) -> list[Any]:
     """Return the values of a dataclass in field order; a plan and hours become nested lists."""
     found: list[Any] = []
-    for field_ in fields(one):  # type: ignore[arg-type]
-        value = getattr(one, field_.name)
+    for field_ in fields(item):  # type: ignore[arg-type]
+        value = getattr(item, field_.name)
         if isinstance(value, (Plan, Hours)):
             value = None if value == Hours() else _packed(value)
         found.append(None if isinstance(value, float) and math.isinf(value) else value)
@@ -109,9 +109,9 @@
     root, departments, teams, services, cores, slack_s, cost_s = values
     return Terms(
         _group(root),
-        {name: _group(one) for name, one in departments.items()},
-        {name: _group(one) for name, one in teams.items()},
-        {(team, service): _service(one) for team, service, *one in services},
+        {name: _group(item) for name, item in departments.items()},
+        {name: _group(item) for name, item in teams.items()},
+        {(team, service): _service(item) for team, service, *item in services},
         cores,
         slack_s,
         cost_s,
