--- a/beechrock/handover/predecessor.py
+++ b/beechrock/handover/predecessor.py
@@ -97,7 +97,7 @@
         """Run no new keyed request, as the predecessor's messages cannot be understood."""
         ownership = self._parts.keys.ownership
         if ownership.role is not PeerRole.INCOMPATIBLE:
-            log.warning("handover: the predecessor cannot be understood; keyed requests are rejected")
+            log.warning("handover: the predecessor cannot be understood; keyed requests are turned away")
             ownership.role = PeerRole.INCOMPATIBLE
             self._parts.on_change()
 
