--- a/beechrock/core/action_executor.py
+++ b/beechrock/core/action_executor.py
@@ -37,7 +37,7 @@
                 self._timers.set(token, now + delay)
             case api.Health(good, stored):
                 self._status.healthy = good
-                self._status.stored = stored
+                self._status.cached = stored
             case api.Advertise(value):
                 self._status.advice = value
             case api.CloseIdleConnections(after):
--- a/beechrock/core/actor.py
+++ b/beechrock/core/actor.py
@@ -86,10 +86,10 @@
         self.module_timers = ModuleTimers(self.timers, self.table, self.ports)
         self.executor = ActionExecutor(counters, self.table, self.module_timers, self.ports, self.status)
         self.node = Node(settings, seed, now)
-        self.leaving_until: float | None = None
-        self.replaced = False  # whether another process takes over this node at shutdown
-        self.able: Callable[[], bool] = lambda: True  # whether runs can be started
-        self.offered: Callable[[], bool] = lambda: True  # whether operators want the node listed
+        self.shutdown_deadline: float | None = None
+        self.has_successor = False  # whether another process takes over this node at shutdown
+        self.can_run: Callable[[], bool] = lambda: True  # whether runs can be started
+        self.listed_by_operators: Callable[[], bool] = lambda: True  # whether operators want the node listed
         self.timers.at(now + SWEEP_S, self._sweep)
 
     @property
@@ -180,7 +180,7 @@
             alarm.cancel()
             now = self.clock()
             if now - due > 0:
-                self.counters.top("lag.most_ms", round(1000 * (now - due), 1))
+                self.counters.raise_max("lag.most_ms", round(1000 * (now - due), 1))
             if 0 <= now - last < self.tick_s:
                 await asyncio.sleep(self.tick_s - (now - last))
             last = self.clock()
@@ -291,13 +291,13 @@
     def _on_shutdown(self, message: ShutdownRequested, events: list[api.Event], now: float) -> None:
         end = now + message.remaining_s
         # A notice that is repeated because the event loop runs late names an earlier end.
-        if self.leaving_until is None or end < self.leaving_until:
-            self.leaving_until = end
-            self.replaced = message.replaced
+        if self.shutdown_deadline is None or end < self.shutdown_deadline:
+            self.shutdown_deadline = end
+            self.has_successor = message.replaced
             events.append(api.ShutdownNotice(message.remaining_s, message.replaced))
-        elif self.replaced is not message.replaced:  # a successor came after the notice, or has ended
-            self.replaced = message.replaced
-            events.append(api.ShutdownNotice(self.leaving_until - now, message.replaced))
+        elif self.has_successor is not message.replaced:  # a successor came after the notice, or has ended
+            self.has_successor = message.replaced
+            events.append(api.ShutdownNotice(self.shutdown_deadline - now, message.replaced))
 
     def _on_workers_started(
         self, needs_warm_up: bool, age_s: float, events: list[api.Event], now: float
@@ -310,7 +310,7 @@
             warm = replace(self.node.settings, slow_start=False)
             events.append(api.SettingsChanged(warm))
             events.append(api.SettingsChanged(replace(warm, slow_start=True)))
-        if self.table.last_id == 0 and self.leaving_until is None:
+        if self.table.last_id == 0 and self.shutdown_deadline is None:
             self._restart_module(needs_warm_up, age_s, now)
 
     def _restart_module(self, needs_warm_up: bool, age_s: float, now: float) -> None:
--- a/beechrock/core/counters.py
+++ b/beechrock/core/counters.py
@@ -23,7 +23,7 @@
         """Set a count."""
         self._counts[name] = value
 
-    def top(self, name: str, value: float) -> None:
+    def raise_max(self, name: str, value: float) -> None:
         """Raise a maximum to ``value`` if that is greater."""
         if value > self._counts.get(name, 0):
             self._counts[name] = value
--- a/beechrock/core/idempotency.py
+++ b/beechrock/core/idempotency.py
@@ -60,12 +60,12 @@
             None,
         )
 
-    def knows(self, route: str, nonce: str, born: float) -> bool:
+    def is_repeat(self, route: str, nonce: str, born: float) -> bool:
         """Return whether a request with this key, born at ``born``, would be a repeat."""
         entry = self._entries.get((route, nonce))
         return entry is not None and born <= entry.until + SLACK_S
 
-    def keep(self, request: Request, until: float, now: float) -> bool:
+    def remember(self, request: Request, until: float, now: float) -> bool:
         """Remember a request; return False if no room can be made, or if its key may have run already.
 
         A full table first drops lingering entries, whose windows have ended. An entry that is replaced goes
@@ -148,7 +148,7 @@
         """Return whether a request born then may repeat a run whose entry was dropped to make room."""
         return born <= self.dropped_until + SLACK_S
 
-    def doubt_ends(self) -> float:
+    def in_doubt_until(self) -> float:
         """Return the time after which no request can be in doubt any more."""
         return self.dropped_until + SLACK_S + self.linger_s
 
--- a/beechrock/core/intake.py
+++ b/beechrock/core/intake.py
@@ -118,7 +118,7 @@
             # Another body under the same key is another request, and must not get the first one's result.
             request.digest = request.digest or _digest(request)
             if first is None and self._ports.partner is not None:
-                first = self._ports.partner.find_first(request)
+                first = self._ports.partner.find_proxy(request)
             if first is not None and first.digest != request.digest:
                 self._reject_form(request, "key_with_other_body", b"this key came with another body")
                 return
--- a/beechrock/core/link_lifecycle.py
+++ b/beechrock/core/link_lifecycle.py
@@ -15,7 +15,7 @@
 Address = tuple[str, int]
 # A deadline handled later than this: the process was paused, and the peer's messages may still be unread.
 # The deadline is then extended once, or each pause of the machine would cost the link.
-LATE_S = 0.1
+PAUSE_LATENESS_S = 0.1
 
 
 class LinkState(Enum):
@@ -57,8 +57,8 @@
     answer_s: float = math.inf
     close_s: float = math.inf
     reconnect_s: tuple[float, float] | None = None
-    broken_s: float = 0.0  # time for which a link that was up still counts as able after it broke
-    suspect_s: float = 0.0  # the same, if it was cut because the peer was silent
+    able_after_break_s: float = 0.0  # time for which a link that was up still counts as able after it broke
+    able_after_silence_s: float = 0.0  # the same, if it was cut because the peer was silent
 
 
 @dataclass(frozen=True, slots=True)
@@ -224,7 +224,7 @@
                 if self.state is not LinkState.CLOSING:
                     self._enter(LinkState.CLOSING, now, self.limits.close_s)
             case Refused() | Ended():
-                return self._reconnect(now, self.limits.broken_s)
+                return self._reconnect(now, self.limits.able_after_break_s)
         return []
 
     def _on_progress(self, now: float, event: Opened | Greeted | Synced) -> list[Action]:
@@ -267,11 +267,15 @@
                 # A long list of missed messages is still arriving.
                 self.due = self.last_received_at + self._limit_s
                 return []
-        if now > self.due + LATE_S and not self._extended:
+        if now > self.due + PAUSE_LATENESS_S and not self._extended:
             self._extended, self.due = True, now + self._limit_s
             return []
         reason = _TIMEOUT_REASONS[self.state]
-        able_s = self.limits.suspect_s if reason is CloseReason.SILENT else self.limits.broken_s
+        able_s = (
+            self.limits.able_after_silence_s
+            if reason is CloseReason.SILENT
+            else self.limits.able_after_break_s
+        )
         return [Cut(self.link, reason), *self._reconnect(now, able_s)]
 
     def _moved(self, now: float, address: Address) -> list[Action]:
@@ -284,7 +288,7 @@
             return []  # without reconnection the link ends at the old address, with all that is open on it
         # An attempt in progress is cut too: it would become a lasting link to the old address.
         cut: list[Action] = [] if self.state is LinkState.WAITING else [Cut(self.link, CloseReason.MOVED)]
-        self._reconnect(now, self.limits.broken_s)
+        self._reconnect(now, self.limits.able_after_break_s)
         self.failures = 0
         if self.state is LinkState.WAITING:
             self.due = now
--- a/beechrock/core/request_table.py
+++ b/beechrock/core/request_table.py
@@ -145,7 +145,7 @@
 
     def remember(self, request: Request, until: float, now: float) -> bool:
         """Remember a request, also in the node's other process; if this returns False it must not run."""
-        if not self._idempotency.keep(request, until, now):
+        if not self._idempotency.remember(request, until, now):
             self._counters.add("trouble.keys_full")
             return False
         partner = self._ports.partner
--- a/beechrock/core/requests.py
+++ b/beechrock/core/requests.py
@@ -131,7 +131,7 @@
     def request_run(self, request: Request) -> bool:
         """Return whether a keyed request may be received now; if not, it is posted again or answered."""
 
-    def find_first(self, request: Request) -> Request | None:
+    def find_proxy(self, request: Request) -> Request | None:
         """Return the other process's request that this one repeats, or None."""
 
     def claim_run(self, request: Request, until: float) -> bool:
--- a/beechrock/core/timer_wheel.py
+++ b/beechrock/core/timer_wheel.py
@@ -81,7 +81,7 @@
         self._slots = [[timer for timer in slot if timer.action is not _no_action] for slot in self._slots]
         self._armed = sum(len(slot) for slot in self._slots)
 
-    def worked_off(self, now: float) -> bool:
+    def has_fired_until(self, now: float) -> bool:
         """Return whether all timers due by ``now`` have fired."""
         return self._last_tick >= int(now / self.tick_s)
 
--- a/beechrock/handover/key_partner.py
+++ b/beechrock/handover/key_partner.py
@@ -43,7 +43,7 @@
 
         That is the case in doubt, and after a full table has dropped runs whose windows had ended.
         """
-        return self.in_doubt or self.module.clock() < self.module.idempotency.doubt_ends()
+        return self.in_doubt or self.module.clock() < self.module.idempotency.in_doubt_until()
 
     def request_run(self, request: Request) -> bool:
         """Return whether a keyed attempt may be admitted now.
@@ -78,7 +78,7 @@
         """Return the time at which the answer to a request is due."""
         return request.born + self.module.intake.due_after_s(request)
 
-    def find_first(self, request: Request) -> Request | None:
+    def find_proxy(self, request: Request) -> Request | None:
         """Return the proxy of the other process's run that this request repeats, or None."""
         if self.ownership.is_idle:
             return None
--- a/beechrock/handover/node.py
+++ b/beechrock/handover/node.py
@@ -179,7 +179,7 @@
         lifecycle = self.lifecycle
         served = lifecycle.serving
         lifecycle.on_time(now_s)
-        if not lifecycle.able_to_run and self.module.able():
+        if not lifecycle.able_to_run and self.module.can_run():
             lifecycle.on_able()
         if lifecycle.predecessor is PredecessorStage.INCOMPATIBLE:
             self.predecessor.mark_incompatible()
--- a/beechrock/net/agent.py
+++ b/beechrock/net/agent.py
@@ -38,8 +38,8 @@
     answer_s=0.3,
     close_s=0.4,
     reconnect_s=(0.02, 0.2),
-    broken_s=1.0,
-    suspect_s=3.0,
+    able_after_break_s=1.0,
+    able_after_silence_s=3.0,
 )
 
 
--- a/beechrock/net/connection_server.py
+++ b/beechrock/net/connection_server.py
@@ -246,7 +246,7 @@
             peer.rejected = True
             self.send_full(peer)
         self.peers.add(peer)
-        counters.top(f"intake.{self.where}_most_connections", len(self.peers))
+        counters.raise_max(f"intake.{self.where}_most_connections", len(self.peers))
         try:
             await peer.serve(reader, writer)
         finally:
--- a/beechrock/net/frame_connection.py
+++ b/beechrock/net/frame_connection.py
@@ -257,7 +257,7 @@
         work = self.module.ports.work
         if (
             values.get(THOROUGH_FIELD) == TRUE
-            and not self.module.status.stored
+            and not self.module.status.cached
             and work
             and self.module.status.healthy
             and (len(self.open) < MAX_OPEN)
@@ -269,7 +269,12 @@
 
     def _checked(self, stream: int, worked: bool) -> None:
         self.open.pop(stream, None)
-        good = worked and self.module.status.healthy and self.module.able() and self.module.offered()
+        good = (
+            worked
+            and self.module.status.healthy
+            and self.module.can_run()
+            and self.module.listed_by_operators()
+        )
         self.counters.add("answered.checks_good" if good else "answered.checks_bad")
         self.post(
             Reply(CHECKED, stream, HEALTHY if good else UNHEALTHY, advice_fields(self.module.status.advice))
--- a/beechrock/net/ledger.py
+++ b/beechrock/net/ledger.py
@@ -219,7 +219,7 @@
         if link.open.get(call.request.trace) is not call:
             return
         now = self.module.clock()
-        if now > call.since + call.wait_s + life.LATE_S and not call.extended:
+        if now > call.since + call.wait_s + life.PAUSE_LATENESS_S and not call.extended:
             # The timer fired late, as this process was paused: a reply that came in time may be unread.
             call.extended = True
             call.timer = self.module.timers.at(now + LATE_REPLY_S, lambda: self._time_out(link, call))
--- a/beechrock/net/scgi.py
+++ b/beechrock/net/scgi.py
@@ -205,7 +205,7 @@
         # team has left. If it were rejected, its caller would conclude that the request never ran.
         nonce = headers.get(KEY_HEADER, "")
         if self.module.settings.classes[klass].idempotency is Idempotency.KEYED and (
-            self.module.idempotency.knows(route, nonce, self.born)
+            self.module.idempotency.is_repeat(route, nonce, self.born)
         ):
             return True
         if not self._join(team):
--- a/beechrock/optional_parts.py
+++ b/beechrock/optional_parts.py
@@ -70,12 +70,12 @@
     """Create the serving state that operators see and set, shared with the hand-over's other process."""
     from beechrock.admin.serving import Serving
 
-    serving = Serving(lambda: module.able() and (handover is None or handover.serving))
+    serving = Serving(lambda: module.can_run() and (handover is None or handover.serving))
     if handover is not None:
         serving.on_drain_command = handover.send_drain_command
         handover.on_drain_command = serving.hear
         handover.drained = lambda: serving.failed
-    module.offered = lambda: serving.offered
+    module.listed_by_operators = lambda: serving.offered
     return serving
 
 
--- a/beechrock/program.py
+++ b/beechrock/program.py
@@ -106,12 +106,12 @@
         self.agent: Agent | None = None
         if configuration.agent:
             self.agent = Agent(self.module, configuration.gauges, configuration.agent)
-            self.module.able = self.agent.able
+            self.module.can_run = self.agent.able
             self.agent.lost = self.reload_if_changed
         self.registry: Registry | None = None
         if configuration.registry:
             self.registry = Registry(
-                configuration.name, configuration.registry, self.counters, self.module.able
+                configuration.name, configuration.registry, self.counters, self.module.can_run
             )
         work: Work | None = self.agent
         if configuration.scgi is not None:
--- a/beechrock/releases/part.py
+++ b/beechrock/releases/part.py
@@ -236,7 +236,7 @@
             self.told.version,
             here=mine is not None and mine.life == self.life,
             proved=mine is not None and mine.proved,
-            able=bool(module.able()) and module.status.healthy and not by_hand and not serving.leaving,
+            able=bool(module.can_run()) and module.status.healthy and not by_hand and not serving.leaving,
             linked=bool(self.agree.leader) and 2 * len(hears) >= len(self.names) - 1,
             open=self._open(),
             taken=module.table.counts.taken,
--- a/tests/core/test_actor.py
+++ b/tests/core/test_actor.py
@@ -27,7 +27,7 @@
 def test_a_repeat_is_found_by_its_birth_until_50_ms_after_the_window() -> None:
     table = IdempotencyTable(2, linger_s=4.0)
     first = request("a", "n")
-    table.keep(first, 110.0, 100.0)
+    table.remember(first, 110.0, 100.0)
     assert table.find(request("b", "n", born=110.05)) is first
     assert table.find(request("c", "n", born=110.06)) is None
     # A repeat may be read late, as entries stay in the table after their window.
@@ -40,13 +40,13 @@
 def test_the_idempotency_table_is_bounded_and_only_the_current_request_removes_an_entry() -> None:
     table = IdempotencyTable(2, linger_s=4.0)
     one, two = request("a", "n"), request("b", "n")
-    assert table.keep(one, 110.0, 100.0) and table.keep(request("c", "m"), 110.0, 100.0)
-    assert not table.keep(request("d", "o"), 110.0, 100.0)
-    assert table.keep(two, 111.0, 100.0)
+    assert table.remember(one, 110.0, 100.0) and table.remember(request("c", "m"), 110.0, 100.0)
+    assert not table.remember(request("d", "o"), 110.0, 100.0)
+    assert table.remember(two, 111.0, 100.0)
     table.forget(one)
     assert table.find(request("e", "n")) is two
     # A lingering entry is dropped to make room for a live one.
-    assert table.keep(request("f", "o"), 120.0, 110.5)
+    assert table.remember(request("f", "o"), 120.0, 110.5)
     assert table.find(request("g", "m")) is None
 
 
@@ -235,7 +235,7 @@
     table, kept = IdempotencyTable(8, 1.0), [request(f"k{n}", f"n{n}") for n in range(3)]
     for made in kept:
         made.result = b"x" * 100
-        table.keep(made, 200.0, 100.0)
+        table.remember(made, 200.0, 100.0)
     assert table.trim(200) == 1
     assert [made.result is None for made in kept] == [True, False, False]
 
--- a/tests/core/test_link_lifecycle.py
+++ b/tests/core/test_link_lifecycle.py
@@ -7,7 +7,7 @@
 
 from beechrock import interface as api
 from beechrock.core import link_lifecycle as life
-from beechrock.core.link_lifecycle import LATE_S, CloseReason, LinkLifecycle, LinkState
+from beechrock.core.link_lifecycle import PAUSE_LATENESS_S, CloseReason, LinkLifecycle, LinkState
 from beechrock.net import agent, ledger
 from beechrock.policy import Node
 
@@ -80,7 +80,10 @@
         ]
         found += [life.Moved(OLD), life.Moved(GOOD), -1.0]
         if self.life.due != float("inf"):
-            found += [max(0.0, self.life.due - self.now), max(0.0, self.life.due - self.now) + 2 * LATE_S]
+            found += [
+                max(0.0, self.life.due - self.now),
+                max(0.0, self.life.due - self.now) + 2 * PAUSE_LATENESS_S,
+            ]
         return found
 
     def possible(self, kind: type, number: int) -> bool:
--- a/tests/handover/test_node_late.py
+++ b/tests/handover/test_node_late.py
@@ -106,7 +106,7 @@
         await new.play(late + (OK if joined else DOUBT) % 1)
         assert new.program.counters["sent.launches"] == 0
         if not joined:
-            old.now = new.now = table.doubt_ends() + 0.01
+            old.now = new.now = table.in_doubt_until() + 0.01
             await pair.following(old, new)
 
     run(work, folder)
--- a/tests/play.py
+++ b/tests/play.py
@@ -283,7 +283,7 @@
                 # for one pause of its own. The wait is bounded, as an actor that has ended handles nothing.
                 wheel = self.program.module.timers
                 for _ in range(500):
-                    if wheel.worked_off(self.now):
+                    if wheel.has_fired_until(self.now):
                         break
                     await asyncio.sleep(0.004)
                 # Wait for two rounds of the actor: the second carries out the decisions of the first.
@@ -307,7 +307,7 @@
             case ["leave"]:
                 self.program.leave()
                 module = self.program.module
-                await until(lambda: module.leaving_until is not None, lambda: "the notice was not handled")
+                await until(lambda: module.shutdown_deadline is not None, lambda: "notice was not handled")
             case ["up", name]:
                 # Under full load, a health check between the greeting and the first sample got a negative
                 # result, which is correct, as no run can start at that time.
--- a/tests/test_closing_late.py
+++ b/tests/test_closing_late.py
@@ -277,7 +277,7 @@
         program = stand.program
         program.leave()
         planned = program.graceful_shutdown.steps
-        await until(lambda: program.module.leaving_until is not None, lambda: "no first time limit")
+        await until(lambda: program.module.shutdown_deadline is not None, lambda: "no first time limit")
         first = program.module.node.shutdown.kill_s
         stand.now += 3.0
         program.graceful_shutdown.began_at -= 3.0
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -92,7 +92,7 @@
         assert agent is not None
         ends = [("PASS", "00"), ("FAIL", "01"), ("clock 3.1", "01"), ("g break", "01")]
         for stream, (end, code) in enumerate(ends, 2):
-            stand.program.module.status.stored = False
+            stand.program.module.status.cached = False
             await stand.play(ask % stream + '\ng ... "\\r\\n"')
             [tag] = agent.checks.reports
             # Without a result from the agent, a time limit ends the check, and so does a break of the link.
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -269,7 +269,7 @@
     table, tries = IdempotencyTable(3, linger_s=10.0), [request(f"t{n}", "n") for n in range(4)]
     for at, one in enumerate(tries[:3]):
         one.born = 100.0 + at
-        assert table.keep(one, 100.5 + at, 100.0 + at)
+        assert table.remember(one, 100.5 + at, 100.0 + at)
     assert len(table) == 3
     other = request("other", "another")
     table.forget(tries[1])
@@ -277,13 +277,13 @@
     table.forget(tries[2])
     assert len(table) == 1 and table.holds(tries[0])
     tries[3].born = 105.0
-    assert table.keep(tries[3], 105.5, 105.0) and len(table) == 2
-    assert table.keep(other, 120.0, 105.0) and len(table) == 3
+    assert table.remember(tries[3], 105.5, 105.0) and len(table) == 2
+    assert table.remember(other, 120.0, 105.0) and len(table) == 3
     # Lingering entries are dropped.
-    assert table.keep(request("more", "yet another"), 120.0, 105.0) and len(table) == 3
-    assert not table.keep(request("most", "one too many"), 120.0, 105.0)
+    assert table.remember(request("more", "yet another"), 120.0, 105.0) and len(table) == 3
+    assert not table.remember(request("most", "one too many"), 120.0, 105.0)
     last = request("last", "n", born=106.0)
-    assert table.keep(last, 106.5, 106.0) and len(table) == 3
+    assert table.remember(last, 106.5, 106.0) and len(table) == 3
     table.sweep(131.0)
     assert len(table) == 0
 
--- a/tests/test_repeats_replaced.py
+++ b/tests/test_repeats_replaced.py
@@ -101,7 +101,7 @@
         [request(f"t{n}", "n", born=100.0 + n) for n in range(4)],
     )
     for at, one in enumerate(tries[:3]):
-        assert table.keep(one, 100.5 + at, 100.0 + at)
+        assert table.remember(one, 100.5 + at, 100.0 + at)
     for forgotten in (None, tries[2]):
         if forgotten is not None:
             table.forget(forgotten)
@@ -141,7 +141,7 @@
     def request_run(self, request: Request) -> bool:
         return True
 
-    def find_first(self, request: Request) -> Request | None:
+    def find_proxy(self, request: Request) -> Request | None:
         return None
 
     def claim_run(self, request: Request, until: float) -> bool:
