--- a/beechrock/admin/http.py
+++ b/beechrock/admin/http.py
@@ -124,7 +124,7 @@
                 if self.body > MOST_BODY:
                     self._say(Said(413, f"a body of over {MOST_BODY} bytes\n"))
             case h11.EndOfMessage() if self.asked is not None:
-                self.uses = 1
+                self.messages_received = 1
                 self._say(
                     self.front.calls.answer(
                         self.asked.method.decode("ascii", "replace"),
@@ -135,7 +135,7 @@
                 return False
         return True
 
-    def failed_inside(self) -> None:
+    def report_internal_error(self) -> None:
         self._say(Said(500, "internal error\n"))
 
     def _say(self, said: Said) -> None:
@@ -169,7 +169,7 @@
         return () if head_only else (h11.Data(data=body),)
 
     def settled(self) -> bool:
-        return self.said or self.asked is None or not self.uses
+        return self.said or self.asked is None or not self.messages_received
 
     def input_ended(self) -> None:
         if self.said:
@@ -191,12 +191,12 @@
     def peer(self) -> AdminPeer:
         return AdminPeer(self)
 
-    def send_full(self, peer: AdminPeer) -> None:
+    def reject_full(self, peer: AdminPeer) -> None:
         peer._say(Said(503, "too many calls at once\n"))
 
     def ended(self, peer: AdminPeer) -> None:
         """Nothing is open on it that anybody else holds."""
 
-    def look_at(self, peer: AdminPeer, now: float) -> None:
+    def check_idle(self, peer: AdminPeer, now: float) -> None:
         if now - peer.last_message_at > WHOLE_S:
             peer._say(Said(408, "the call did not come whole in time\n"))
--- a/beechrock/connections/shutdown.py
+++ b/beechrock/connections/shutdown.py
@@ -11,7 +11,7 @@
 5. ``exit_s``: the remaining connections are read, answered and ended without a turn of the event loop.
 6. ``end_s``: nothing is read any more, and the process ends.
 
-On an event loop that lags, steps 2 to 5 take longer, so they begin earlier (``hastened``).
+On an event loop that lags, steps 2 to 5 take longer, so they begin earlier (``advance_for_lag``).
 """
 
 from collections import deque
@@ -67,7 +67,7 @@
     )
 
 
-def hastened(steps: Schedule, lag_s: float) -> Schedule:
+def advance_for_lag(steps: Schedule, lag_s: float) -> Schedule:
     """Advance ``steps``, a result of ``schedule``, for an event loop with a lag of ``lag_s`` seconds."""
     scale = _scale(steps.stop_s)
     earlier_s = min(LAG_FACTOR * lag_s, scale * MAX_EARLIER_S)
--- a/beechrock/connections/table.py
+++ b/beechrock/connections/table.py
@@ -43,19 +43,19 @@
 
     opened_at: float
     last_message_at: float  # arrival of the last complete message; before the first one, the time of opening
-    uses: int  # number of complete messages received
-    back_from: float  # when the caller was last refused with a retry time
-    back_at: float  # the retry time; 0 if none was given, or if the caller has sent a message since
+    messages_received: int  # number of complete messages received
+    refused_at: float  # when the caller was last refused with a retry time
+    retry_at: float  # the retry time; 0 if none was given, or if the caller has sent a message since
     closing: bool
     rejected: bool  # the table was full, so that each request on the connection is refused at once
 
-    def owes(self) -> bool:
+    def has_pending_answer(self) -> bool:
         """Return whether an answer, or a part of one, is still to be sent."""
 
-    def input_waits(self) -> bool:
+    def has_unread_input(self) -> bool:
         """Return whether input has arrived that was not read yet."""
 
-    def begun(self) -> bool:
+    def has_partial_message(self) -> bool:
         """Return whether a part of a message was read so recently that the rest may still arrive."""
 
 
@@ -82,25 +82,25 @@
 
 def expected_until(c: Connection) -> float:
     """Return the latest time at which the caller may return, or 0 if it was given no retry time."""
-    return c.back_at + LATE_SHARE * (c.back_at - c.back_from) + CROSSING_S if c.back_at else 0.0
+    return c.retry_at + LATE_SHARE * (c.retry_at - c.refused_at) + CROSSING_S if c.retry_at else 0.0
 
 
 def idle_state(c: Connection, now: float) -> State:
     """Return the state of a connection, without the check whether it is ``NEEDED``."""
     if c.closing:
         return State.CLOSING
-    if c.begun():
+    if c.has_partial_message():
         return State.BEGUN
-    if not c.uses:
+    if not c.messages_received:
         return State.SILENT if now - c.opened_at > CROSSING_S else State.FRESH
-    if c.back_at and now <= expected_until(c):
+    if c.retry_at and now <= expected_until(c):
         return State.EXPECTED
-    return State.ONCE if c.uses == 1 else State.RETURNING
+    return State.ONCE if c.messages_received == 1 else State.RETURNING
 
 
 def state_of(c: Connection, now: float) -> State:
     """Return the state of a connection; unread input is checked last, as that needs a system call."""
-    return State.NEEDED if c.owes() or c.input_waits() else idle_state(c, now)
+    return State.NEEDED if c.has_pending_answer() or c.has_unread_input() else idle_state(c, now)
 
 
 def victim(connections: Collection[C], max_connections: int, now: float) -> C | None:
@@ -110,17 +110,17 @@
     ``NEEDED`` is made only for a connection that would be a better choice than the best so far.
     """
     # Beyond their share, returning connections are compared by age alone; otherwise no new caller could stay.
-    crowded = sum(c.uses > 1 for c in connections) > PROTECTED_SHARE * max_connections
+    crowded = sum(c.messages_received > 1 for c in connections) > PROTECTED_SHARE * max_connections
     best, choice = (State.NEEDED, 0.0), None
     for c in connections:
-        if best[0] <= State.ONCE and c.uses and c.last_message_at >= best[1] and not c.closing:
+        if best[0] <= State.ONCE and c.messages_received and c.last_message_at >= best[1] and not c.closing:
             continue  # costs at least ``ONCE`` and is younger, like most connections in a full table
         state = idle_state(c, now)
         if state is State.RETURNING and crowded:
             state = State.ONCE
         # Of the connections with a retry time, the one with the latest time is needed last.
-        cost = state, -c.back_at if state is State.EXPECTED else c.last_message_at
-        if cost < best and not (c.rejected or c.owes() or c.input_waits()):
+        cost = state, -c.retry_at if state is State.EXPECTED else c.last_message_at
+        if cost < best and not (c.rejected or c.has_pending_answer() or c.has_unread_input()):
             best, choice = cost, c
     return choice
 
@@ -158,8 +158,8 @@
     closable = [
         c
         for c in rejected
-        if not (c.owes() or c.begun() or c.input_waits())
-        and (c.uses or c.closing or now - c.opened_at > CROSSING_S)
+        if not (c.has_pending_answer() or c.has_partial_message() or c.has_unread_input())
+        and (c.messages_received or c.closing or now - c.opened_at > CROSSING_S)
     ]
     oldest = min(closable, key=lambda c: c.opened_at, default=None)
     return min(at_once, max(0, left + (oldest is not None))), oldest
@@ -190,10 +190,17 @@
     if c.closing:
         return None
     if silent_sweeps > SILENT_SWEEPS:  # if the loop lags, a complete message may be unread
-        return None if c.input_waits() else CloseReason.STALE
+        return None if c.has_unread_input() else CloseReason.STALE
     if c.rejected:
-        idle = now - c.last_message_at > REJECTED_IDLE_S and not (c.owes() or c.input_waits())
+        idle = now - c.last_message_at > REJECTED_IDLE_S and not (
+            c.has_pending_answer() or c.has_unread_input()
+        )
         return CloseReason.IDLE if idle else None
-    if not idle_s or c.owes() or now <= idle_until(c, idle_s, callers_idle_s) or c.input_waits():
+    if (
+        not idle_s
+        or c.has_pending_answer()
+        or now <= idle_until(c, idle_s, callers_idle_s)
+        or c.has_unread_input()
+    ):
         return None
     return CloseReason.IDLE
--- a/beechrock/departure.py
+++ b/beechrock/departure.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from beechrock.connections.shutdown import LoopLag, Schedule, hastened, schedule
+from beechrock.connections.shutdown import LoopLag, Schedule, advance_for_lag, schedule
 from beechrock.net.connection_server import ConnectionServer
 from beechrock.net.direct_endpoint import load_input_check
 
@@ -40,7 +40,7 @@
             due = min(now + POLL_INTERVAL_S, self.began_at + self.steps.close_s)
             await asyncio.sleep(due - now)
             lag.note(loop.time(), due)
-            self._adopt_earlier(hastened(planned, lag.worst_s()), on_earlier)
+            self._adopt_earlier(advance_for_lag(planned, lag.worst_s()), on_earlier)
             idle_checks = idle_checks + 1 if is_idle() else 0
 
     def _adopt_earlier(self, steps: Schedule, on_earlier: Callable[[float], None]) -> None:
--- a/beechrock/handover/peer.py
+++ b/beechrock/handover/peer.py
@@ -98,7 +98,7 @@
         except BadInputError as error:
             self.bad_input(str(error))
 
-    def _crowded(self) -> bool:
+    def _is_congested(self) -> bool:
         """Return False, so that input is always read.
 
         The claims of a process count even if it is killed while it reads nothing itself.
--- a/beechrock/net/agent.py
+++ b/beechrock/net/agent.py
@@ -79,7 +79,7 @@
         self.agent.handle_unreadable(fields, problem)
         self.drop()
 
-    def _crowded(self) -> bool:
+    def _is_congested(self) -> bool:
         return False  # reading notices confirms commands; if both ends stopped reading, they would deadlock
 
     def input_ended(self) -> None:
--- a/beechrock/net/connection.py
+++ b/beechrock/net/connection.py
@@ -6,7 +6,7 @@
 
 from beechrock.core.counters import Counters
 from beechrock.core.mailbox import Mailbox
-from beechrock.net.direct_endpoint import DirectEndpoint, StreamEndpoint, input_waits
+from beechrock.net.direct_endpoint import DirectEndpoint, StreamEndpoint, has_unread_input
 from beechrock.net.ring_buffer import BufferFullError, RingBuffer
 
 T = TypeVar("T")
@@ -45,11 +45,11 @@
         self.received = 0  # chunks received so far
         self.received_at_sweep = 0  # chunks received by the time of the last sweep
         # Fields that ``connections/table.py`` reads; times in seconds of the module's clock.
-        self.uses = 0  # complete messages received
+        self.messages_received = 0  # complete messages received
         self.opened_at = 0.0
         self.last_message_at = 0.0
-        self.back_from = 0.0  # when the peer was last given a retry time
-        self.back_at = 0.0  # the retry time given then
+        self.refused_at = 0.0  # when the peer was last given a retry time
+        self.retry_at = 0.0  # the retry time given then
         self.rejected = False
         self._shut = False  # the outgoing stream is closed, and nothing may be sent after it
         self._sending = False  # messages were taken from the mailbox, and not all are written yet
@@ -69,7 +69,7 @@
     def bad_input(self, problem: str) -> None:
         """Report a protocol violation to the peer, if the protocol has a message for that."""
 
-    def failed_inside(self) -> None:
+    def report_internal_error(self) -> None:
         """Report to the peer that a message could not be handled because of an internal error."""
         self.bad_input("internal error")
 
@@ -80,20 +80,19 @@
     def answer_all(self) -> None:
         """Answer all open requests with a failure, as the process ends."""
 
-    def owes(self) -> bool:
+    def has_pending_answer(self) -> bool:
         """Return whether an answer, or a part of one, is still to be sent."""
         return not (self.settled() and self.flushed)
 
-    def begun(self) -> bool:
+    def has_partial_message(self) -> bool:
         """Return whether a message has been received in part, and the rest may still arrive."""
         return False
 
-    def input_waits(self) -> bool:
+    def has_unread_input(self) -> bool:
         """Return whether received bytes are unread, in the kernel or in the stream.
 
-        The node is responsible for a request as soon as the caller has written it. On a lagging event loop,
-        the request may stay unread for longer than the 50 ms in which a caller resends a request that crossed
-        a close.
+        The node is responsible for a request once the caller has written it. On a lagging event loop, it may
+        stay unread for longer than the 50 ms in which a caller resends a request that crossed a close.
         """
         if self._reader is None or self._writer is None or self._writer.transport.is_closing():
             return False
@@ -102,7 +101,7 @@
         if StreamEndpoint(self._reader, self._writer).holds_input():
             return True
         try:
-            return input_waits(self._writer.get_extra_info("socket"))
+            return has_unread_input(self._writer.get_extra_info("socket"))
         except OSError:
             return False
 
@@ -136,7 +135,13 @@
 
         The check and the close happen in one step, as a request that is read in between would be lost.
         """
-        if self._reader is None or self._writer is None or self.closing or self.owes() or len(self.outbox):
+        if (
+            self._reader is None
+            or self._writer is None
+            or self.closing
+            or self.has_pending_answer()
+            or len(self.outbox)
+        ):
             return False
         try:
             if self._writer.transport.is_closing():
@@ -159,7 +164,7 @@
         except OSError:
             self._note_reset()
 
-    def conclude(self, max_bytes: int, force: bool) -> bool:
+    def close_now(self, max_bytes: int, force: bool) -> bool:
         """Read and answer pending input, and end the connection, without yielding to the event loop.
 
         Reads up to ``max_bytes``; with ``force``, ends the connection even if more is pending. Returns
@@ -168,7 +173,7 @@
         if self._reader is None or self._writer is None:
             return True
         if not self._ends_by_loop():
-            return self.conclude_on(StreamEndpoint(self._reader, self._writer), max_bytes, force)
+            return self.close_now_on(StreamEndpoint(self._reader, self._writer), max_bytes, force)
         if force and self._sending:
             self.rejected = True
             self.answer_all()
@@ -179,11 +184,8 @@
         """Return whether only the loop can finish it: its end was sent, or an answer is partly written."""
         return self._sending or self._shut or self._writer is None or self._writer.transport.is_closing()
 
-    def conclude_on(self, endpoint: DirectEndpoint, max_bytes: int, force: bool) -> bool:
-        """Conclude a connection that is read and written through ``endpoint``; see ``conclude``.
-
-        The check for input and the end are one step, as a request that arrives between them would be lost.
-        """
+    def close_now_on(self, endpoint: DirectEndpoint, max_bytes: int, force: bool) -> bool:
+        """Do ``close_now`` through ``endpoint``; input check and end are one step, so that no request is lost."""
         try:
             if not self._answer_and_end(endpoint, max_bytes, force):
                 return False
@@ -214,8 +216,7 @@
     def _answer_unread(self, endpoint: DirectEndpoint, max_bytes: int) -> int:
         """Answer input until a read finds none, or more than ``max_bytes`` were read.
 
-        Returns the number of bytes read. Raises OSError. Sets ``closing`` if the peer has ended its stream,
-        or if it does not read the answers.
+        Returns the bytes read. Raises OSError. Sets ``closing`` if the peer ends its stream or never reads.
         """
         self.rejected = True
         taken = 0
@@ -293,7 +294,7 @@
                 self._parse_all(memoryview(data))
                 if self.ending:
                     self.mailbox.wake()
-                while not self.closing and self._crowded():  # backpressure on a peer that reads no answers
+                while not self.closing and self._is_congested():  # backpressure: the peer reads no answers
                     await asyncio.sleep(0.01)
             if not self.closing:
                 self.input_ended()
@@ -320,13 +321,13 @@
         except Exception as error:
             # If the exception ended the task, the connection would stay open with its input unread.
             self.counters.record_error(f"{self.where}.receive", error)
-            self.failed_inside()
+            self.report_internal_error()
             self.finish()
 
     def input_ended(self) -> None:
         """Handle the peer's end of stream."""
 
-    def _crowded(self) -> bool:
+    def _is_congested(self) -> bool:
         return len(self.outbox) > self.outbox.max_bytes // 4 or len(self.mailbox) > MAX_QUEUED_MESSAGES
 
     async def _send(self, writer: asyncio.StreamWriter) -> None:
--- a/beechrock/net/connection_server.py
+++ b/beechrock/net/connection_server.py
@@ -54,7 +54,7 @@
         """Create the actor for a new connection."""
         raise NotImplementedError
 
-    def send_full(self, peer: P) -> None:
+    def reject_full(self, peer: P) -> None:
         """Tell the peer that the table is full; each request on this connection is refused."""
         raise NotImplementedError
 
@@ -66,7 +66,7 @@
         """End a connection unless a request is open or input is unread. Returns whether it was ended."""
         return peer.shut()
 
-    def look_at(self, peer: P, now: float) -> None:
+    def check_idle(self, peer: P, now: float) -> None:
         """End a connection that is idle or too slow; called for each connection at each sweep."""
 
     # Server methods.
@@ -174,7 +174,7 @@
     def _conclude_new(self, endpoint: DirectEndpoint, max_bytes: int) -> None:
         peer = self.peer()
         self.module.counters.add(f"intake.{self.where}_connections")
-        peer.conclude_on(endpoint, max_bytes, force=True)
+        peer.close_now_on(endpoint, max_bytes, force=True)
         self.ended(peer)
 
     def _shut_all(self) -> None:
@@ -199,12 +199,12 @@
         left: list[P] = []
         for peer in list(self.peers):
             self._slice.renew_if_used()
-            if not peer.conclude(FAIR_BYTES, force=False):
+            if not peer.close_now(FAIR_BYTES, force=False):
                 left.append(peer)
         unfinished = 0
         for peer in left:
             max_bytes = MAX_LAST_BYTES if loop.time() < end_at else 0
-            unfinished += not peer.conclude(max_bytes, force=True)
+            unfinished += not peer.close_now(max_bytes, force=True)
         return not unfinished
 
     def _end_idle_connections(self, cut: bool) -> None:
@@ -212,7 +212,9 @@
 
         With ``cut``, requests that are open or still arrive are answered at once, so that the rest can end.
         """
-        for peer in [peer for peer in self.peers if not peer.closing and (cut or not peer.begun())]:
+        for peer in [
+            peer for peer in self.peers if not peer.closing and (cut or not peer.has_partial_message())
+        ]:
             self._slice.renew_if_used()
             if not self.end_if_idle(peer) and cut:
                 peer.rejected = True
@@ -244,7 +246,7 @@
         if len(self.peers) >= self.max_connections and not self._evict_if_full():
             counters.add(f"intake.{self.where}_connections_beyond_limit")
             peer.rejected = True
-            self.send_full(peer)
+            self.reject_full(peer)
         self.peers.add(peer)
         counters.raise_max(f"intake.{self.where}_most_connections", len(self.peers))
         try:
@@ -302,5 +304,5 @@
                 self.module.counters.add(f"intake.{self.where}_unread")
                 peer.drop()
             elif not (peer.closing or peer.ending):
-                self.look_at(peer, now)
+                self.check_idle(peer, now)
         self.module.timers.at(now + SWEEP_S, self._sweep)
--- a/beechrock/net/direct_endpoint.py
+++ b/beechrock/net/direct_endpoint.py
@@ -28,7 +28,7 @@
     return fcntl, termios
 
 
-def input_waits(connection: socket.socket) -> bool:
+def has_unread_input(connection: socket.socket) -> bool:
     """Return whether the kernel holds unread bytes of the connection. Raises OSError."""
     fcntl, termios = load_input_check()
     return bool(fcntl.ioctl(connection.fileno(), termios.FIONREAD, NO_BYTES) != NO_BYTES)
--- a/beechrock/net/frame_connection.py
+++ b/beechrock/net/frame_connection.py
@@ -123,10 +123,10 @@
                 return
             self.inbox.skip(HEAD.size)
             payload = self.inbox.read(length - MIN_LENGTH)
-            self.uses += 1
+            self.messages_received += 1
             self.silent = 0.0
             self.last_message_at = self.module.clock()
-            self.back_at = 0.0
+            self.retry_at = 0.0
             self._handle_frame(kind, stream, payload)
 
     def _handle_frame(self, kind: int, stream: int, payload: bytes) -> None:
@@ -239,8 +239,8 @@
             answer = Answer(Verdict.FAILED, f"a result of {len(answer.body)} bytes".encode())
         if answer.retry_after_s:
             values += ((RETRY_AFTER_MS_FIELD, str(max(1, round(1000 * answer.retry_after_s)))),)
-            self.back_from = self.module.clock()
-            self.back_at = max(self.back_at, self.back_from + answer.retry_after_s)
+            self.refused_at = self.module.clock()
+            self.retry_at = max(self.retry_at, self.refused_at + answer.retry_after_s)
         if answer.no_retry:
             values += ((NO_RETRY_FIELD, TRUE),)
         if not self.post(Reply(ANSWER, stream, CODES[answer.verdict], values, answer.body)):
@@ -301,7 +301,7 @@
         """Return whether no request or health check is open."""
         return not self.open
 
-    def begun(self) -> bool:
+    def has_partial_message(self) -> bool:
         """Return whether a part of a frame was received recently."""
         return len(self.inbox) > 0 and self.silent <= PARTIAL_MESSAGE_SWEEPS
 
--- a/beechrock/net/frame_server.py
+++ b/beechrock/net/frame_server.py
@@ -16,14 +16,14 @@
 
     where = "frames"
 
-    def __init__(self, module: ModuleActor, max_connections: int, customers: bool = True) -> None:
+    def __init__(self, module: ModuleActor, max_connections: int, frames_name_tenants: bool = True) -> None:
         """Create the server.
 
-        ``customers`` is whether frames name the tenants of the settings; they do not if the tenants are the
-        teams of an inventory.
+        ``frames_name_tenants`` is whether frames name the tenants of the settings; they do not if the
+        tenants are the teams of an inventory.
         """
         super().__init__(module, max_connections)
-        self.customers = customers
+        self.frames_name_tenants = frames_name_tenants
         self.routes: dict[str, int] = {}
         self.tenants: dict[str, int] = {}
         self.leaving = False
@@ -35,7 +35,7 @@
         for index, settings in enumerate(self.module.settings.classes):
             if not settings.removed:
                 self.routes.setdefault(settings.name, index)
-        tenants = self.module.settings.tenants if self.customers else ()
+        tenants = self.module.settings.tenants if self.frames_name_tenants else ()
         self.tenants = {tenant.name: index for index, tenant in enumerate(tenants) if not tenant.removed}
 
     def tenant(self, name: str | None) -> int | None:
@@ -59,7 +59,7 @@
             peer.post(Reply(NO_MORE))
         return peer
 
-    def send_full(self, peer: FrameConnection) -> None:
+    def reject_full(self, peer: FrameConnection) -> None:
         """Tell the peer that the table is full, and to send no requests."""
         peer.post(Reply(ANSWER, 0, REFUSED, body=b"too many connections"))
         peer.post(Reply(NO_MORE))
@@ -70,12 +70,12 @@
             if request is not None:
                 self.module.post(RequestCancelled(request))
 
-    def look_at(self, peer: FrameConnection, now: float) -> None:
+    def check_idle(self, peer: FrameConnection, now: float) -> None:
         """End a connection that sends no complete message in time, or that is idle for too long.
 
         A message that arrives slowly but steadily is given more sweeps than one that has stalled.
         """
-        if not peer.uses or len(peer.inbox) or peer.skipping:
+        if not peer.messages_received or len(peer.inbox) or peer.skipping:
             peer.silent += 1.0 if peer.received == peer.received_at_sweep else SLOW_SWEEP_WEIGHT
         peer.received_at_sweep = peer.received
         callers_s = self.module.settings.idle_timeout_s or 0.0
--- a/beechrock/net/scgi.py
+++ b/beechrock/net/scgi.py
@@ -236,13 +236,13 @@
         edges = self.front.edges
         if edges is not None and edges.takes(request, self.headers, self._send_reply):  # edges answer it
             self._report_end(0.0)  # the limits count only the start; the edge accounts for later costs
-            self.request, self.uses = request, 1
+            self.request, self.messages_received = request, 1
             self.inbox.skip(len(self.inbox))
             return
         if not self.module.post(RequestReceived(request)):
             self.module.table.counts.on_front_answer(request.route, Verdict.REFUSED)
             raise ScgiError(503, "too many requests")
-        self.request, self.uses = request, 1
+        self.request, self.messages_received = request, 1
         self.inbox.skip(len(self.inbox))  # SCGI allows nothing after the body, so the rest is ignored
 
     def _find_contract(self, headers: dict[str, str]) -> tuple[str, str, int]:
@@ -314,7 +314,7 @@
         """Reject with status 400."""
         self.reject(ScgiError(400, problem))
 
-    def failed_inside(self) -> None:
+    def report_internal_error(self) -> None:
         """Answer with status 500, unless a complete request gets its own answer."""
         if self.request is None:
             self.reject(ScgiError(500, "internal error"))
@@ -374,13 +374,13 @@
         """Create the actor for a new connection."""
         return ScgiConnection(self)
 
-    def send_full(self, peer: ScgiConnection) -> None:
+    def reject_full(self, peer: ScgiConnection) -> None:
         """Reject with status 503."""
         peer.reject(ScgiError(503, "too many connections"))
 
     def end_if_idle(self, peer: ScgiConnection) -> bool:
         """End a connection; one without a request gets an answer first, as its request may be in transit."""
-        if peer.request is None and not peer.answered and not peer.input_waits():
+        if peer.request is None and not peer.answered and not peer.has_unread_input():
             peer.answer_all()
             return True
         return peer.shut()
--- a/beechrock/program.py
+++ b/beechrock/program.py
@@ -102,7 +102,9 @@
         # Front ends use up to half of the descriptors; the agent, the ledger and SCGI share the rest.
         self.frames: FrameServer | None = None
         if configuration.listen:
-            self.frames = FrameServer(self.module, sockets * 5 // 8, customers=configuration.scgi is None)
+            self.frames = FrameServer(
+                self.module, sockets * 5 // 8, frames_name_tenants=configuration.scgi is None
+            )
         self.agent: Agent | None = None
         if configuration.agent:
             self.agent = Agent(self.module, configuration.gauges, configuration.agent)
--- a/benchmarks/connections.py
+++ b/benchmarks/connections.py
@@ -24,18 +24,18 @@
 class One:
     opened_at: float
     last_message_at: float
-    uses: int = 0
-    back_from: float = 0.0
-    back_at: float = 0.0
+    messages_received: int = 0
+    refused_at: float = 0.0
+    retry_at: float = 0.0
     closing: bool = False
     rejected: bool = False
     busy_until: float = 0.0
     now: float = 0.0
 
-    def owes(self) -> bool:
+    def has_pending_answer(self) -> bool:
         return self.busy_until > self.now
 
-    def input_waits(self) -> bool:
+    def has_unread_input(self) -> bool:
         return False
 
 
@@ -56,7 +56,12 @@
             if c is None:
                 self.refused += 1
                 return None
-        c.uses, c.last_message_at, c.back_at, c.busy_until = c.uses + 1, now, 0.0, now + SERVED_S
+        c.messages_received, c.last_message_at, c.retry_at, c.busy_until = (
+            c.messages_received + 1,
+            now,
+            0.0,
+            now + SERVED_S,
+        )
         return c
 
     def connect(self, now: float) -> One | None:
@@ -65,7 +70,7 @@
         if self.by_age:
             room, least = Placement.FREE, None
             if len(self.there) >= MOST:
-                quiet = [c for c in self.there if not c.owes()]
+                quiet = [c for c in self.there if not c.has_pending_answer()]
                 least = min(quiet, key=lambda c: c.last_message_at) if quiet else None
                 room = Placement.REPLACE if quiet else Placement.REJECT
         else:
@@ -82,7 +87,7 @@
         for c in list(self.there):
             c.now = now
             idle = (
-                (now > c.last_message_at + IDLE_S and not c.owes())
+                (now > c.last_message_at + IDLE_S and not c.has_pending_answer())
                 if self.by_age
                 else (table.ends_at_sweep(c, 0, now, IDLE_S, CALLERS_IDLE_S) is not None)
             )
@@ -109,7 +114,7 @@
         drawn = random.Random(f"{seed} {ident} {now:.6f}")
         if c is not None and drawn.random() < 0.2:  # refused, and asked to come back
             after = drawn.choice([1.0, 2.0, 3.0])
-            c.busy_until, c.back_from, c.back_at = now, now, now + after
+            c.busy_until, c.refused_at, c.retry_at = now, now, now + after
             heappush(coming, (now + after + 0.01, ident, c, True))
         elif returning and ident < 1000:
             heappush(coming, (now + SERVED_S + drawn.expovariate(1.0), ident, c, True))
--- a/tests/connections/test_table.py
+++ b/tests/connections/test_table.py
@@ -26,9 +26,9 @@
 class FakeConnection:
     opened_at: float
     last_message_at: float
-    uses: int = 0
-    back_from: float = 0.0
-    back_at: float = 0.0
+    messages_received: int = 0
+    refused_at: float = 0.0
+    retry_at: float = 0.0
     closing: bool = False
     rejected: bool = False
     open: int = 0
@@ -36,18 +36,18 @@
     part: bool = False
     silent: int = 0
 
-    def owes(self) -> bool:
+    def has_pending_answer(self) -> bool:
         return self.open > 0
 
-    def input_waits(self) -> bool:
+    def has_unread_input(self) -> bool:
         return self.unread
 
-    def begun(self) -> bool:
+    def has_partial_message(self) -> bool:
         return self.part
 
 
-def connection_with(uses: int, last_message_at: float = 0.0, **more: float) -> FakeConnection:
-    return FakeConnection(0.0, last_message_at, uses, **more)  # type: ignore[arg-type]
+def connection_with(messages_received: int, last_message_at: float = 0.0, **more: float) -> FakeConnection:
+    return FakeConnection(0.0, last_message_at, messages_received, **more)  # type: ignore[arg-type]
 
 
 @dataclass
@@ -81,15 +81,15 @@
             for c in self.connections
             if c is not evicted and not c.rejected and table.state_of(c, self.now) is State.ONCE
         ]
-        kept = sum(c.uses > 1 for c in self.connections)
+        kept = sum(c.messages_received > 1 for c in self.connections)
         assert not (
             better
-            and evicted.uses > 1
+            and evicted.messages_received > 1
             and not evicted.closing
             and not evicted.rejected
             and kept <= table.PROTECTED_SHARE * MAX_CONNECTIONS
         ), "a returning connection was evicted before one used once"
-        if evicted.back_at and self.now <= evicted.back_at and not evicted.rejected:
+        if evicted.retry_at and self.now <= evicted.retry_at and not evicted.rejected:
             assert all(
                 table.state_of(c, self.now) >= State.EXPECTED for c in self.connections if not c.rejected
             )
@@ -100,8 +100,8 @@
 
     def ask(self, c: FakeConnection) -> None:
         if not c.closing:
-            c.uses, c.open, c.last_message_at, c.back_at, c.unread, c.silent = (
-                c.uses + 1,
+            c.messages_received, c.open, c.last_message_at, c.retry_at, c.unread, c.silent = (
+                c.messages_received + 1,
                 1,
                 self.now,
                 0.0,
@@ -112,19 +112,19 @@
 
     def refuse(self, c: FakeConnection, after: float) -> None:
         if c.open:
-            c.open, c.back_from, c.back_at = 0, self.now, self.now + after
+            c.open, c.refused_at, c.retry_at = 0, self.now, self.now + after
 
     def sweep(self) -> None:
         for c in list(self.connections):
-            c.silent += not c.uses
+            c.silent += not c.messages_received
             end = table.ends_at_sweep(c, c.silent, self.now, IDLE_S, CALLERS_IDLE_S)
             if end is CloseReason.IDLE:
                 assert not (c.open or c.unread or c.closing)
                 assert self.now > c.last_message_at + (table.REJECTED_IDLE_S if c.rejected else IDLE_S)
                 assert (
                     c.rejected
-                    or not c.back_at
-                    or self.now > min(c.back_at, c.last_message_at + CALLERS_IDLE_S)
+                    or not c.retry_at
+                    or self.now > min(c.retry_at, c.last_message_at + CALLERS_IDLE_S)
                 )
                 c.closing = True
 
@@ -191,7 +191,8 @@
 def test_rejected_connections_are_ended_for_others_once_nothing_is_pending_on_them() -> None:
     busy = [connection_with(1, open=1) for _ in range(MAX_CONNECTIONS)]
     answered, silent, new = (
-        FakeConnection(at, at, uses, rejected=True) for at, uses in ((99.99, 1), (99.9, 0), (99.99, 0))
+        FakeConnection(at, at, messages_received, rejected=True)
+        for at, messages_received in ((99.99, 1), (99.9, 0), (99.99, 0))
     )
     owed, unread = (
         FakeConnection(90.0, 90.0, 1, rejected=True, **more) for more in ({"open": 1}, {"unread": True})
@@ -229,9 +230,9 @@
         (FakeConnection(99.96, 99.96), State.FRESH),
         (connection_with(1), State.ONCE),
         (connection_with(2), State.RETURNING),
-        (connection_with(2, back_from=98.0, back_at=100.0), State.EXPECTED),
-        (connection_with(2, back_from=98.0, back_at=99.4), State.RETURNING),
-        (connection_with(2, back_from=98.0, back_at=99.6), State.EXPECTED),
+        (connection_with(2, refused_at=98.0, retry_at=100.0), State.EXPECTED),
+        (connection_with(2, refused_at=98.0, retry_at=99.4), State.RETURNING),
+        (connection_with(2, refused_at=98.0, retry_at=99.6), State.EXPECTED),
         (connection_with(2, part=True), State.BEGUN),
         (FakeConnection(90.0, 90.0, part=True), State.BEGUN),
         (connection_with(2, open=1, closing=True), State.NEEDED),
@@ -242,7 +243,7 @@
 
 
 def test_a_connection_with_a_retry_time_is_kept_until_then_unless_callers_close_it_earlier() -> None:
-    refused = connection_with(1, 100.0, back_from=100.2, back_at=103.2)
+    refused = connection_with(1, 100.0, refused_at=100.2, retry_at=103.2)
     assert table.idle_until(connection_with(1, 100.0), 1.0, 30.0) == 101.0
     assert table.idle_until(refused, 1.0, 30.0) == pytest.approx(103.2 + 0.75 + 0.05)
     assert table.idle_until(refused, 1.0, 2.0) == 102.0
@@ -278,11 +279,11 @@
         [peer] = frames.peers
         assert isinstance(peer, FrameConnection)
         stand.program.module.status.idle_s = 1.0
-        peer.back_from, peer.back_at = stand.now, stand.now + 3.0  # as ``_send_answer`` sets it
+        peer.refused_at, peer.retry_at = stand.now, stand.now + 3.0  # as ``_send_answer`` sets it
         await stand.play("clock 2.9\n")
         assert not peer.closing
         await stand.play("a > {04 00000003 00}\na < {05 00000003 01 00}\n")
-        assert peer.back_at == 0.0
+        assert peer.retry_at == 0.0
         await stand.play("clock 0.9\nclock 0.6\na closed\n")
 
     run(work)
--- a/tests/limits/test_places.py
+++ b/tests/limits/test_places.py
@@ -15,19 +15,19 @@
     was_read: bool = False  # whether its first bytes were read
     unread_input: bool = False  # whether its first bytes are still in the kernel
     closing: bool = False
-    uses: int = 0
-    back_at: float = 0.0
-    back_from: float = 0.0
+    messages_received: int = 0
+    retry_at: float = 0.0
+    refused_at: float = 0.0
     rejected: bool = False
     last_message_at: float = 0.0
 
-    def owes(self) -> bool:
-        return self.uses > 0 and not self.closing
+    def has_pending_answer(self) -> bool:
+        return self.messages_received > 0 and not self.closing
 
-    def input_waits(self) -> bool:
+    def has_unread_input(self) -> bool:
         return self.unread_input
 
-    def begun(self) -> bool:
+    def has_partial_message(self) -> bool:
         return False  # an SCGI connection is answered before it ends, whatever came of its request
 
     def is_silent(self) -> bool:
@@ -50,8 +50,8 @@
         if rng.random() < 0.5 and held:
             connection = rng.choice(held)
             if connection.was_read:
-                connection.closing = connection.uses > 0
-                connection.uses = 1
+                connection.closing = connection.messages_received > 0
+                connection.messages_received = 1
             elif rng.random() < 0.6:
                 connection.was_read, connection.unread_input = (
                     connection.unread_input,
--- a/tests/net/test_connection_server.py
+++ b/tests/net/test_connection_server.py
@@ -17,7 +17,7 @@
         self.closing = False
         self._reader = None  # there is nothing to conclude
 
-    def begun(self) -> bool:
+    def has_partial_message(self) -> bool:
         return False
 
 
--- a/tests/net/test_time_slice.py
+++ b/tests/net/test_time_slice.py
@@ -48,10 +48,10 @@
         if not by_turns:
             for caller in callers:
                 caller.send(CHECK_2)
-        shut, conclude = FrameConnection.shut, FrameConnection.conclude
+        shut, close_now = FrameConnection.shut, FrameConnection.close_now
         monkeypatch.setattr(FrameConnection, "shut", lambda peer: (ends(peer), shut(peer))[1])
         monkeypatch.setattr(
-            FrameConnection, "conclude", lambda peer, *a, **k: (ends(peer), conclude(peer, *a, **k))[1]
+            FrameConnection, "close_now", lambda peer, *a, **k: (ends(peer), close_now(peer, *a, **k))[1]
         )
         monkeypatch.setattr(TimeSlice, "renew", renew)
         now = asyncio.get_running_loop().time()
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -143,7 +143,7 @@
         front.max_connections = 2
         for trace, caller in enumerate(callers, 1):
             caller.send(request(2, trace=trace))
-        await until(lambda: all(peer.owes() for peer in front.peers), lambda: "unread")
+        await until(lambda: all(peer.has_pending_answer() for peer in front.peers), lambda: "unread")
         rejected = connect(front)
         rejected.send(request(1, trace=7) + request(2, trace=8) + CHECK_3)
         await rejected.answered()
@@ -170,7 +170,7 @@
         front, [busy] = await node(stand)
         front.max_connections = 1
         busy.send(request(2))
-        await until(lambda: all(peer.owes() for peer in front.peers), lambda: "unread")
+        await until(lambda: all(peer.has_pending_answer() for peer in front.peers), lambda: "unread")
         callers = [connect(front) for _ in range(4 * MAX_REJECTED)]
         for n, caller in enumerate(callers):
             caller.send(request(1, trace=n + 3))
@@ -196,7 +196,7 @@
         front, _ = await node(stand, 0)
         caller = connect(front, window=4096)
         caller.send(b"".join(frame(CHECK, stream, b"\0") for stream in range(1, 4001)))
-        await until(lambda: any(peer.uses == 4000 for peer in front.peers), lambda: "unread")
+        await until(lambda: any(peer.messages_received == 4000 for peer in front.peers), lambda: "unread")
         [peer] = front.peers
         monkeypatch.setattr("beechrock.net.connection.LINGER_S", 0.02)
         with contextlib.suppress(BlockingIOError):
--- a/tests/test_closing_late.py
+++ b/tests/test_closing_late.py
@@ -17,7 +17,7 @@
 from test_closing import CHECK_1, CHECK_2, connect, node
 from test_exchanges import open_both
 
-from beechrock.connections.shutdown import EXIT_S, MAX_EARLIER_S, LoopLag, hastened, schedule
+from beechrock.connections.shutdown import EXIT_S, MAX_EARLIER_S, LoopLag, advance_for_lag, schedule
 from beechrock.connections.table import MAX_REJECTED
 from beechrock.net.connection_server import FAIR_BYTES, MAX_LAST_BYTES
 from beechrock.net.frame_codec import ANSWER, FAILED, REFUSED
@@ -194,7 +194,7 @@
     async def work(stand: Stand) -> None:
         front, _ = await node(stand, 0)
         endpoint = Endless()
-        assert front.peer().conclude_on(endpoint, 10 * len(request(1)), force) is force
+        assert front.peer().close_now_on(endpoint, 10 * len(request(1)), force) is force
         assert endpoint.ended is force
         assert 10 <= endpoint.reads <= 12
 
@@ -208,7 +208,7 @@
         peer._sending = True  # part of an answer is written, and the rest waits for its reader
         before = slow.got
         slow.send(request(2))
-        assert not peer.conclude(1000, force=True)
+        assert not peer.close_now(1000, force=True)
         slow.read()
         assert slow.got == before and not slow.ended
         peer._sending = False
@@ -252,7 +252,7 @@
     stop_s: float, lag_s: float, earlier_s: float
 ) -> None:
     planned = schedule(stop_s)
-    found = hastened(planned, lag_s)
+    found = advance_for_lag(planned, lag_s)
     assert found.exit_s == pytest.approx(planned.exit_s - earlier_s)
     assert planned.exit_s == pytest.approx(stop_s - min(1.0, stop_s) * EXIT_S)
     assert 0 < found.answered_s < found.close_s < found.cut_s < found.exit_s < found.end_s < stop_s
@@ -281,7 +281,9 @@
         first = program.module.node.shutdown.kill_s
         stand.now += 3.0
         program.graceful_shutdown.began_at -= 3.0
-        program.graceful_shutdown._adopt_earlier(hastened(planned, 0.5), program._post_shutdown_request)
+        program.graceful_shutdown._adopt_earlier(
+            advance_for_lag(planned, 0.5), program._post_shutdown_request
+        )
         await until(lambda: program.module.node.shutdown.kill_s < first, lambda: "no second time limit")
         left_s = program.graceful_shutdown.steps.close_s - 3.0
         assert program.module.node.shutdown.kill_s - stand.now < left_s < planned.close_s - 3.0
--- a/tests/test_closing_rare.py
+++ b/tests/test_closing_rare.py
@@ -70,15 +70,15 @@
     run(work)
 
 
-@pytest.mark.parametrize("uses", [0, 1, 2])
+@pytest.mark.parametrize("messages_received", [0, 1, 2])
 def test_a_full_table_evicts_no_connection_with_half_a_request_while_another_is_idle(
-    uses: int,
+    messages_received: int,
 ) -> None:
     async def work(stand: Stand) -> None:
         front, _ = await node(stand, 0)
         slow, idle = connect(front), connect(front)
         await until(lambda: len(front.peers) == 2, lambda: "no connections")
-        for caller, count in ((slow, uses), (idle, 2)):
+        for caller, count in ((slow, messages_received), (idle, 2)):
             stand.now += 0.01
             for stream in range(1, count + 1):
                 caller.send(frame(CHECK, stream, b"\0"))
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -169,7 +169,7 @@
         assert frames is not None
         slow, stuck = (FrameConnection(frames) for _ in range(2))
         for peer in (slow, stuck):
-            peer.uses = 1
+            peer.messages_received = 1
             peer.post(Reply(CHECKED))
             frames.peers.add(peer)
         for _ in range(UNREAD_SWEEPS + 2):
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -115,7 +115,7 @@
         assert frames is not None and frames.routes == {"resolve": 0} and frames.tenant("couriers") is None
 
     run(work)
-    assert FrameServer(Desk().actor, 8, customers=False).tenant("couriers") is None
+    assert FrameServer(Desk().actor, 8, frames_name_tenants=False).tenant("couriers") is None
 
 
 def test_a_long_run_of_a_tenant_beyond_its_share_is_accepted_while_the_queue_is_short() -> None:
