--- a/beechrock/net/connection.py
+++ b/beechrock/net/connection.py
@@ -185,7 +185,7 @@
         return self._sending or self._shut or self._writer is None or self._writer.transport.is_closing()
 
     def close_now_on(self, endpoint: DirectEndpoint, max_bytes: int, force: bool) -> bool:
-        """Do ``close_now`` through ``endpoint``; input check and end are one step, so that no request is lost."""
+        """Do ``close_now`` through ``endpoint``; input check and end are one step, so no request is lost."""
         try:
             if not self._answer_and_end(endpoint, max_bytes, force):
                 return False
@@ -216,7 +216,7 @@
     def _answer_unread(self, endpoint: DirectEndpoint, max_bytes: int) -> int:
         """Answer input until a read finds none, or more than ``max_bytes`` were read.
 
-        Returns the bytes read. Raises OSError. Sets ``closing`` if the peer ends its stream or never reads.
+        Returns the bytes read. Raises OSError. Sets ``closing`` if the peer ends or does not read.
         """
         self.rejected = True
         taken = 0
--- a/beechrock/policy/calls.py
+++ b/beechrock/policy/calls.py
@@ -64,7 +64,7 @@
         self._failures = 0  # Consecutive failed calls; timeouts don't count
         self._last_time_s = context.now_s  # Time of the latest learning step (monotonic seconds)
         self.mean_s = 0.0  # Moving mean duration of a call, in seconds
-        self.best_s = 0.0  # Lowest recent value of ``mean_s``, in seconds
+        self.best_mean_s = 0.0  # Lowest recent value of ``mean_s``, in seconds
         self._call_time_s = 0.0  # Sum of open calls over time, in call-seconds
         # Values of _call_time_s at the ends of slots, from the start of the window on. A window of very many
         # slots keeps only one value per stride.
@@ -118,7 +118,7 @@
         run_s = MIN_REST_SHARE * self._cores.wait(entry.work * self._context.settings.cores)
         return run_s + entry.must_call * entry.calls_left * self.mean_s
 
-    def need(self, entry: OpenRequest, calls_left: float) -> None:
+    def queue_or_skip(self, entry: OpenRequest, calls_left: float) -> None:
         """Queue a run for its call; if the wait is too long and the call is optional, skip it at once."""
         # The run does need a call, even if its class was learnt to make none.
         entry.must_call = not entry.request_class.skip_value_share
@@ -126,7 +126,7 @@
         late = self.meter.wait(self._table.count[AWAITING_CALL]) > WAIT_SHARE * left_s
         self._table.move(entry, AWAITING_CALL, calls_left)
         if late and not entry.must_call and self._may_skip():
-            return self._go_without(entry)
+            return self._skip_or_give_up(entry)
         return heappush(self._waiting, QueueEntry(entry.objective_end_s, entry.request.id))
 
     def issue(self) -> None:
@@ -136,11 +136,11 @@
             end_s = entry.useful_until_s if entry.must_call else self._latest_skip_s(entry)
             time_left_s = self._call_time_left_s()
             # With none in flight a call is issued even so: only a call can show that calls are fast again.
-            late = entry.call_unsure or (
+            late = entry.call_in_doubt or (
                 now_s + self.mean_s > end_s and (now_s >= end_s or self._table.count[CALLING])
             )
             if late and (entry.must_call or self._may_skip()):
-                self._go_without(entry)  # Only while cores have capacity, so that not all return at once
+                self._skip_or_give_up(entry)  # Only while cores have capacity, so that not all return at once
             elif late or not self._may_call(time_left_s):
                 break
             else:
@@ -176,17 +176,17 @@
     def _succeed(self, entry: OpenRequest, elapsed_s: float, step: float) -> None:
         self._table.move(entry, RUNNING, entry.calls_left - 1)
         self.meter.add(1.0)
-        self.best_s = min(self.mean_s, (1 + BEST_TIME_STEP * step) * self.best_s or elapsed_s)
-        self.limit *= 1 + step if self.mean_s < SLOW_CALL_FACTOR * self.best_s else 1 - step / 2
+        self.best_mean_s = min(self.mean_s, (1 + BEST_TIME_STEP * step) * self.best_mean_s or elapsed_s)
+        self.limit *= 1 + step if self.mean_s < SLOW_CALL_FACTOR * self.best_mean_s else 1 - step / 2
 
     def _fail(self, entry: OpenRequest, outcome: api.Outcome) -> None:
         late = outcome is api.Outcome.TIMED_OUT
-        self.need(entry, entry.calls_left)
+        self.queue_or_skip(entry, entry.calls_left)
         if late or outcome is api.Outcome.CONNECTION_LOST:  # The call may still be running downstream
             self.abandon()
-        # If need() already skipped the call, no call is in doubt any more.
+        # If queue_or_skip() already skipped the call, no call is in doubt any more.
         still_waits = entry.phase == AWAITING_CALL
-        entry.call_unsure = not outcome.never_ran and not entry.idempotent and still_waits
+        entry.call_in_doubt = not outcome.never_ran and not entry.idempotent and still_waits
         self.limit *= FAILURE_FACTOR
         pause_s = min(MAX_PAUSE_S, FIRST_PAUSE_S * 2 ** min(self._failures, MAX_PAUSE_DOUBLINGS))
         self.paused_until_s = self._context.now_s + (not late) * pause_s
@@ -203,12 +203,14 @@
 
     def _may_skip(self) -> bool:
         running = self._table.count[RUNNING]
-        return running < self._concurrency.run_limit(crowding=True) and self._concurrency.has_capacity()
+        return (
+            running < self._concurrency.run_limit(up_to_survivable=True) and self._concurrency.has_capacity()
+        )
 
-    def _go_without(self, entry: OpenRequest) -> None:
+    def _skip_or_give_up(self, entry: OpenRequest) -> None:
         if entry.must_call:
             return self._answers.give_up(entry)
-        entry.call_unsure = False  # The call in doubt is skipped; the run's next call is a new one
+        entry.call_in_doubt = False  # The call in doubt is skipped; the run's next call is a new one
         self._context.actions.append(api.SkipCall(entry.request.id))
         return self._table.move(entry, RUNNING, entry.calls_left - 1)
 
--- a/beechrock/policy/concurrency.py
+++ b/beechrock/policy/concurrency.py
@@ -64,8 +64,8 @@
         """Scale the limit to a new number of cores."""
         self.limit = self.limit * current / previous
 
-    def run_limit(self, crowding: bool = False) -> int:
-        """Return the maximum number of runs on the cores; ``crowding`` ignores the learnt limit.
+    def run_limit(self, up_to_survivable: bool = False) -> int:
+        """Return the maximum number of runs on the cores; ``up_to_survivable`` ignores the learnt limit.
 
         Rule: the runs of all processes of the node together stay below the crowd that the cores survive.
         """
@@ -74,20 +74,20 @@
         survived = max_survivable_runs(settings, speed_share(settings, context.now_s - context.started_s))
         crowd = SURVIVABLE_SHARE * survived
         running = self._other_process.load.running
-        limit = max(1, int(remaining_limit(crowd if crowding else min(self.limit, crowd), running)))
+        limit = max(1, int(remaining_limit(crowd if up_to_survivable else min(self.limit, crowd), running)))
         return max(0, min(limit, int(survived - running))) if running else limit
 
     def has_capacity(self) -> bool:
         """Tell whether one more run may start, or make a call from which it returns to the cores."""
-        return self._table.count[RUNNING] + self._table.count[CALLING] + 1 <= self._started_limit()
+        return self._table.count[RUNNING] + self._table.count[CALLING] + 1 <= self._limit_with_calls()
 
-    def _started_limit(self) -> float:
+    def _limit_with_calls(self) -> float:
         """Return the maximum number of runs on the cores and in calls; all calls may end at the same time.
 
         Rule: if all return at once, the crowd is exceeded for less than the overload window; if the mean is
         near the crowd already, it is not exceeded at all.
         """
-        crowd = self.run_limit(crowding=True)
+        crowd = self.run_limit(up_to_survivable=True)
         window_s = self._context.settings.overload_window_s
         if not window_s:
             return math.inf
--- a/beechrock/policy/health.py
+++ b/beechrock/policy/health.py
@@ -36,7 +36,7 @@
         """Decay the unread time, as nothing is learnt while no requests arrive."""
         self.unread_s = self.unread_s * UNREAD_DECAY
 
-    def judge(self) -> None:
+    def update(self) -> None:
         """Report a change of health, except during a shutdown. Load alone doesn't change the health."""
         part = UNREAD_OBJECTIVES if self.healthy else UNREAD_OBJECTIVES * RECOVERED_PART
         unread = self.unread_s > part * self._context.mean_objective_s
--- a/beechrock/policy/load_report.py
+++ b/beechrock/policy/load_report.py
@@ -55,7 +55,7 @@
 
     def _load(self, kind: api.LoadReportKind) -> float:
         """Return the load from 0 (callers may send everything) to 1 (callers should send nothing)."""
-        if self._context.now_s >= self._shutdown.unwanted_from_s or self._launches.wait_s(0):
+        if self._context.now_s >= self._shutdown.send_nothing_from_s or self._launches.wait_s(0):
             return 1.0
         if kind is api.LoadReportKind.FLOOR:
             reduce_at, stop_at = FLOOR_REDUCE_OBJECTIVES, FLOOR_STOP_OBJECTIVES
--- a/beechrock/policy/node.py
+++ b/beechrock/policy/node.py
@@ -175,7 +175,7 @@
         self.health.end_slot()
         self.statistics.end_slot(self.abacus.slot_s)
         self.idle_connections.update()
-        self.health.judge()
+        self.health.update()
 
     def _apply(self, event: api.Event) -> None:
         match event:
@@ -218,7 +218,7 @@
             case api.RunFinished(_, outcome, _):
                 self._finish(entry, outcome)
             case api.CallNeeded() if entry.phase == RUNNING:
-                self.calls.need(entry, max(1.0, entry.calls_left))
+                self.calls.queue_or_skip(entry, max(1.0, entry.calls_left))
             case api.CallEnded(_, outcome, elapsed_s) if entry.phase == CALLING:
                 self.calls.end(entry, outcome, elapsed_s)
             case api.CallerDisconnected() if not entry.answered:
@@ -230,7 +230,7 @@
             if entry.launch is not None:
                 entry.launch.served = outcome is api.Outcome.OK
             on_cores = entry.phase == RUNNING
-            cores_s = entry.cores_s + (self.context.now_s - entry.moved_s) * on_cores
+            cores_s = entry.cores_s + (self.context.now_s - entry.phase_start_s) * on_cores
             self.statistics.add_run(entry, outcome is api.Outcome.ERROR, cores_s)
         elif outcome is api.Outcome.REJECTED:  # It never ran, and the table removes its entry by itself
             self.keys.discard(entry.request.id)
--- a/beechrock/policy/requests.py
+++ b/beechrock/policy/requests.py
@@ -23,7 +23,7 @@
         "answered",
         "arrived_s",
         "budget_period",
-        "call_unsure",
+        "call_in_doubt",
         "calls",
         "calls_left",
         "cores_s",
@@ -31,10 +31,10 @@
         "idempotent",
         "launch",
         "may_have_run",
-        "moved_s",
         "must_call",
         "objective_end_s",
         "phase",
+        "phase_start_s",
         "request",
         "request_class",
         "stopped",
@@ -56,7 +56,7 @@
         self.work = work  # Estimated work, in the unit of work hints or relative to the mean run
         self.arrived_s = now_s - request.age_s
         self.calls_left = calls_left
-        self.moved_s = now_s  # Time at which the current phase began
+        self.phase_start_s = now_s  # Time at which the current phase began
         self.cores_s = 0.0  # Seconds on the cores in earlier phases
         self.must_call = calls_left > 0 and not request_class.skip_value_share
         if request.remaining_s is None:
@@ -71,7 +71,7 @@
         self.calls = 0  # Number of calls issued
         self.may_have_run = False
         self.answered = False
-        self.call_unsure = False  # The latest call may have had its effect and must not be repeated
+        self.call_in_doubt = False  # The latest call may have had its effect and must not be repeated
         self.stopped = False
         self.budget_period: float | None = None  # Period of the tenant's budget that was charged
         self.launch: Launch | None = None
@@ -88,7 +88,7 @@
         self.work_ahead = 0.0
         self.calls_ahead = 0.0
         self.due: Queue = []  # Times by which requests must be answered
-        self.use_end: Queue = []  # Times after which runs that can be stopped are too late to be useful
+        self.stop_candidates: Queue = []  # Stoppable runs, by the time after which they are useless
         self.held: tuple[Queue, Queue] = ([], [])  # By the end of the objective; the second queue must call
         self.running_since: dict[int, float] = {}  # Start of each run, less its earlier time on the cores
 
@@ -108,18 +108,18 @@
         request_id = entry.request.id
         before = entry.phase
         if phase == RUNNING and entry.idempotent and self._can_stop():
-            heappush(self.use_end, QueueEntry(entry.useful_until_s, request_id))
+            heappush(self.stop_candidates, QueueEntry(entry.useful_until_s, request_id))
         calls = entry.calls_left if calls_left is None else max(0.0, calls_left)
         self.count[before] -= 1
         self.count[phase] += 1
         self._memory.move(entry.request.size_kb, before, phase)
         self.work_ahead += (SHARE_AHEAD[phase] - SHARE_AHEAD[before]) * entry.work
         self.calls_ahead += (SHARE_AHEAD[phase] > 0) * calls - (SHARE_AHEAD[before] > 0) * entry.calls_left
-        entry.cores_s += (now_s - entry.moved_s) * (before == RUNNING)
+        entry.cores_s += (now_s - entry.phase_start_s) * (before == RUNNING)
         self.running_since.pop(request_id, None)
         if phase == RUNNING:
             self.running_since[request_id] = now_s - entry.cores_s
-        entry.moved_s = now_s
+        entry.phase_start_s = now_s
         entry.phase = phase
         entry.calls_left = calls
         if phase == FINISHED:
@@ -154,10 +154,12 @@
     def pop_late_runs(self) -> list[OpenRequest]:
         """Return, once each, the runs that are too late to be useful while other requests are held."""
         useless = []
-        while self.use_end and self.use_end[0].request_id not in self.requests:
-            heappop(self.use_end)  # Otherwise finished runs pile up while no request is held
-        while self.use_end and self.count[HELD] and self.use_end[0].at_s < self._context.now_s:
-            entry = self.requests.get(heappop(self.use_end).request_id)
+        while self.stop_candidates and self.stop_candidates[0].request_id not in self.requests:
+            heappop(self.stop_candidates)  # Otherwise finished runs pile up while no request is held
+        while (
+            self.stop_candidates and self.count[HELD] and self.stop_candidates[0].at_s < self._context.now_s
+        ):
+            entry = self.requests.get(heappop(self.stop_candidates).request_id)
             if entry is not None and entry.phase == RUNNING and not entry.stopped:
                 entry.stopped = True  # A run that returned from a call is in the queue twice
                 useless.append(entry)
@@ -167,7 +169,7 @@
         """Remove stale entries from the queues."""
         requests = self.requests
         self.due = without_stale(self.due, requests, len(requests))
-        self.use_end = without_stale(self.use_end, requests, len(requests))
+        self.stop_candidates = without_stale(self.stop_candidates, requests, len(requests))
 
     def held_work_before(self, entry: OpenRequest) -> float:
         """Return the held work that starts before this request, because its objectives end earlier."""
--- a/beechrock/policy/shutdown.py
+++ b/beechrock/policy/shutdown.py
@@ -16,7 +16,7 @@
     def __init__(self, context: Context) -> None:
         self._context = context
         self.began_s = math.inf
-        self.unwanted_from_s = math.inf  # Time from which callers are asked to send nothing
+        self.send_nothing_from_s = math.inf  # Time from which callers are asked to send nothing
         self.kill_s = math.inf  # Time by which every request is answered
 
     def announce(self, notice: api.ShutdownNotice) -> None:
@@ -26,9 +26,9 @@
         self.kill_s = context.now_s + notice.remaining_s * (1 - SPARE_SHARE)
         grace_end_s = self.began_s + WANTED_GRACE_SHARE * (context.settings.drain_grace_s or 0.0)
         if notice.has_successor:
-            self.unwanted_from_s = math.inf
+            self.send_nothing_from_s = math.inf
         else:
-            self.unwanted_from_s = min(grace_end_s, self.kill_s - context.mean_objective_s)
+            self.send_nothing_from_s = min(grace_end_s, self.kill_s - context.mean_objective_s)
 
     def past_grace(self, entry: OpenRequest) -> bool:
         """Tell whether a request arrived after the grace period, too late to run."""
--- a/tests/policy/test_calls.py
+++ b/tests/policy/test_calls.py
@@ -93,7 +93,7 @@
     """Regression: a class that may call, but seldom does, had a mean of 0 calls after 15,000 runs."""
     driver = Driver(settings(**SHARED_DEPENDENCY))
     driver.node.statistics.calls_by_class[0] = 0.0
-    driver.node.calls.best_s = driver.node.calls.mean_s = 60.0
+    driver.node.calls.best_mean_s = driver.node.calls.mean_s = 60.0
     arrive_and_call(driver)
     late, _ = arrive_and_call(driver)  # With a call in flight this call would end too late
     assert ids_of(api.SkipCall, driver.actions) == [] and late in ids_of(api.Reject, driver.actions)
--- a/tests/policy/test_shutdown.py
+++ b/tests/policy/test_shutdown.py
@@ -52,5 +52,6 @@
         api.Health(True)
     ]
     assert (
-        driver.node.shutdown.unwanted_from_s == float("inf") and driver.node.shutdown.began_s < driver.now - 4
+        driver.node.shutdown.send_nothing_from_s == float("inf")
+        and driver.node.shutdown.began_s < driver.now - 4
     )
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -259,7 +259,7 @@
     class Other(replay.Node):
         def __init__(self, settings: api.Settings, seed: int, now_s: float) -> None:
             super().__init__(settings, seed, now_s)
-            self.concurrency.run_limit = lambda crowding=False: 1  # type: ignore[method-assign]
+            self.concurrency.run_limit = lambda up_to_survivable=False: 1  # type: ignore[method-assign]
 
     path = min(recorded[0].glob("*.btrace"))
     with files.Reader(path) as reader:
