--- a/beechrock/core/work_router.py
+++ b/beechrock/core/work_router.py
@@ -9,7 +9,7 @@
 class Holder(Work, Protocol):
     """A ``Work`` port that knows which services and which requests it runs."""
 
-    def runs_here(self, route: str) -> bool:
+    def has_server(self, route: str) -> bool:
         """Return whether this port runs a service."""
 
     def holds(self, request: Request) -> bool:
@@ -28,7 +28,7 @@
 
     def launch(self, request: Request) -> None:
         """Start a run at the port that runs its service."""
-        (self.here if self.here.runs_here(request.route) else self.others).launch(request)
+        (self.here if self.here.has_server(request.route) else self.others).launch(request)
 
     def stop(self, request: Request) -> None:
         """Pause a run at its port."""
--- a/beechrock/edges/runs.py
+++ b/beechrock/edges/runs.py
@@ -21,7 +21,7 @@
 from beechrock.edges.words import Entry, State, Straight, StraightDone, Word, pack
 from beechrock.errors import OperatorError
 from beechrock.interface import Idempotency
-from beechrock.net.scgi import HELD_KB, Reply
+from beechrock.net.scgi import REQUEST_OVERHEAD_KB, Reply
 from beechrock.net.scgi_codec import ScgiError
 from beechrock.store.files import Files
 from beechrock.store.limits import StoreLimits
@@ -225,7 +225,7 @@
             born=module.clock(),
             body=entry.body,
             answer=lambda answer: self._answered(run, by, request, answer),
-            kb=HELD_KB + len(entry.body) / 1024,
+            kb=REQUEST_OVERHEAD_KB + len(entry.body) / 1024,
             tenant=inventory.teams[entry.team],
             nonce=entry.nonce,
         )
--- a/beechrock/lab/edges_play.py
+++ b/beechrock/lab/edges_play.py
@@ -13,7 +13,7 @@
 from beechrock.lab.edges_heard import Carried, Try, contradicted, limit_s
 from beechrock.lab.fleet.fleet import Fleet
 from beechrock.net.scgi import Reply
-from beechrock.net.scgi_codec import ScgiError, headers_of
+from beechrock.net.scgi_codec import ScgiError, decode_headers
 
 UP = "up"
 INVENTORY = """
@@ -48,7 +48,7 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             size = int((await reader.readuntil(b":"))[:-1])
-            headers = headers_of((await reader.readexactly(size + 1))[:-1])
+            headers = decode_headers((await reader.readexactly(size + 1))[:-1])
             body = await reader.readexactly(int(headers["CONTENT_LENGTH"]))
             key = headers.get("HTTP_IDEMPOTENCY_KEY", "")
             if key.endswith("!"):
--- a/beechrock/lab/pair.py
+++ b/beechrock/lab/pair.py
@@ -18,7 +18,17 @@
 import ujson
 
 from beechrock.lab.errors import NotStartedError
-from beechrock.net.frame_codec import ANSWER, CHECK, HEAD, NO_MORE, REQUEST, SERVED, fields, fields_of, frame
+from beechrock.net.frame_codec import (
+    ANSWER,
+    CHECK,
+    HEAD,
+    NO_MORE,
+    REQUEST,
+    SERVED,
+    decode_fields,
+    fields,
+    frame,
+)
 
 CORES, WORK_S = 4, 0.02
 WAIT_S = 30.0  # only a process that does nothing at all takes so long
@@ -195,7 +205,7 @@
             self.callers.ends["lost"] += 1
             return
         self.callers.took.append((start, keyed, time.monotonic() - start))
-        _, result = fields_of(payload[1:])
+        _, result = decode_fields(payload[1:])
         if payload[0] == SERVED:
             self.callers.ends["served" if result == b"did " + body else "wrong"] += 1
         else:
--- a/beechrock/lab/scgi_servers.py
+++ b/beechrock/lab/scgi_servers.py
@@ -8,7 +8,7 @@
 import sys
 
 from beechrock.net.scgi import Reply
-from beechrock.net.scgi_codec import ScgiError, headers_of
+from beechrock.net.scgi_codec import ScgiError, decode_headers
 
 MOST_BODY = 1 << 20
 
@@ -36,7 +36,7 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             size = int((await reader.readuntil(b":"))[:-1])
-            headers = headers_of((await reader.readexactly(size + 1))[:-1])
+            headers = decode_headers((await reader.readexactly(size + 1))[:-1])
             length = int(headers["CONTENT_LENGTH"])
             body = await reader.readexactly(min(length, MOST_BODY))
             self.runs, self.open = self.runs + 1, self.open + 1
--- a/beechrock/net/frame_codec.py
+++ b/beechrock/net/frame_codec.py
@@ -44,7 +44,7 @@
     route = ""
 
 
-def fields_of(data: bytes) -> tuple[dict[str, str], bytes]:
+def decode_fields(data: bytes) -> tuple[dict[str, str], bytes]:
     """Decode the fields at the start of ``data``; return them and the rest. Raises BadRequestError."""
     if not data:
         raise BadRequestError("no fields")
@@ -70,7 +70,7 @@
 
 
 def fields(values: dict[str, str]) -> bytes:
-    """Encode fields in the format that ``fields_of`` decodes."""
+    """Encode fields in the format that ``decode_fields`` decodes."""
     out = bytearray([len(values)])
     for name, value in values.items():
         out += bytes([len(name)]) + name.encode() + len(value).to_bytes(2, "big") + value.encode()
--- a/beechrock/net/frame_connection.py
+++ b/beechrock/net/frame_connection.py
@@ -38,7 +38,7 @@
     BadRequestError,
     Reply,
     advice_fields,
-    fields_of,
+    decode_fields,
     parse_number,
     parse_patience_s,
 )
@@ -171,7 +171,7 @@
             self._reject_bad_request(stream, f"stream {stream} is that of a health check")
             return
         try:
-            request = self._parse_request(stream, *fields_of(payload))
+            request = self._parse_request(stream, *decode_fields(payload))
         except BadRequestError as error:
             if error.route:
                 self.module.table.counts.on_front_answer(error.route, Verdict.FAILED)
@@ -248,7 +248,7 @@
 
     def _handle_check(self, stream: int, payload: bytes) -> None:
         try:
-            values, _ = fields_of(payload) if payload else ({}, b"")
+            values, _ = decode_fields(payload) if payload else ({}, b"")
         except BadRequestError as error:
             raise BadInputError(f"a health check: {error}") from None
         if stream in self.open:  # the caller would take the check's answer for the request's
@@ -263,11 +263,11 @@
             and (len(self.open) < MAX_OPEN)
         ):
             self.open[stream] = None
-            work.exercise(functools.partial(self._checked, stream))
+            work.exercise(functools.partial(self._send_check_result, stream))
         else:
-            self._checked(stream, True)
+            self._send_check_result(stream, True)
 
-    def _checked(self, stream: int, worked: bool) -> None:
+    def _send_check_result(self, stream: int, worked: bool) -> None:
         self.open.pop(stream, None)
         good = (
             worked
@@ -288,7 +288,7 @@
         """Answer all open requests and health checks with a failure, as the process ends."""
         for stream, request in list(self.open.items()):
             if request is None:
-                self._checked(stream, False)
+                self._send_check_result(stream, False)
             else:  # a failure and no refusal, as the request may have run
                 self.counters.add("answered.at_exit")
                 self._send_answer(stream, Answer(Verdict.FAILED, b"the node ends"))
--- a/beechrock/net/scgi.py
+++ b/beechrock/net/scgi.py
@@ -23,7 +23,7 @@
     ROUTE_HEADER,
     TEAM_HEADER,
     ScgiError,
-    headers_of,
+    decode_headers,
     parse_generation,
 )
 from beechrock.net.scgi_reply import Reply as Reply
@@ -36,7 +36,7 @@
 MAX_OUT_BYTES = 1 << 21
 # A request is rejected if it is incomplete after this share of the shortest deadline, or after STALL_S.
 STALL_SHARE, STALL_S = 0.5, 2.5
-HELD_KB = 4.0  # memory of a request in KB, without its body
+REQUEST_OVERHEAD_KB = 4.0  # memory of a request in KB, without its body
 ENDING = "this connection ends; nothing ran"
 
 
@@ -192,7 +192,7 @@
         block = self.inbox.read(size)
         if self.inbox.read(1) != b",":
             raise ScgiError(400, "the netstring does not end in a comma")
-        self.headers = headers_of(block)
+        self.headers = decode_headers(block)
         length = self.headers[LENGTH_HEADER]
         if len(length) > 10 or int(length) > MAX_BODY_BYTES:  # leading zeros must not hide a long number
             raise ScgiError(413, f"a body of over {MAX_BODY_BYTES} bytes")
@@ -276,7 +276,7 @@
             born=self.born,
             body=body,
             answer=self._answer,
-            kb=HELD_KB + len(body) / 1024,
+            kb=REQUEST_OVERHEAD_KB + len(body) / 1024,
             tenant=self.front.inventory.teams[team],
             retry=headers.get(RETRY_HEADER) == "1",
             nonce=nonce,
--- a/beechrock/net/scgi_codec.py
+++ b/beechrock/net/scgi_codec.py
@@ -23,7 +23,7 @@
         self.status = status
 
 
-def headers_of(block: bytes) -> dict[str, str]:
+def decode_headers(block: bytes) -> dict[str, str]:
     """Decode the headers of a request: CONTENT_LENGTH must be first, and SCGI be 1. Raises ScgiError."""
     if not block.endswith(b"\0"):
         raise ScgiError(400, "headers do not end in a null byte")
@@ -58,13 +58,13 @@
     return f"{len(block)}:".encode() + block + b"," + body
 
 
-def reply_of(data: bytes) -> tuple[int, str, bytes]:
+def parse_reply(data: bytes) -> tuple[int, str, bytes]:
     """Return the status, media type and body of a complete reply. Raises ScgiError."""
-    status, headers, body = parts_of(data)
+    status, headers, body = decode_reply(data)
     return status, headers.get("content-type", ""), body
 
 
-def parts_of(data: bytes) -> tuple[int, Headers, bytes]:
+def decode_reply(data: bytes) -> tuple[int, Headers, bytes]:
     """Return the status, headers (names in lower case) and body of a complete reply. Raises ScgiError.
 
     As in CGI, the status is 200 if there is no ``Status:`` header.
@@ -87,7 +87,7 @@
     return int(status), headers, body
 
 
-def replied_of(status: int, headers: Headers, steered: bool) -> int:
+def server_status(status: int, headers: Headers, steered: bool) -> int:
     """Return the status that a server gave, -1 if no server was reached, or 0 if that is unknown.
 
     ``steered`` is whether the reply came from another node. That node's own error must not be taken for a
--- a/beechrock/net/scgi_work.py
+++ b/beechrock/net/scgi_work.py
@@ -26,10 +26,10 @@
     TRACE_HEADER,
     Headers,
     ScgiError,
-    parts_of,
-    replied_of,
-    reply_of,
+    decode_reply,
+    parse_reply,
     request_bytes,
+    server_status,
 )
 
 if TYPE_CHECKING:
@@ -40,7 +40,7 @@
 CONNECT_S = 1.0  # time limit for connecting to a server
 # How long a forwarded request waits until the policy generation that it names is in force here, and how often
 # that is checked, in seconds.
-LAG_S, LAG_STEP_S = 1.0, 0.02
+GENERATION_WAIT_S, LAG_STEP_S = 1.0, 0.02
 REJECT_RETRY_S = 1.0  # retry time given when the policy currently allows no server to run a request
 
 
@@ -91,13 +91,13 @@
 ) -> tuple[Outcome, str, bytes]:
     """Return outcome, media type and body of a reply. Raises RoutingRejection if a node did not run it."""
     try:
-        status, headers, body = parts_of(data)
+        status, headers, body = decode_reply(data)
     except ScgiError as error:
         counters.add("intake.scgi_run_bad")
         return Outcome.ERROR, "", str(error).encode()
     if way is not None and status == 503 and (after := headers.get("x-retry-after-ms", "")).isdigit():
         raise RoutingRejection(int(after) / 1000, body)
-    request.replied = replied_of(status, headers, steered=way is not None and way.steered)
+    request.replied = server_status(status, headers, steered=way is not None and way.steered)
     good = Outcome.OK if 200 <= status < 300 else Outcome.ERROR
     return good, headers.get("content-type", ""), body
 
@@ -142,7 +142,7 @@
         self.servers.renew(upstreams)
         self.counters.set("open.draining_servers", len(self.servers.draining()))
 
-    def leave_out(self, out: frozenset[Address]) -> None:
+    def exclude(self, out: frozenset[Address]) -> None:
         """Start no run on these servers, even if the inventory or the policy's pools list them.
 
         Open runs on them continue.
@@ -152,7 +152,7 @@
             self.router.acts.out = out
         self.counters.set("open.draining_servers", len(self.servers.draining()))
 
-    def runs_here(self, route: str) -> bool:
+    def has_server(self, route: str) -> bool:
         """Return whether a server of this service is listed."""
         return bool(self.servers.listed(route))
 
@@ -241,12 +241,12 @@
         elapsed = max(0.0, self.module.clock() - request.launched_at)
         self.module.post(RunEnded(request.trace, outcome, elapsed, body, media))
 
-    async def _caught_up(self, request: Request) -> None:
+    async def _wait_for_generation(self, request: Request) -> None:
         """Wait until the policy generation by which another node forwarded the request is in force here.
 
         The agreed log may reach this node a moment later than that node.
         """
-        end = self.module.clock() + LAG_S
+        end = self.module.clock() + GENERATION_WAIT_S
         while (
             self.router is not None
             and request.generation > self.router.generation
@@ -277,16 +277,16 @@
     async def _send_request(self, request: Request) -> tuple[Outcome, str, bytes]:
         """Send a request to the first server that accepts the connection, and to no other."""
         tried: set[Address] = set()
-        await self._caught_up(request)
+        await self._wait_for_generation(request)
         way = self._choose_way(request)
         if way is not None and (way.refused or way.asked is not None):
-            return await self._by_rule(request, way)
+            return await self._send_by_rule(request, way)
 
         while left := [address for address in candidates(self.servers, request, way) if address not in tried]:
             address = left[0]
             tried.add(address)
             run = ScgiRun(self)
-            streams = await self._connected(address)
+            streams = await self._open_for_run(address)
             if streams is None:
                 continue
             if address not in candidates(self.servers, request, way):
@@ -316,7 +316,7 @@
         async with asyncio.timeout(CONNECT_S):
             return await connect(address)
 
-    async def _connected(self, address: Address) -> Streams | None:
+    async def _open_for_run(self, address: Address) -> Streams | None:
         over = self.watch(address, 0.0) if self.watch is not None else None
         try:
             return await self._open(address)
@@ -346,7 +346,7 @@
             if over is not None:
                 over(reply)
 
-    async def _by_rule(self, request: Request, way: "Way") -> tuple[Outcome, str, bytes]:
+    async def _send_by_rule(self, request: Request, way: "Way") -> tuple[Outcome, str, bytes]:
         """Send a request under the limits of its policy rule, with the rule's retries, hedge and mirrors."""
         if way.asked is None or self.router is None:
             self.counters.add("lowering.turned_away")
@@ -380,7 +380,7 @@
         """
         from beechrock.lowering.sending import Reply
 
-        streams = await self._connected(address)
+        streams = await self._open_for_run(address)
         if streams is None:
             return None
         if address in self.servers.out:  # the server was excluded while we connected
@@ -394,7 +394,7 @@
             run, address, data, *streams, self.module.settings.classes[request.klass].deadline_s
         )
         try:
-            return Reply(*reply_of(run.reply or b""))
+            return Reply(*parse_reply(run.reply or b""))
         except ScgiError as error:
             self.counters.add("intake.scgi_run_bad")
             return Reply(0, "", str(error).encode())
--- a/beechrock/releases/servers.py
+++ b/beechrock/releases/servers.py
@@ -75,7 +75,7 @@
             name for name in machine.permits.held if machine.permits.targets[name].kind is Kind.SERVER
         )
         if work is not None and work.servers.out != (out := frozenset(map(address_of, held))):
-            work.leave_out(out)
+            work.exclude(out)
             logs.event("releases.servers", out=held)
         returning = {name: machine.returning[name] for name in held if name in machine.returning}
         self.tried = {name: one for name, one in self.tried.items() if returning.get(name) == one[0]}
--- a/beechrock/replica/advice.py
+++ b/beechrock/replica/advice.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, Any
 
 from beechrock import logs
-from beechrock.net.scgi_codec import ScgiError, reply_of
+from beechrock.net.scgi_codec import ScgiError, parse_reply
 from beechrock.replica.errors import ReplicaError
 from beechrock.replica.health import Address, Health, Word
 from beechrock.replica.priors import Advice
@@ -46,7 +46,7 @@
                     self.health.failed(now, address, now - began if due_s else 0.0)
                 return
             try:
-                status = reply_of(reply)[0]
+                status = parse_reply(reply)[0]
             except ScgiError:
                 status = 0
             if status == BUSY:
--- a/benchmarks/teams.py
+++ b/benchmarks/teams.py
@@ -28,7 +28,7 @@
 from beechrock.lab.scgi_servers import Server
 from beechrock.limits.gate import Gate, Ticket
 from beechrock.limits.part import TENANTS
-from beechrock.net.scgi_codec import parts_of, request_bytes
+from beechrock.net.scgi_codec import decode_reply, request_bytes
 from beechrock.policy import Node
 
 SIZES = (10, 1_000, 10_000)
@@ -173,7 +173,7 @@
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     try:
         writer.write(request_bytes({"HTTP_X_TEAM": team, "HTTP_X_ROUTE": "get"}, BODY))
-        return parts_of(await reader.read())[0], time.monotonic() - began
+        return decode_reply(await reader.read())[0], time.monotonic() - began
     finally:
         writer.close()
 
--- a/tests/core/test_actor.py
+++ b/tests/core/test_actor.py
@@ -156,7 +156,7 @@
 def test_a_run_starts_where_its_service_runs_and_stays_there_when_it_moves() -> None:
     here, others = Worker(), Worker()
     a, b, runs = request("a", klass=0), request("b", klass=1), {"r0"}
-    here.runs_here = lambda route: route in runs  # type: ignore[attr-defined]
+    here.has_server = lambda route: route in runs  # type: ignore[attr-defined]
     here.holds = lambda held: held is a  # type: ignore[attr-defined]
     routed = WorkRouter(here, others)  # type: ignore[arg-type]
     routed.launch(a)
--- a/tests/edges/test_replies.py
+++ b/tests/edges/test_replies.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from beechrock.net.scgi_codec import replied_of
+from beechrock.net.scgi_codec import server_status
 
 
 @pytest.mark.parametrize(
@@ -18,4 +18,4 @@
     ],
 )
 def test_a_nodes_reply_is_no_servers(status: int, told: str, steered: bool, found: int) -> None:
-    assert replied_of(status, {"x-replied": told} if told else {}, steered) == found
+    assert server_status(status, {"x-replied": told} if told else {}, steered) == found
--- a/tests/limits/test_process.py
+++ b/tests/limits/test_process.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 
 from beechrock.lab.scgi_servers import Server
-from beechrock.net.scgi_codec import parts_of, request_bytes
+from beechrock.net.scgi_codec import decode_reply, request_bytes
 
 ROOT = Path(__file__).parent.parent.parent
 TEAMS = [f"t{index}" for index in range(10)]
@@ -81,7 +81,7 @@
         reader, writer = await asyncio.open_connection("127.0.0.1", port, local_addr=(host, 0))
         try:
             writer.write(data if whole else data[:-60_000])
-            answer = parts_of(await asyncio.wait_for(reader.read(), 30))
+            answer = decode_reply(await asyncio.wait_for(reader.read(), 30))
         finally:
             writer.close()
         if answer[1].get("x-limit") != "spending":
--- a/tests/lowering/test_route.py
+++ b/tests/lowering/test_route.py
@@ -12,7 +12,7 @@
 from beechrock.lowering.policy import Affinity, Kind, Pool, Request
 from beechrock.lowering.route import ROUND, Held, Router, nearest, spread
 from beechrock.lowering.tables import REFUSE, RUN, STEER, Action, Line, Table, pack
-from beechrock.net.scgi_work import LAG_S, RoutingRejection, ScgiWork
+from beechrock.net.scgi_work import GENERATION_WAIT_S, RoutingRejection, ScgiWork
 
 POOLS = [Pool("a", "east", servers=(("a", 1), ("a", 2))), Pool("b", "west", servers=(("b", 1),))]
 PEER = ("peer", 9)
@@ -89,7 +89,7 @@
         work, request = ScgiWork(module, {}), SimpleNamespace(generation=2)  # type: ignore[arg-type]
         router = work.router = Router()
         router.go_by(1, Held(table(Action(RUN, (((0, 1),),)))))
-        waits = asyncio.ensure_future(work._caught_up(request))  # type: ignore[arg-type]
+        waits = asyncio.ensure_future(work._wait_for_generation(request))  # type: ignore[arg-type]
         await asyncio.sleep(0)
         assert not waits.done()
         router.go_by(2, Held(table(Action(RUN, (((1, 1),),)))))
@@ -97,7 +97,7 @@
         way = router.way(asked(), True, 2)
         assert way is not None and way.generation == 2 and not way.refused
         request.generation = 3
-        await asyncio.wait_for(work._caught_up(request), 30 * LAG_S)  # type: ignore[arg-type]
+        await asyncio.wait_for(work._wait_for_generation(request), 30 * GENERATION_WAIT_S)  # type: ignore[arg-type]
         way = router.way(asked(), True, 3)
         assert way is not None and way.refused
 
@@ -115,12 +115,12 @@
         assert way is not None and len(way.addresses) == 2
 
         async def connected(address: tuple[str, int]) -> tuple[object, object]:
-            work.leave_out(frozenset(POOLS[0].servers))
+            work.exclude(frozenset(POOLS[0].servers))
             return None, SimpleNamespace(close=lambda: closed.append(1))
 
-        work._connected = connected  # type: ignore[method-assign, assignment]
+        work._open_for_run = connected  # type: ignore[method-assign, assignment]
         with pytest.raises(RoutingRejection) as found:
-            await work._by_rule(request, way)  # type: ignore[arg-type]
+            await work._send_by_rule(request, way)  # type: ignore[arg-type]
         assert found.value.after_s > 0 and closed == [1] and not work.servers.load
 
     asyncio.run(whole())
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -14,9 +14,9 @@
 
 from beechrock.config import Config, Scgi
 from beechrock.core.requests import ShutdownRequested
-from beechrock.net.frame_codec import fields, fields_of, frame
-from beechrock.net.scgi import HELD_KB
-from beechrock.net.scgi_codec import headers_of, request_bytes
+from beechrock.net.frame_codec import decode_fields, fields, frame
+from beechrock.net.scgi import REQUEST_OVERHEAD_KB
+from beechrock.net.scgi_codec import decode_headers, request_bytes
 from beechrock.program import Program
 from beechrock.settings import settings_from
 
@@ -70,7 +70,7 @@
 
     async def _run(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         size = int((await reader.readuntil(b":"))[:-1])
-        headers = headers_of((await reader.readexactly(size + 1))[:-1])
+        headers = decode_headers((await reader.readexactly(size + 1))[:-1])
         number, work_s = (await reader.readexactly(int(headers["CONTENT_LENGTH"]))).split(b" ")
         if key := headers.get("HTTP_IDEMPOTENCY_KEY"):
             self.runs_by_key[key] = self.runs_by_key.get(key, 0) + 1
@@ -209,7 +209,7 @@
             except asyncio.IncompleteReadError:
                 return
             if data[0] == 2:
-                answer_fields, body = fields_of(data[6:])
+                answer_fields, body = decode_fields(data[6:])
                 answer = Answer(
                     {0: "served", 8: "refused", 13: "failed"}[data[5]],
                     body,
@@ -229,7 +229,7 @@
         "trace": f"{request.number:08x}{request.attempts:04x}{request.sent:04x}",
         "client": "1",
         "born": f"{1000 * now:.0f}",
-        "size": f"{HELD_KB + len(request.body) / 1024}",
+        "size": f"{REQUEST_OVERHEAD_KB + len(request.body) / 1024}",
         "order": "0.5",
     }
     header |= {"nonce": request.key} if request.route == "submit" else {}
--- a/tests/test_closing_rare.py
+++ b/tests/test_closing_rare.py
@@ -40,7 +40,7 @@
             lambda: f"{caller.frames()}",
         )
         assert [payload[0] for kind, _, payload in caller.frames() if kind == ANSWER] == [FAILED]
-        peer._checked(5, False)
+        peer._send_check_result(5, False)
         await caller.answered()
 
     run(work)
