--- a/beechrock/lab/pair.py
+++ b/beechrock/lab/pair.py
@@ -26,8 +26,8 @@
     REQUEST,
     SERVED,
     decode_fields,
-    fields,
-    frame,
+    encode_fields,
+    encode_frame,
 )
 
 CORES, WORK_S = 4, 0.02
@@ -198,7 +198,7 @@
                 told["nonce"] = f"{number:032x}"
             self.open[stream] = waiting = asyncio.get_running_loop().create_future()
             start = time.monotonic()
-            writer.write(frame(REQUEST, stream, fields(told) + body))
+            writer.write(encode_frame(REQUEST, stream, encode_fields(told) + body))
         try:
             payload = await asyncio.wait_for(waiting, WAIT_S)
         except (TimeoutError, ConnectionError):
@@ -332,7 +332,7 @@
 async def check(address: tuple[str, int]) -> bool:
     """A health check of the platform's kind, on a connection of its own."""
     reader, writer = await asyncio.open_connection(*address)
-    writer.write(frame(CHECK, 1, fields({})))
+    writer.write(encode_frame(CHECK, 1, encode_fields({})))
     length, _, _ = HEAD.unpack(await reader.readexactly(HEAD.size))
     payload = await reader.readexactly(length - 5)
     writer.close()
--- a/beechrock/lab/syscall_peers.py
+++ b/beechrock/lab/syscall_peers.py
@@ -4,7 +4,7 @@
 import socket
 from collections import Counter
 
-from beechrock.net.frame_codec import ANSWER, CHECK, CHECKED, HEAD, REQUEST, fields, frame
+from beechrock.net.frame_codec import ANSWER, CHECK, CHECKED, HEAD, REQUEST, encode_fields, encode_frame
 
 WORK_S, LONG_WORK_S, CALL_AFTER_S = 0.01, 0.15, 0.005
 LONG, CALLING = b"long", b"call"  # first words of a request's body
@@ -196,9 +196,9 @@
     }
     if key is not None:
         told["nonce"] = f"{key:032x}"
-    return frame(REQUEST, stream, fields(told) + body)
+    return encode_frame(REQUEST, stream, encode_fields(told) + body)
 
 
 def check(stream: int, padding: int = 0) -> bytes:
     """Return a health check's frame, as long as is wanted."""
-    return frame(CHECK, stream, fields({"padding": "x" * padding} if padding else {}))
+    return encode_frame(CHECK, stream, encode_fields({"padding": "x" * padding} if padding else {}))
--- a/beechrock/net/frame_codec.py
+++ b/beechrock/net/frame_codec.py
@@ -69,7 +69,7 @@
     return fields_by_name, data[at:]
 
 
-def fields(values: dict[str, str]) -> bytes:
+def encode_fields(values: dict[str, str]) -> bytes:
     """Encode fields in the format that ``decode_fields`` decodes."""
     out = bytearray([len(values)])
     for name, value in values.items():
@@ -77,7 +77,7 @@
     return bytes(out)
 
 
-def frame(kind: int, stream: int, payload: bytes = b"") -> bytes:
+def encode_frame(kind: int, stream: int, payload: bytes = b"") -> bytes:
     """Encode a frame."""
     return HEAD.pack(MIN_LENGTH + len(payload), kind, stream) + payload
 
@@ -95,9 +95,9 @@
     def encode(self) -> bytes:
         """Encode the message as a frame."""
         if self.kind == NO_MORE:
-            return frame(NO_MORE, 0)
-        payload = bytes([self.code]) + fields(dict(self.values)) + self.body
-        return frame(self.kind, self.stream, payload)
+            return encode_frame(NO_MORE, 0)
+        payload = bytes([self.code]) + encode_fields(dict(self.values)) + self.body
+        return encode_frame(self.kind, self.stream, payload)
 
 
 def advice_fields(value: float | None) -> tuple[tuple[str, str], ...]:
--- a/tests/callers.py
+++ b/tests/callers.py
@@ -7,15 +7,24 @@
 
 from play import until
 
-from beechrock.net.frame_codec import ANSWER, CHECK, CHECKED, HEAD, NO_MORE, REQUEST, fields, frame
+from beechrock.net.frame_codec import (
+    ANSWER,
+    CHECK,
+    CHECKED,
+    HEAD,
+    NO_MORE,
+    REQUEST,
+    encode_fields,
+    encode_frame,
+)
 
 
 def request(stream: int, born_ms: int = 1_700_000_000_000, trace: int = 0, **more: str) -> bytes:
     """Encode a complete request of the idempotent class."""
-    return frame(
+    return encode_frame(
         REQUEST,
         stream,
-        fields(
+        encode_fields(
             {
                 "route": "resolve",
                 "trace": f"{trace or stream:016x}",
--- a/tests/net/test_registrations.py
+++ b/tests/net/test_registrations.py
@@ -18,7 +18,7 @@
 
 from beechrock.net.connection import LINGER_S
 from beechrock.net.connection_server import ConnectionServer
-from beechrock.net.frame_codec import CHECK, HEAD, frame
+from beechrock.net.frame_codec import CHECK, HEAD, encode_frame
 from beechrock.net.listener import RELIEVE_AFTER
 from beechrock.net.scgi_codec import request_bytes
 
@@ -70,7 +70,7 @@
             await until(lambda: register.failed > 0, lambda: "it was never resumed")
             await answered_soon(caller)
             await until(lambda: register.failed == times, lambda: f"{register.failed} of {times}")
-            caller.send(frame(CHECK, 2 + AT_ONCE, b"\0"))
+            caller.send(encode_frame(CHECK, 2 + AT_ONCE, b"\0"))
             await answered_soon(caller)  # the connection is read again
         assert not stand.program.counters["intake.frames_resets"]
 
@@ -270,7 +270,7 @@
         await until(lambda: bool(front.peers), lambda: "no connection")
         of = accepted_by(front)
         with refused("register", errno.ENOMEM, times=times, of=of) as register:
-            caller.send(b"".join(frame(CHECK, stream, b"\0") for stream in range(1, CHECKS[reading])))
+            caller.send(b"".join(encode_frame(CHECK, stream, b"\0") for stream in range(1, CHECKS[reading])))
             if reading == "ended":
                 caller.socket.shutdown(socket.SHUT_WR)
             await until(
@@ -301,7 +301,9 @@
             caller = connect(front, window=4096)
             await until(lambda: register.failed > 0, lambda: "it was never watched")
             await turns(turns_before)
-            caller.send(b"".join(frame(CHECK, stream, b"\0") for stream in range(1, CHECKS_READ_AT_ONCE)))
+            caller.send(
+                b"".join(encode_frame(CHECK, stream, b"\0") for stream in range(1, CHECKS_READ_AT_ONCE))
+            )
             now = asyncio.get_running_loop().time()
             await front.depart(now, now, now + 20.0)
             register.left.clear()  # registrations succeed again
@@ -321,7 +323,9 @@
         with refused("register", errno.ENOMEM, times=None, of=accepted_by(front)) as register:
             caller = connect(front, window=4096)
             await until(lambda: register.failed > 0, lambda: "it was never watched")
-            caller.send(b"".join(frame(CHECK, stream, b"\0") for stream in range(1, CHECKS_READ_AT_ONCE)))
+            caller.send(
+                b"".join(encode_frame(CHECK, stream, b"\0") for stream in range(1, CHECKS_READ_AT_ONCE))
+            )
             if half:
                 caller.socket.shutdown(socket.SHUT_WR)
             now = asyncio.get_running_loop().time()
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -14,7 +14,7 @@
 
 from beechrock.config import Config, Scgi
 from beechrock.core.requests import ShutdownRequested
-from beechrock.net.frame_codec import decode_fields, fields, frame
+from beechrock.net.frame_codec import decode_fields, encode_fields, encode_frame
 from beechrock.net.scgi import REQUEST_OVERHEAD_KB
 from beechrock.net.scgi_codec import decode_headers, request_bytes
 from beechrock.program import Program
@@ -235,7 +235,7 @@
     header |= {"nonce": request.key} if request.route == "submit" else {}
     header |= {"redo": "1"} if request.attempts > 1 else {}
     link.open[link.stream] = on_answer
-    link.writer.write(frame(1, link.stream, fields(header) + request.body))
+    link.writer.write(encode_frame(1, link.stream, encode_fields(header) + request.body))
 
 
 async def send_scgi(node: Node, request: Request, now: float, on_answer: Callable[[Answer], None]) -> None:
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -11,13 +11,13 @@
 
 from beechrock.connections.shutdown import MODULE_MARGIN, schedule
 from beechrock.connections.table import MAX_REJECTED
-from beechrock.net.frame_codec import ANSWER, CHECK, FAILED, NO_MORE, REFUSED, frame
+from beechrock.net.frame_codec import ANSWER, CHECK, FAILED, NO_MORE, REFUSED, encode_frame
 from beechrock.net.frame_connection import MAX_BAD_REQUESTS, FrameConnection
 from beechrock.net.frame_server import FrameServer
 from beechrock.net.listener import Listener
 from beechrock.policy.shutdown import SPARE_SHARE
 
-CHECK_1, CHECK_2, CHECK_3 = (frame(CHECK, stream, b"\0") for stream in (1, 2, 3))
+CHECK_1, CHECK_2, CHECK_3 = (encode_frame(CHECK, stream, b"\0") for stream in (1, 2, 3))
 
 
 def connect(front: FrameServer, window: int = 0) -> Caller:
@@ -85,7 +85,7 @@
     async def work(stand: Stand) -> None:
         _, [caller] = await node(stand)
         bad = b"".join(request(stream, route="dance") for stream in range(2, MAX_BAD_REQUESTS + 3))
-        caller.send(bad + frame(CHECK, 40, b"\0") + request(41))
+        caller.send(bad + encode_frame(CHECK, 40, b"\0") + request(41))
         stand.now += 10.0  # past the deadline of the good request, which is then refused
         await caller.closed()
 
@@ -112,7 +112,7 @@
 def test_a_slow_steady_request_is_served_and_a_stalled_one_is_not_waited_for() -> None:
     async def work(stand: Stand) -> None:
         front, [slow, half] = await node(stand, 2)
-        data = frame(CHECK, 2, b"\0")
+        data = encode_frame(CHECK, 2, b"\0")
         half.socket.sendall(data[:3])
         for at in range(len(data)):
             before = sum(peer.received for peer in front.peers)
@@ -195,7 +195,7 @@
     async def work(stand: Stand) -> None:
         front, _ = await node(stand, 0)
         caller = connect(front, window=4096)
-        caller.send(b"".join(frame(CHECK, stream, b"\0") for stream in range(1, 4001)))
+        caller.send(b"".join(encode_frame(CHECK, stream, b"\0") for stream in range(1, 4001)))
         await until(lambda: any(peer.messages_received == 4000 for peer in front.peers), lambda: "unread")
         [peer] = front.peers
         monkeypatch.setattr("beechrock.net.connection.LINGER_S", 0.02)
--- a/tests/test_closing_rare.py
+++ b/tests/test_closing_rare.py
@@ -8,7 +8,7 @@
 from play import Stand, run, until
 from test_closing import CHECK_1, CHECK_2, connect, leave, node
 
-from beechrock.net.frame_codec import ANSWER, CHECK, CHECKED, FAILED, REFUSED, frame
+from beechrock.net.frame_codec import ANSWER, CHECK, CHECKED, FAILED, REFUSED, encode_frame
 from beechrock.net.frame_connection import MAX_BAD_REQUESTS_UNREAD
 
 
@@ -81,7 +81,7 @@
         for caller, count in ((slow, messages_received), (idle, 2)):
             stand.now += 0.01
             for stream in range(1, count + 1):
-                caller.send(frame(CHECK, stream, b"\0"))
+                caller.send(encode_frame(CHECK, stream, b"\0"))
                 await caller.answered()
         front.max_connections = 2
         stand.now += 0.2
--- a/tests/test_front_histories.py
+++ b/tests/test_front_histories.py
@@ -9,7 +9,7 @@
 from play import Stand, run
 from test_closing import connect, leave, node
 
-from beechrock.net.frame_codec import ANSWER, CANCEL, CHECK, CHECKED, frame
+from beechrock.net.frame_codec import ANSWER, CANCEL, CHECK, CHECKED, encode_frame
 from beechrock.net.frame_server import FrameServer
 
 MAX_CONNECTIONS = 4  # size of the table; there are up to three times as many callers
@@ -30,7 +30,7 @@
         """Begin the next message, without writing any of it."""
         self.stream += 1
         self.kind = draw.choice([ANSWER, ANSWER, CHECKED])
-        self.unwritten = frame(CHECK, self.stream, b"\0")
+        self.unwritten = encode_frame(CHECK, self.stream, b"\0")
         if self.kind == ANSWER:
             self.unwritten = request(self.stream, trace=trace)
 
@@ -50,7 +50,7 @@
         if not self.unwritten and not self.done and self.stream:
             self.caller.read()
             if not self.caller.ended:
-                self.caller.socket.sendall(frame(CANCEL, draw.randint(1, self.stream)))
+                self.caller.socket.sendall(encode_frame(CANCEL, draw.randint(1, self.stream)))
 
 
 async def step_node(stand: Stand, draw: random.Random, kind: str) -> None:
