--- a/beechrock/core/actor.py
+++ b/beechrock/core/actor.py
@@ -204,7 +204,10 @@
         batch = Batch(now, self.table.drain_next_events())
         events = batch.events
         budget_parts = self.ports.budget_parts
-        if budget_parts is not None and (changed := budget_parts.due(now, self.node)) is not None:
+        if (
+            budget_parts is not None
+            and (changed := budget_parts.changed_settings(now, self.node)) is not None
+        ):
             events.append(api.SettingsChanged(changed))
         for message in self.mailbox.drain():
             try:
--- a/beechrock/core/ports.py
+++ b/beechrock/core/ports.py
@@ -14,7 +14,7 @@
     def settings(self, now: float, settings: api.Settings) -> api.Settings:
         """Return these settings with this node's parts in place of the undivided budgets."""
 
-    def due(self, now: float, node: Node) -> api.Settings | None:
+    def changed_settings(self, now: float, node: Node) -> api.Settings | None:
         """Return settings with other parts if any changed since the last batch, else None."""
 
 
--- a/beechrock/limits/disk.py
+++ b/beechrock/limits/disk.py
@@ -24,9 +24,9 @@
         self.store = Store.open(files, PREFIX, limits)
         self.states: dict[str, State] = {}  # durable state by team, also of teams that were removed
         if (saved := self.store.snapshot()) is not None:
-            self.states |= journal.read(saved[1])
+            self.states |= journal.decode(saved[1])
         for index in range(self.store.first, self.store.last + 1):
-            self.states |= journal.read(self.store.entry(index))
+            self.states |= journal.decode(self.store.entry(index))
 
     def write(self, data: bytes) -> None:
         """Append an entry and sync it.
@@ -39,7 +39,7 @@
             self.store.sync()
         except StoreFullError as error:
             raise SpendingFullError(error.what, where=PREFIX, do=error.do) from None
-        self.states |= journal.read(data)
+        self.states |= journal.decode(data)
 
     @property
     def needs_compaction(self) -> bool:
@@ -53,12 +53,12 @@
         team is kept until the period after its latest one is over at the Unix time ``wall``.
         """
         self.store.rewrite()
-        states = journal.read(data)
+        states = journal.decode(data)
         for team, state in self.states.items():
             ends = max((account.period + 2 for account in state.accounts), default=0) * state.period_s
             if team not in states and wall < ends:
                 states[team] = state
-        self.store.save_snapshot(self.store.last, journal.written(states))
+        self.store.save_snapshot(self.store.last, journal.encode(states))
         self.states = states
 
     def close(self) -> None:
--- a/beechrock/limits/gate.py
+++ b/beechrock/limits/gate.py
@@ -93,7 +93,7 @@
 
     # --- one request
 
-    def ask(
+    def admit(
         self,
         now: float,
         wall: float,
--- a/beechrock/limits/journal.py
+++ b/beechrock/limits/journal.py
@@ -64,7 +64,7 @@
     return _encode([_team_state(budget) for budget in budgets if budget.accounts])
 
 
-def written(states: Mapping[str, State]) -> bytes:
+def encode(states: Mapping[str, State]) -> bytes:
     """Return one entry with these states."""
     return _encode(
         [
@@ -99,7 +99,7 @@
     return _encode(teams)
 
 
-def read(data: bytes) -> dict[str, State]:
+def decode(data: bytes) -> dict[str, State]:
     """Return the states of an entry by team; SpendingRecordError where it cannot be read."""
     try:
         version, teams = msgpack.unpackb(data)
--- a/beechrock/limits/part.py
+++ b/beechrock/limits/part.py
@@ -90,7 +90,7 @@
 
     def admit(self, contract: Contract, size: int) -> Allowed | ContractRejection:
         """Admit or reject a request before its body is read; an admitted one ends by ``Allowed.ended``."""
-        result = self.gate.ask(self.clock(), self.wall(), contract, size, clocks.wall())
+        result = self.gate.admit(self.clock(), self.wall(), contract, size, clocks.wall())
         if self.gate.near_ceiling:
             self.write_needed.set()
         if isinstance(result, RejectedRequest):
@@ -162,11 +162,11 @@
         weight = settings.over_quota_weight if settings.over_quota_weight is not None else DEFAULT_OVER_WEIGHT
         return replace(settings, tenants=TENANTS, over_quota_weight=weight)
 
-    def due(self, now: float, node: Node) -> api.Settings | None:
+    def changed_settings(self, now: float, node: Node) -> api.Settings | None:
         """Return settings with the two tenants if the node has others, else None."""
         return None if node.settings.tenants is TENANTS else self.settings(now, node.settings)
 
-    def renew(self, meaning: "Inventory") -> None:
+    def apply_inventory(self, meaning: "Inventory") -> None:
         """Apply another generation of the inventory."""
         self.gate.change_terms(self.clock(), self.wall(), self._terms(meaning))
         if self.disk is not None:  # a team that was missing at the start continues with its spending
--- a/beechrock/net/scgi.py
+++ b/beechrock/net/scgi.py
@@ -70,11 +70,11 @@
 class Allowed:
     """A request within its contract.
 
-    ``share`` is the tenant index for the module; ``ended`` is called once, with the duration of the run in
-    seconds, or None if it never ran; ``headers`` returns headers for the answer.
+    ``tenant_index`` identifies the tenant to the module; ``ended`` is called once, with the duration of the
+    run in seconds, or None if it never ran; ``headers`` returns headers for the answer.
     """
 
-    share: int
+    tenant_index: int
     ended: Callable[[float | None], None]
     headers: Callable[[], ReplyHeaders]
 
@@ -104,7 +104,7 @@
         """
         ...
 
-    def renew(self, meaning: "Inventory") -> None:
+    def apply_inventory(self, meaning: "Inventory") -> None:
         """Apply a new inventory."""
         ...
 
@@ -232,7 +232,7 @@
             self.module.table.counts.on_front_answer(request.route, Verdict.REFUSED)
             raise ScgiError(503, ENDING)
         if self.allowed is not None:
-            request.limits_tenant, request.ended = self.allowed.share, self._report_end
+            request.limits_tenant, request.ended = self.allowed.tenant_index, self._report_end
         edges = self.front.edges
         if edges is not None and edges.takes(request, self.headers, self._send_reply):  # edges answer it
             self._report_end(0.0)  # the limits count only the start; the edge accounts for later costs
--- a/beechrock/program.py
+++ b/beechrock/program.py
@@ -237,7 +237,7 @@
         self.servers.renew(meaning.upstreams)
         self.scgi.inventory = meaning
         if self.scgi.limits is not None:
-            self.scgi.limits.renew(meaning)
+            self.scgi.limits.apply_inventory(meaning)
         if self.frames is not None:
             self.frames.renew()
         return True
--- a/beechrock/replica/spending.py
+++ b/beechrock/replica/spending.py
@@ -60,7 +60,7 @@
         self.told = told
         return self._parts(now, told)
 
-    def due(self, now: float, node: Deciding) -> api.Settings | None:
+    def changed_settings(self, now: float, node: Deciding) -> api.Settings | None:
         """Before each batch: new settings, if any part is another."""
         ended = self.holder.look(self.clock())
         if self.told is None or not (ended or self.fresh or not self.from_s <= now < self.until_s):
--- a/benchmarks/teams.py
+++ b/benchmarks/teams.py
@@ -84,7 +84,7 @@
     open_: list[Ticket] = []
     began = time.perf_counter()
     for at in range(count):
-        found = gate.ask(now, now, contracts[at * 7919 % len(contracts)], 100)
+        found = gate.admit(now, now, contracts[at * 7919 % len(contracts)], 100)
         assert isinstance(found, Ticket)
         open_.append(found)
         if at >= 256:
--- a/tests/limits/test_budgets.py
+++ b/tests/limits/test_budgets.py
@@ -179,7 +179,7 @@
 def test_an_unreadable_entry_is_an_error_and_spending_survives_a_changed_period_length() -> None:
     for bad in (b"", b"\xc1", b"\x92\x02\x90", b"\x92\x01\x91\x01"):
         with pytest.raises(SpendingRecordError, match="wanted: 1"):
-            journal.read(bad)
+            journal.decode(bad)
     budget = Budget("t", Plan(10 * M, 100), durable=True)
     budget.account(150)
     entries = Journal()
@@ -188,7 +188,7 @@
     assert budget.reserve(150, M) is None and budget.waits_for_disk(150, M)
     entries.synced()
     assert budget.reserve(150, M) is not None
-    held = journal.read(journal.final_entry([budget]))
+    held = journal.decode(journal.final_entry([budget]))
     other = Budget("t", Plan(10 * M, 60), durable=True)
     journal.restore(held, [other], 160)
     assert other.balance(160).remaining == 9 * M and other.balance(185).remaining == 10 * M
--- a/tests/limits/test_gate.py
+++ b/tests/limits/test_gate.py
@@ -38,7 +38,7 @@
         (rng.uniform(0, 20), team) for team in range(10) for _ in range(10_000 if team == 0 else 180)
     )
     for now, team in requests:
-        result = gate.ask(now, WALL + now, (f"team{team}", "s"))
+        result = gate.admit(now, WALL + now, (f"team{team}", "s"))
         if isinstance(result, Ticket):
             got[team] += 1
             gate.settle(result, 0.01)
@@ -50,9 +50,9 @@
 def test_retries_after_the_budget_is_spent_use_up_no_rate_and_no_fair_share() -> None:
     gate = Gate(0, WALL, terms(2, 1000, budget=Plan(5 * M, 60)))
     for _ in range(5):
-        gate.settle(admitted(gate.ask(0, WALL, ("team0", "s"))), 0.01)
+        gate.settle(admitted(gate.admit(0, WALL, ("team0", "s"))), 0.01)
     for attempt in range(1000):
-        rejected = gate.ask(0, WALL + attempt / 100, ("team0", "s"))
+        rejected = gate.admit(0, WALL + attempt / 100, ("team0", "s"))
         assert (
             isinstance(rejected, RejectedRequest)
             and rejected.rejection.reason is RejectReason.BUDGET
@@ -64,17 +64,17 @@
         )
     assert gate.leaves["team0", "s"].node.rate.available(0) == 995  # retries use up none of its rate
     assert gate.shares.backlog_s("team0") == 0 and len(gate.budgets["team0"].accounts) == 1
-    admitted(gate.ask(0, WALL, ("team1", "s")))
+    admitted(gate.admit(0, WALL, ("team1", "s")))
     # In the next period it is admitted.
-    admitted(gate.ask(0, WALL + rejected.rejection.retry_after_s + 10, ("team0", "s")))
+    admitted(gate.admit(0, WALL + rejected.rejection.retry_after_s + 10, ("team0", "s")))
 
 
 def test_a_contract_cut_to_a_tenth_ends_no_open_request_and_binds_new_ones_at_once() -> None:
     first = terms(1, 100, at_once=100)
     gate = Gate(0, WALL, first)
-    tickets = [admitted(gate.ask(0, WALL, ("team0", "s"))) for _ in range(50)]
+    tickets = [admitted(gate.admit(0, WALL, ("team0", "s"))) for _ in range(50)]
     gate.change_terms(0, WALL, terms(1, 10, at_once=10))
-    rejected = gate.ask(0, WALL, ("team0", "s"))
+    rejected = gate.admit(0, WALL, ("team0", "s"))
     assert (
         isinstance(rejected, RejectedRequest)
         and rejected.rejection.reason is RejectReason.AT_ONCE
@@ -82,23 +82,23 @@
     )
     for ticket in tickets[:41]:
         gate.settle(ticket, 0.01)
-    assert sum(isinstance(gate.ask(0, WALL, ("team0", "s")), Ticket) for _ in range(10)) == 1
+    assert sum(isinstance(gate.admit(0, WALL, ("team0", "s")), Ticket) for _ in range(10)) == 1
     for ticket in tickets[41:]:
         gate.settle(ticket, 0.01)
     # Half of the burst was used before the cut, and one unit since; the cut gives no fresh burst.
-    assert sum(isinstance(gate.ask(0, WALL, ("team0", "s")), Ticket) for _ in range(20)) == 4
+    assert sum(isinstance(gate.admit(0, WALL, ("team0", "s")), Ticket) for _ in range(20)) == 4
     gate.change_terms(0, WALL, first)
-    assert sum(isinstance(gate.ask(0, WALL, ("team0", "s")), Ticket) for _ in range(99)) == 0
+    assert sum(isinstance(gate.admit(0, WALL, ("team0", "s")), Ticket) for _ in range(99)) == 0
 
 
 def test_a_team_that_is_removed_and_returns_keeps_its_usage_and_tickets_end_on_their_path() -> None:
     plan = Plan(9 * M, 60)
     both, one = terms(2, 10, budget=plan), terms(1, 10, budget=plan)
     gate = Gate(0, WALL, both)
-    tickets = [admitted(gate.ask(0, WALL, ("team1", "s"))) for _ in range(9)]
+    tickets = [admitted(gate.admit(0, WALL, ("team1", "s"))) for _ in range(9)]
     gate.change_terms(0, WALL, one)
     with pytest.raises(KeyError):
-        gate.ask(0, WALL, ("team1", "s"))
+        gate.admit(0, WALL, ("team1", "s"))
     gate.refund(tickets[0])
     gate.refund(tickets[0])
     gate.settle(tickets[0], 1.0)
@@ -118,15 +118,15 @@
 
 def test_byte_rates_and_hours_reject_before_anything_else_is_charged() -> None:
     gate = Gate(0, WALL, terms(1, 10, bytes_per_s=1000.0, hours=parse("sat 00:00-01:00"), outside=False))
-    rejected = gate.ask(0, 0.0, ("team0", "s"), 10)
+    rejected = gate.admit(0, 0.0, ("team0", "s"), 10)
     assert (
         isinstance(rejected, RejectedRequest)
         and rejected.rejection.reason is RejectReason.HOURS
         and rejected.rejection.retry_after_s == 2 * 86_400
     )
     # A body larger than the burst passes while the whole burst is available.
-    admitted(gate.ask(0, 2 * 86_400, ("team0", "s"), 5000))
-    rejected = gate.ask(1, 2 * 86_400, ("team0", "s"), 1)
+    admitted(gate.admit(0, 2 * 86_400, ("team0", "s"), 5000))
+    rejected = gate.admit(1, 2 * 86_400, ("team0", "s"), 1)
     assert (
         isinstance(rejected, RejectedRequest)
         and rejected.rejection.reason is RejectReason.BYTES
@@ -147,7 +147,7 @@
                 now, wall, terms(rng.randint(1, 4), rng.choice([2.0, 20.0, 200.0]), budget=plan)
             )
         contract = rng.choice(list(gate.leaves))
-        if isinstance(result := gate.ask(now, wall, contract), Ticket):
+        if isinstance(result := gate.admit(now, wall, contract), Ticket):
             tickets.append(result)
         if tickets and rng.random() < 0.6:
             (gate.settle if rng.random() < 0.8 else lambda ticket, _: gate.refund(ticket))(
@@ -174,7 +174,7 @@
 def test_the_first_run_replaces_the_estimated_cost_of_a_service() -> None:
     gate = Gate(0, WALL, terms(2))
     for cost, mean in ((0.5, 0.5), (0.1, 0.3)):
-        gate.settle(admitted(gate.ask(0, WALL, ("team0", "s"))), cost)
-        ticket = admitted(gate.ask(0, WALL, ("team0", "s")))
+        gate.settle(admitted(gate.admit(0, WALL, ("team0", "s"))), cost)
+        ticket = admitted(gate.admit(0, WALL, ("team0", "s")))
         assert gate.shares.backlog_s("team0") == pytest.approx(mean)
         gate.refund(ticket)
--- a/tests/limits/test_period_clock.py
+++ b/tests/limits/test_period_clock.py
@@ -25,7 +25,7 @@
     for second in range(600):
         boot[0] = float(second)
         if second == 300:  # the wall clock is stepped; only a restart reads it again
-            saved = journal.read(journal.final_entry([budget]))
+            saved = journal.decode(journal.final_entry([budget]))
             if restart:
                 clock = PeriodClock(lambda: boot[0], START_S + second + step_s, saved)
                 budget = Budget("team", Plan(AMOUNT, PERIOD_S))
--- a/tests/limits/test_spending_disk.py
+++ b/tests/limits/test_spending_disk.py
@@ -15,7 +15,7 @@
 
 def entry(ceiling: int) -> bytes:
     """Return an entry with one account of one team."""
-    return journal.written({"team": State(60.0, 0, (Account(1, 0, 0, ceiling, 0, ceiling, 0),))})
+    return journal.encode({"team": State(60.0, 0, (Account(1, 0, 0, ceiling, 0, ceiling, 0),))})
 
 
 def ceiling(states: dict[str, State]) -> int:
--- a/tests/replica/test_told.py
+++ b/tests/replica/test_told.py
@@ -67,7 +67,7 @@
     def request(self) -> bool:
         """As a batch is decided: the parts first."""
         events: list[api.Event] = []
-        if (parted := self.spending.due(self.now, self.node)) is not None:
+        if (parted := self.spending.changed_settings(self.now, self.node)) is not None:
             events.append(api.SettingsChanged(parted))
         self.index += 1
         ident = self.index
--- a/tests/samples/test_limits_samples.py
+++ b/tests/samples/test_limits_samples.py
@@ -31,9 +31,9 @@
     files = Files(folder)
     with fixed_random():
         disk = SpendingDisk(files)
-    disk.write(journal.written({"packagers": BEFORE, "readers": OTHER}))
-    disk.compact(journal.written({"packagers": SAVED}), WALL_S)
-    disk.write(journal.written({"packagers": LATER}))
+    disk.write(journal.encode({"packagers": BEFORE, "readers": OTHER}))
+    disk.compact(journal.encode({"packagers": SAVED}), WALL_S)
+    disk.write(journal.encode({"packagers": LATER}))
     disk.close()
 
 
@@ -45,7 +45,7 @@
 def test_the_spending_is_read(tmp_path: Path) -> None:
     disk = SpendingDisk(Files(sample_copy(SAMPLE, tmp_path)))
     saved, states = disk.store.snapshot(), disk.states
-    assert saved is not None and journal.read(saved[1]) == {"packagers": SAVED, "readers": OTHER}
+    assert saved is not None and journal.decode(saved[1]) == {"packagers": SAVED, "readers": OTHER}
     assert states == {"packagers": LATER, "readers": OTHER}
     assert (disk.store.first, disk.store.last) == (2, 2)
     disk.close()
--- a/tests/store/test_owners_on_failing_disks.py
+++ b/tests/store/test_owners_on_failing_disks.py
@@ -45,7 +45,7 @@
         self.disk = SpendingDisk(files)
 
     def take(self, number: int) -> None:
-        entry = journal.written({"team": State(60.0, 0, (Account(1, 0, 0, number, 0, number, 0),))})
+        entry = journal.encode({"team": State(60.0, 0, (Account(1, 0, 0, number, 0, number, 0),))})
         again(lambda: self.disk.write(entry))
         if number == LAST - 1:
             again(lambda: self.disk.compact(entry, 0.0))
