--- a/beechrock/admin/http.py
+++ b/beechrock/admin/http.py
@@ -143,7 +143,7 @@
             self.said = True
             self.counters.add(f"admin.answered_{said.status}")
             self.post(said)
-            self.finish()
+            self.close_when_answered()
 
     def encode(self, message: Said) -> bytes:
         body = message.body.encode()
@@ -176,7 +176,7 @@
             return
         if self.asked is not None or self.http.trailing_data[0]:
             self._say(Said(400, "the call is cut off\n"))
-        self.finish()
+        self.close_when_answered()
 
 
 class AdminFront(ConnectionServer[AdminPeer]):
--- a/beechrock/net/connection.py
+++ b/beechrock/net/connection.py
@@ -117,12 +117,12 @@
         self.counters.add(f"trouble.{self.where}_mailbox_full")
         return False
 
-    def finish(self) -> None:
+    def close_when_answered(self) -> None:
         """Stop reading; close once all answers have been written."""
         self.closing = True
         self.mailbox.wake()
 
-    def end(self) -> None:
+    def close_when_idle(self) -> None:
         """Close as soon as no answer is pending and no input is unread.
 
         Until then, messages are still answered, as a request written before our close must get an answer.
@@ -130,7 +130,7 @@
         self.ending = True
         self.mailbox.wake()
 
-    def shut(self) -> bool:
+    def close_if_idle(self) -> bool:
         """Close the outgoing stream unless an answer is due or input is unread. Return whether it was closed.
 
         The check and the close happen in one step, as a request that is read in between would be lost.
@@ -152,7 +152,7 @@
         except OSError:  # the peer has reset the connection, so nobody waits for an answer
             self.drop()
             return True
-        self.finish()
+        self.close_when_answered()
         return True
 
     def answer_unread(self, max_bytes: int) -> None:
@@ -177,7 +177,7 @@
         if force and self._sending:
             self.rejected = True
             self.answer_all()
-            self.end()
+            self.close_when_idle()
         return not self._sending
 
     def _ends_by_loop(self) -> bool:
@@ -192,7 +192,7 @@
         except OSError:
             self._note_reset()
         self._shut = True
-        self.finish()
+        self.close_when_answered()
         return True
 
     def _note_reset(self) -> None:
@@ -317,12 +317,12 @@
         except (BadInputError, BufferFullError) as error:
             self.counters.add(f"intake.{self.where}_malformed")
             self.bad_input(str(error))
-            self.finish()
+            self.close_when_answered()
         except Exception as error:
             # If the exception ended the task, the connection would stay open with its input unread.
             self.counters.record_error(f"{self.where}.receive", error)
             self.report_internal_error()
-            self.finish()
+            self.close_when_answered()
 
     def input_ended(self) -> None:
         """Handle the peer's end of stream."""
@@ -341,7 +341,7 @@
                 self._sending = False
                 self.flushed = not len(self.mailbox)
                 if self.ending:
-                    self.shut()
+                    self.close_if_idle()
                 if self.closing and self.settled() and not len(self.mailbox):
                     self._write_end(writer)
                     return
@@ -355,7 +355,7 @@
             return self.encode(message)
         except Exception as error:
             self.counters.record_error(f"{self.where}.send", error)
-            self.finish()
+            self.close_when_answered()
             return b""
 
     async def _buffer_message(self, writer: asyncio.StreamWriter, message: T) -> None:
--- a/beechrock/net/connection_server.py
+++ b/beechrock/net/connection_server.py
@@ -64,7 +64,7 @@
 
     def end_if_idle(self, peer: P) -> bool:
         """End a connection unless a request is open or input is unread. Returns whether it was ended."""
-        return peer.shut()
+        return peer.close_if_idle()
 
     def check_idle(self, peer: P, now: float) -> None:
         """End a connection that is idle or too slow; called for each connection at each sweep."""
@@ -187,7 +187,7 @@
             peer.answer_unread(FAIR_BYTES)
         self._slice.renew()
         for peer in self.peers:
-            peer.shut()
+            peer.close_if_idle()
 
     def _conclude_peers(self, end_at: float) -> bool:
         """End all connections. Returns whether nothing is left to do on any of them.
@@ -219,7 +219,7 @@
             if not self.end_if_idle(peer) and cut:
                 peer.rejected = True
                 peer.answer_all()
-                peer.end()
+                peer.close_when_idle()
 
     def _relieve(self) -> None:
         """Evict the least useful connection, as accept(2) lacks a descriptor or memory for a new one."""
--- a/beechrock/net/frame_connection.py
+++ b/beechrock/net/frame_connection.py
@@ -154,9 +154,9 @@
             self.counters.add("intake.frames_malformed")
             self.post(Reply(ANSWER, 0, FAILED, body=f"{self.bad} bad requests".encode()))
             self.post(Reply(NO_MORE))
-            self.end()
+            self.close_when_idle()
         elif self.bad == MAX_BAD_REQUESTS_UNREAD:  # a graceful close never completes if input keeps coming
-            self.finish()
+            self.close_when_answered()
 
     def _reject_too_long(self, kind: int, stream: int, length: int) -> None:
         if kind != REQUEST or not stream or not self.streams.mark_used(stream):
@@ -307,4 +307,4 @@
 
     def input_ended(self) -> None:
         """Close once all requests are answered, as the front end may still wait for its last answers."""
-        self.finish()
+        self.close_when_answered()
--- a/beechrock/net/frame_server.py
+++ b/beechrock/net/frame_server.py
@@ -83,8 +83,8 @@
             case CloseReason.STALE:
                 self.module.counters.add("intake.frames_stale")
                 peer.bad_input("nothing whole came in time")
-                peer.end()
-            case CloseReason.IDLE if not len(peer.inbox) and peer.shut():
+                peer.close_when_idle()
+            case CloseReason.IDLE if not len(peer.inbox) and peer.close_if_idle():
                 self.module.counters.add("intake.frames_idle")
 
     def leave(self) -> None:
--- a/beechrock/net/ledger.py
+++ b/beechrock/net/ledger.py
@@ -225,7 +225,7 @@
             call.timer = self.module.timers.at(now + LATE_REPLY_S, lambda: self._time_out(link, call))
             return
         self._give_up(link, call)
-        link.finish()  # no other call is sent on a connection on which one has timed out
+        link.close_when_answered()  # no other call is sent on a connection on which one has timed out
         self.ended(call, Outcome.TIMED_OUT if link.opened else Outcome.UNREACHABLE, b"")
 
     def _give_up(self, link: LedgerLink, call: OpenCall) -> None:
@@ -252,5 +252,5 @@
             if link.closing and not link.open:
                 link.owner.link_actor.handle_event(life.Closing(link.owner.link_actor.life.link))
             elif not link.open and (now - link.used_at > IDLE_S or link.address != self.address):
-                link.finish()
+                link.close_when_answered()
         self.module.timers.at(now + 1.0, self._close_idle_links)
--- a/beechrock/net/scgi.py
+++ b/beechrock/net/scgi.py
@@ -308,7 +308,7 @@
                 self.reject(ScgiError(400, "the request is cut off"))
             else:
                 self.stall.cancel()
-                self.finish()
+                self.close_when_answered()
 
     def bad_input(self, problem: str) -> None:
         """Reject with status 400."""
@@ -333,7 +333,7 @@
         self.stall.cancel()
         if not self.post(reply):
             self.counters.add("answered.without_connection")
-        self.finish()
+        self.close_when_answered()
 
     def encode(self, message: Reply) -> bytes:
         """Return the wire format of a reply."""
@@ -343,7 +343,7 @@
         """Return whether no answer is pending."""
         return self.answered or self.request is None
 
-    def end(self) -> None:
+    def close_when_idle(self) -> None:
         """Do nothing: the connection ends with its answer, and must not end without one."""
 
     def answer_all(self) -> None:
@@ -383,7 +383,7 @@
         if peer.request is None and not peer.answered and not peer.has_unread_input():
             peer.answer_all()
             return True
-        return peer.shut()
+        return peer.close_if_idle()
 
     def ended(self, peer: ScgiConnection) -> None:
         """Cancel the request of a connection that has ended, if it is not answered."""
--- a/beechrock/net/scgi_work.py
+++ b/beechrock/net/scgi_work.py
@@ -121,7 +121,7 @@
     def input_ended(self) -> None:
         """Store the complete reply, and close."""
         self.reply = self.inbox.read(len(self.inbox))
-        self.finish()
+        self.close_when_answered()
 
 
 class ScgiWork:
--- a/tests/net/test_ledger.py
+++ b/tests/net/test_ledger.py
@@ -121,7 +121,7 @@
     async def work(stand: Stand) -> None:
         link = await free_link(stand)
         link.settled = lambda: False  # type: ignore[method-assign]   # it never counts as settled
-        link.finish()
+        link.close_when_answered()
         await stand.play("clock 1.1\nclock 2.1\ncounter ledger.cut_not_closed 1\nl closed\n")
         assert stand.program.ledger is not None
         assert stand.program.ledger.links == []
--- a/tests/net/test_time_slice.py
+++ b/tests/net/test_time_slice.py
@@ -48,8 +48,10 @@
         if not by_turns:
             for caller in callers:
                 caller.send(CHECK_2)
-        shut, close_now = FrameConnection.shut, FrameConnection.close_now
-        monkeypatch.setattr(FrameConnection, "shut", lambda peer: (ends(peer), shut(peer))[1])
+        close_if_idle, close_now = FrameConnection.close_if_idle, FrameConnection.close_now
+        monkeypatch.setattr(
+            FrameConnection, "close_if_idle", lambda peer: (ends(peer), close_if_idle(peer))[1]
+        )
         monkeypatch.setattr(
             FrameConnection, "close_now", lambda peer, *a, **k: (ends(peer), close_now(peer, *a, **k))[1]
         )
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -131,7 +131,7 @@
         front, [caller] = await node(stand)
         [peer] = front.peers
         caller.send(CHECK_2)
-        peer.end()
+        peer.close_when_idle()
         await caller.closed()
 
     run(work)
@@ -213,7 +213,7 @@
         front, [caller] = await node(stand)
         front.max_connections = 1
         [peer] = front.peers
-        assert peer.shut()
+        assert peer.close_if_idle()
         caller.socket.send(bytes(65_536))
         await until(lambda: peer.received > 1, lambda: "unread")
         assert front._evict_if_full() and not front.peers
