--- a/beechrock/admin/http.py
+++ b/beechrock/admin/http.py
@@ -194,7 +194,7 @@
     def reject_full(self, peer: AdminPeer) -> None:
         peer._say(Said(503, "too many calls at once\n"))
 
-    def ended(self, peer: AdminPeer) -> None:
+    def on_connection_ended(self, peer: AdminPeer) -> None:
         """Nothing is open on it that anybody else holds."""
 
     def check_idle(self, peer: AdminPeer, now: float) -> None:
--- a/beechrock/departure.py
+++ b/beechrock/departure.py
@@ -57,4 +57,4 @@
         cut_at = self.began_at + self.steps.cut_s
         exit_at = self.began_at + self.steps.exit_s
         end_at = self.began_at + self.steps.end_s
-        await asyncio.gather(*(front.depart(cut_at, exit_at, end_at) for front in fronts))
+        await asyncio.gather(*(front.shut_down(cut_at, exit_at, end_at) for front in fronts))
--- a/beechrock/net/agent.py
+++ b/beechrock/net/agent.py
@@ -94,7 +94,9 @@
         self.module = module
         self.counters = module.counters
         self.link_actor = LinkActor(self, "agent", module, LIMITS, address)
-        self.lost: Callable[[], None] = lambda: None  # called when no link could be opened for some time
+        self.on_unreachable: Callable[[], None] = lambda: (
+            None
+        )  # called when no link could be opened for some time
         self.gauges = gauges
         self.link: AgentLink | None = None
         self.runs = AgentRuns(module)
--- a/beechrock/net/connection_server.py
+++ b/beechrock/net/connection_server.py
@@ -58,7 +58,7 @@
         """Tell the peer that the table is full; each request on this connection is refused."""
         raise NotImplementedError
 
-    def ended(self, peer: P) -> None:
+    def on_connection_ended(self, peer: P) -> None:
         """Cancel the open requests of a connection that has ended."""
         raise NotImplementedError
 
@@ -105,7 +105,7 @@
             self.server.close()
             self.server = None
 
-    async def depart(self, cut_at: float, exit_at: float, end_at: float) -> None:
+    async def shut_down(self, cut_at: float, exit_at: float, end_at: float) -> None:
         """Stop accepting and end all connections, so that each complete request gets its answer.
 
         Until ``exit_at``, connections are ended by turns of the event loop; from ``cut_at`` on, open requests
@@ -175,7 +175,7 @@
         peer = self.peer()
         self.module.counters.add(f"intake.{self.where}_connections")
         peer.close_now_on(endpoint, max_bytes, force=True)
-        self.ended(peer)
+        self.on_connection_ended(peer)
 
     def _shut_all(self) -> None:
         """Answer pending input on all connections, and then end them in quick succession.
@@ -254,7 +254,7 @@
         finally:
             self.peers.discard(peer)
             self._lingering.pop(peer, None)
-            self.ended(peer)
+            self.on_connection_ended(peer)
 
     def _accept_budget(self, arriving: int) -> int:
         """Return how many connections may be accepted now; a rejected connection may be evicted for that."""
--- a/beechrock/net/frame_server.py
+++ b/beechrock/net/frame_server.py
@@ -64,7 +64,7 @@
         peer.post(Reply(ANSWER, 0, REFUSED, body=b"too many connections"))
         peer.post(Reply(NO_MORE))
 
-    def ended(self, peer: FrameConnection) -> None:
+    def on_connection_ended(self, peer: FrameConnection) -> None:
         """Cancel the open requests of a connection that has ended."""
         for request in peer.open.values():
             if request is not None:
--- a/beechrock/net/ledger.py
+++ b/beechrock/net/ledger.py
@@ -148,7 +148,7 @@
     def send_control(self, action: life.Action) -> None:
         """Do nothing: links to the ledger have no handshake."""
 
-    def lost(self) -> None:
+    def on_unreachable(self) -> None:
         """Do nothing: the next call opens a new link."""
 
 
--- a/beechrock/net/link_actor.py
+++ b/beechrock/net/link_actor.py
@@ -29,7 +29,7 @@
     def link_ended(self) -> None:
         """Handle the final end of a link that is not reopened; it may never have been established."""
 
-    def lost(self) -> None:
+    def on_unreachable(self) -> None:
         """Look for another address, as no link could be opened for some time."""
 
 
@@ -65,7 +65,7 @@
                 case life.Cut(_, reason):
                     self._disconnect(reason)
                 case life.Lost():
-                    self.owner.lost()
+                    self.owner.on_unreachable()
                 case _:
                     self.owner.send_control(action)
         if self.life.state is life.LinkState.UP:
--- a/beechrock/net/scgi.py
+++ b/beechrock/net/scgi.py
@@ -385,7 +385,7 @@
             return True
         return peer.close_if_idle()
 
-    def ended(self, peer: ScgiConnection) -> None:
+    def on_connection_ended(self, peer: ScgiConnection) -> None:
         """Cancel the request of a connection that has ended, if it is not answered."""
         peer.stall.cancel()
         if peer.team is not None:
--- a/beechrock/program.py
+++ b/beechrock/program.py
@@ -109,7 +109,7 @@
         if configuration.agent:
             self.agent = Agent(self.module, configuration.gauges, configuration.agent)
             self.module.can_run = self.agent.able
-            self.agent.lost = self.reload_if_changed
+            self.agent.on_unreachable = self.reload_if_changed
         self.registry: Registry | None = None
         if configuration.registry:
             self.registry = Registry(
--- a/tests/net/test_connection_server.py
+++ b/tests/net/test_connection_server.py
@@ -40,7 +40,7 @@
 
     async def depart() -> None:
         now = asyncio.get_running_loop().time()
-        await server.depart(now + 0.02, now + 0.03, now + 0.04)
+        await server.shut_down(now + 0.02, now + 0.03, now + 0.04)
 
     asyncio.run(depart())
     assert loaded == [True]
--- a/tests/net/test_registrations.py
+++ b/tests/net/test_registrations.py
@@ -120,7 +120,7 @@
             caller.send(CHECK_1 + request(2))
             await turns(turns_before)
             now = asyncio.get_running_loop().time()
-            await front.depart(now, now + 0.1, now + 20.0)
+            await front.shut_down(now, now + 0.1, now + 20.0)
             await caller.closed()
 
     run(work)
@@ -305,7 +305,7 @@
                 b"".join(encode_frame(CHECK, stream, b"\0") for stream in range(1, CHECKS_READ_AT_ONCE))
             )
             now = asyncio.get_running_loop().time()
-            await front.depart(now, now, now + 20.0)
+            await front.shut_down(now, now, now + 20.0)
             register.left.clear()  # registrations succeed again
             await caller.closed()
 
@@ -329,7 +329,7 @@
             if half:
                 caller.socket.shutdown(socket.SHUT_WR)
             now = asyncio.get_running_loop().time()
-            await front.depart(now, now, now + 20.0)
+            await front.shut_down(now, now, now + 20.0)
             end = now + 1.5 * LINGER_S  # the shortage lasts for longer than a close lingers
             while asyncio.get_running_loop().time() < end:
                 await asyncio.sleep(0.01)
--- a/tests/test_closing_late.py
+++ b/tests/test_closing_late.py
@@ -130,7 +130,7 @@
         assert FAIR_BYTES < len(many) < MAX_LAST_BYTES
         caller.send(many)
         now = asyncio.get_running_loop().time()
-        await front.depart(now, now, now + 20.0)
+        await front.shut_down(now, now, now + 20.0)
         assert caller.answers() == caller.owed and caller.ended  # without another turn of the loop
 
     run(work)
