--- a/beechrock/core/servers.py
+++ b/beechrock/core/servers.py
@@ -28,22 +28,22 @@
 
     def __init__(self, upstreams: Upstreams) -> None:
         self.upstreams = upstreams
-        self.out: frozenset[Address] = frozenset()
-        self.load: dict[Address, int] = {}  # open runs by server; servers without any are left out
+        self.taken_out: frozenset[Address] = frozenset()
+        self.open_runs: dict[Address, int] = {}  # open runs by server; servers without any are left out
         self._removed: Upstreams = {}
         # Cost of a run at a server, from its address and open runs, while the replica part gives advice.
         self.cost: Callable[[Address, int], float] | None = None
 
     def state(self, address: Address) -> ServerState | None:
         """Return a server's state, or None if it gets no new runs and has none open."""
-        if address not in self.out and any(address in places for places in self.upstreams.values()):
+        if address not in self.taken_out and any(address in places for places in self.upstreams.values()):
             return ServerState.SERVING
-        return ServerState.DRAINING if address in self.load else None
+        return ServerState.DRAINING if address in self.open_runs else None
 
     def draining(self) -> list[Address]:
         """Return the servers that get no new runs but have open ones."""
         serving = {address for places in self.upstreams.values() for address in places}
-        return [address for address in self.load if address in self.out or address not in serving]
+        return [address for address in self.open_runs if address in self.taken_out or address not in serving]
 
     def renew(self, upstreams: Upstreams) -> None:
         """Replace the lists of servers, for all runs that begin from now on."""
@@ -60,12 +60,12 @@
     def choose(self, service: str) -> list[Address]:
         """Return the servers of a service that are not taken out, those with the least weight first."""
         return sorted(
-            (address for address in self.listed(service) if address not in self.out), key=self.weight
+            (address for address in self.listed(service) if address not in self.taken_out), key=self.weight
         )
 
     def weight(self, address: Address) -> float:
         """Return the weight by which servers are ordered: their cost if that is set, else their open runs."""
-        load = self.load.get(address, 0)
+        load = self.open_runs.get(address, 0)
         return load if self.cost is None else self.cost(address, load)
 
     def listed(self, service: str) -> tuple[Address, ...]:
@@ -73,12 +73,12 @@
         places = self.upstreams.get(service)
         return self._removed.get(service, ()) if places is None else places
 
-    def began(self, address: Address) -> None:
+    def on_run_started(self, address: Address) -> None:
         """Count the start of a run at a server."""
-        self.load[address] = self.load.get(address, 0) + 1
+        self.open_runs[address] = self.open_runs.get(address, 0) + 1
 
-    def ended(self, address: Address) -> None:
+    def on_run_ended(self, address: Address) -> None:
         """Count the end of a run at a server."""
-        self.load[address] -= 1
-        if not self.load[address]:
-            del self.load[address]
+        self.open_runs[address] -= 1
+        if not self.open_runs[address]:
+            del self.open_runs[address]
--- a/beechrock/handover/node.py
+++ b/beechrock/handover/node.py
@@ -224,7 +224,7 @@
             self.lifecycle.on_successor_ready()
         return self.lifecycle.replaced
 
-    def may_go(self) -> bool:
+    def may_exit(self) -> bool:
         """Return whether this process may exit: the other one serves the node, and no work is left here."""
         peer = self.links.current
         return (
--- a/beechrock/net/scgi_work.py
+++ b/beechrock/net/scgi_work.py
@@ -147,7 +147,7 @@
 
         Open runs on them continue.
         """
-        self.servers.out = out
+        self.servers.taken_out = out
         if self.router is not None:
             self.router.acts.out = out
         self.counters.set("open.draining_servers", len(self.servers.draining()))
@@ -299,7 +299,7 @@
                 run, address, data, *streams, self.module.settings.classes[request.klass].deadline_s
             )
             return outcome_of(request, way, run.reply or b"", self.counters)
-        if way is None and self.servers.out.intersection(self.servers.listed(request.route)):
+        if way is None and self.servers.taken_out.intersection(self.servers.listed(request.route)):
             self.counters.add("sent.scgi_out")
             raise RoutingRejection(
                 REJECT_RETRY_S, b"no server of its service is left: some are out by permit"
@@ -336,13 +336,13 @@
         due_s: float,
     ) -> None:
         run.post(data)
-        self.servers.began(address)
+        self.servers.on_run_started(address)
         over, reply = self.watch(address, due_s) if self.watch is not None else None, None
         try:
             await run.serve(reader, writer)
             reply = run.reply or b""
         finally:
-            self.servers.ended(address)
+            self.servers.on_run_ended(address)
             if over is not None:
                 over(reply)
 
@@ -383,7 +383,7 @@
         streams = await self._open_for_run(address)
         if streams is None:
             return None
-        if address in self.servers.out:  # the server was excluded while we connected
+        if address in self.servers.taken_out:  # the server was excluded while we connected
             streams[1].close()
             return None
         run = ScgiRun(self)
--- a/beechrock/program.py
+++ b/beechrock/program.py
@@ -381,7 +381,7 @@
         return self.members is not None or bool(self.parts)
 
     def _may_exit(self) -> bool:
-        return self.handover is not None and self.handover.may_go()
+        return self.handover is not None and self.handover.may_exit()
 
     def _post_shutdown_request(self, remaining_s: float) -> None:
         self.module.post(ShutdownRequested(remaining_s, self.replaced))
--- a/beechrock/releases/operators.py
+++ b/beechrock/releases/operators.py
@@ -192,7 +192,7 @@
         work = self.part.program.servers
         if work is None or self.part.machine.permits.targets[target].kind is not Kind.SERVER:
             return None
-        return int(work.servers.load.get(address_of(target), 0))
+        return int(work.servers.open_runs.get(address_of(target), 0))
 
     def _reached(self, now: float, target: str) -> list[int] | None:
         """Of a server that is to return: how many nodes reach it, of how many that use it."""
--- a/beechrock/releases/servers.py
+++ b/beechrock/releases/servers.py
@@ -74,7 +74,7 @@
         held = sorted(
             name for name in machine.permits.held if machine.permits.targets[name].kind is Kind.SERVER
         )
-        if work is not None and work.servers.out != (out := frozenset(map(address_of, held))):
+        if work is not None and work.servers.taken_out != (out := frozenset(map(address_of, held))):
             work.exclude(out)
             logs.event("releases.servers", out=held)
         returning = {name: machine.returning[name] for name in held if name in machine.returning}
--- a/tests/handover/test_node.py
+++ b/tests/handover/test_node.py
@@ -147,7 +147,7 @@
         await until(lambda: old.program.module.status.healthy, lambda: "still unhealthy")
         old.beats.clear()
         await old.play(CHECK % (9, 9) + "beat BEAT n1 ready\n")  # the successor keeps the node in service
-        assert not old.program.handover.may_go()  # type: ignore[union-attr]
+        assert not old.program.handover.may_exit()  # type: ignore[union-attr]
         # The successor dies after it was ready: the old process accepts connections again.
         await pair.end(new)
         await pair.serving(old)
@@ -170,9 +170,9 @@
         await old.play("a < {06 00000000}\n" + CHECK % (10, 10))
         assert "BEAT n1 draining" not in old.beats
         await old.play(PASS % (1, 1) + OK % 1)
-        assert not handover.may_go()
+        assert not handover.may_exit()
         await old.play("a end\na closed\n")
-        await until(handover.may_go, lambda: "may not exit yet")
+        await until(handover.may_exit, lambda: "may not exit yet")
         old.program.close()
         handover.close()
         await asyncio.sleep(0.05)  # during upgrades a fault once made it accept again here
--- a/tests/handover/test_node_crossings.py
+++ b/tests/handover/test_node_crossings.py
@@ -236,7 +236,7 @@
         new = await pair.start()
         await pair.following(old, new)
         old.program.leave()
-        await until(handover_of(old).may_go, lambda: "may not exit yet")
+        await until(handover_of(old).may_exit, lambda: "may not exit yet")
         await pair.end(old)
         await until_predecessor_absent(new)
         claims = handover_of(new).keys.ownership.other_claims.claims.values()
--- a/tests/handover/test_node_faults.py
+++ b/tests/handover/test_node_faults.py
@@ -74,7 +74,7 @@
         new.program.leave()
         assert new.program.replaced and new.program.frames.server is None  # type: ignore[union-attr]
         await new.play("a < {06 00000000}\n" + CHECK % (9, 9) + PASS % (1, 1) + OK % 1 + "a end\na closed\n")
-        await until(new.program.handover.may_go, lambda: "may not exit yet")  # type: ignore[union-attr]
+        await until(new.program.handover.may_exit, lambda: "may not exit yet")  # type: ignore[union-attr]
         assert old.program.frames.server is not None  # type: ignore[union-attr]
         # The old process leaves as well: no other one remains, so both accept connections until their ends.
         old.program.leave()
--- a/tests/lowering/test_route.py
+++ b/tests/lowering/test_route.py
@@ -121,7 +121,7 @@
         work._open_for_run = connected  # type: ignore[method-assign, assignment]
         with pytest.raises(RoutingRejection) as found:
             await work._send_by_rule(request, way)  # type: ignore[arg-type]
-        assert found.value.after_s > 0 and closed == [1] and not work.servers.load
+        assert found.value.after_s > 0 and closed == [1] and not work.servers.open_runs
 
     asyncio.run(whole())
 
--- a/tests/test_inventory_life.py
+++ b/tests/test_inventory_life.py
@@ -253,8 +253,8 @@
 def test_a_server_taken_out_drains_and_one_whose_service_went_still_runs_what_was_promised() -> None:
     one, two, three = (("h", port) for port in (1, 2, 3))
     servers = Servers({"s": (one, two), "t": (two,)})
-    servers.began(one)
-    servers.began(two)
+    servers.on_run_started(one)
+    servers.on_run_started(two)
     servers.renew({"s": (three,)})
     assert servers.choose("s") == [three]
     assert servers.choose("t") == [two]
@@ -263,7 +263,7 @@
         ServerState.DRAINING,
         ServerState.SERVING,
     ]
-    servers.ended(one)
+    servers.on_run_ended(one)
     assert servers.state(one) is None and servers.draining() == [two]
     servers.renew({"s": (three, one), "t": (one,)})
     assert servers.choose("t") == [one] and servers.state(one) is ServerState.SERVING
@@ -272,16 +272,16 @@
 def test_a_server_that_is_out_stays_out_over_a_reload_and_what_it_runs_is_finished() -> None:
     one, two = (("h", port) for port in (1, 2))
     servers = Servers({"s": (one, two), "t": (one,)})
-    servers.began(one)
-    servers.out = frozenset({one})
+    servers.on_run_started(one)
+    servers.taken_out = frozenset({one})
     servers.renew({"s": (one, two), "t": (one,)})
     assert servers.choose("s") == [two] and servers.choose("t") == [] and servers.listed("t") == (one,)
     assert servers.state(one) is ServerState.DRAINING and servers.draining() == [one]
     servers.renew({"s": (one, two)})
     assert servers.choose("t") == []  # also what was promised goes to no server that is out
-    servers.ended(one)
+    servers.on_run_ended(one)
     assert servers.state(one) is None and servers.draining() == []
-    servers.out = frozenset()
+    servers.taken_out = frozenset()
     assert servers.choose("s") == [one, two] and servers.choose("t") == [one]
 
 
