--- a/beechrock/handover/node.py
+++ b/beechrock/handover/node.py
@@ -179,7 +179,7 @@
         lifecycle = self.lifecycle
         served = lifecycle.serving
         lifecycle.on_time(now_s)
-        if not lifecycle.able_to_run and self.module.able():
+        if not lifecycle.able_to_run and self.module.can_run():
             lifecycle.on_able()
         if lifecycle.predecessor is PredecessorStage.INCOMPATIBLE:
             self.predecessor.mark_incompatible()
@@ -224,7 +224,7 @@
             self.lifecycle.on_successor_ready()
         return self.lifecycle.replaced
 
-    def may_go(self) -> bool:
+    def may_exit(self) -> bool:
         """Return whether this process may exit: the other one serves the node, and no work is left here."""
         peer = self.links.current
         return (
--- a/beechrock/limits/gate.py
+++ b/beechrock/limits/gate.py
@@ -95,7 +95,7 @@
 
     # --- one request
 
-    def ask(
+    def admit(
         self,
         now: float,
         wall: float,
--- a/beechrock/net/agent.py
+++ b/beechrock/net/agent.py
@@ -38,8 +38,8 @@
     answer_s=0.3,
     close_s=0.4,
     reconnect_s=(0.02, 0.2),
-    broken_s=1.0,
-    suspect_s=3.0,
+    able_after_break_s=1.0,
+    able_after_silence_s=3.0,
 )
 
 
@@ -79,7 +79,7 @@
         self.agent.handle_unreadable(fields, problem)
         self.drop()
 
-    def _crowded(self) -> bool:
+    def _is_congested(self) -> bool:
         return False  # reading notices confirms commands; if both ends stopped reading, they would deadlock
 
     def input_ended(self) -> None:
@@ -94,7 +94,9 @@
         self.module = module
         self.counters = module.counters
         self.link_actor = LinkActor(self, "agent", module, LIMITS, address)
-        self.lost: Callable[[], None] = lambda: None  # called when no link could be opened for some time
+        self.on_unreachable: Callable[[], None] = lambda: (
+            None
+        )  # called when no link could be opened for some time
         self.gauges = gauges
         self.link: AgentLink | None = None
         self.runs = AgentRuns(module)
--- a/beechrock/program.py
+++ b/beechrock/program.py
@@ -102,16 +102,18 @@
         # Front ends use up to half of the descriptors; the agent, the ledger and SCGI share the rest.
         self.frames: FrameServer | None = None
         if configuration.listen:
-            self.frames = FrameServer(self.module, sockets * 5 // 8, customers=configuration.scgi is None)
+            self.frames = FrameServer(
+                self.module, sockets * 5 // 8, frames_name_tenants=configuration.scgi is None
+            )
         self.agent: Agent | None = None
         if configuration.agent:
             self.agent = Agent(self.module, configuration.gauges, configuration.agent)
-            self.module.able = self.agent.able
-            self.agent.lost = self.reload_if_changed
+            self.module.can_run = self.agent.able
+            self.agent.on_unreachable = self.reload_if_changed
         self.registry: Registry | None = None
         if configuration.registry:
             self.registry = Registry(
-                configuration.name, configuration.registry, self.counters, self.module.able
+                configuration.name, configuration.registry, self.counters, self.module.can_run
             )
         work: Work | None = self.agent
         if configuration.scgi is not None:
@@ -235,7 +237,7 @@
         self.servers.renew(meaning.upstreams)
         self.scgi.inventory = meaning
         if self.scgi.limits is not None:
-            self.scgi.limits.renew(meaning)
+            self.scgi.limits.apply_inventory(meaning)
         if self.frames is not None:
             self.frames.renew()
         return True
@@ -379,7 +381,7 @@
         return self.members is not None or bool(self.parts)
 
     def _may_exit(self) -> bool:
-        return self.handover is not None and self.handover.may_go()
+        return self.handover is not None and self.handover.may_exit()
 
     def _post_shutdown_request(self, remaining_s: float) -> None:
         self.module.post(ShutdownRequested(remaining_s, self.replaced))
--- a/beechrock/releases/part.py
+++ b/beechrock/releases/part.py
@@ -232,7 +232,7 @@
             self.settings.version,
             registered=mine is not None and mine.life == self.life,
             proved=mine is not None and mine.proved,
-            can_serve=bool(module.able()) and module.status.healthy and not by_hand and not serving.leaving,
+            can_serve=bool(module.can_run()) and module.status.healthy and not by_hand and not serving.leaving,
             connected=bool(self.agree.leader) and 2 * len(heard) >= len(self.names) - 1,
             open=self._open(),
             taken=module.table.counts.taken,
--- a/beechrock/replica/spending.py
+++ b/beechrock/replica/spending.py
@@ -66,7 +66,7 @@
         self.inventory_settings = inventory_settings
         return self._with_shares(now, inventory_settings)
 
-    def due(self, now: float, node: DecisionModule) -> api.Settings | None:
+    def changed_settings(self, now: float, node: DecisionModule) -> api.Settings | None:
         """Return new settings if any share has changed, else None. Called before each batch."""
         ended = self.holder.look(self.clock())
         if self.inventory_settings is None or not (
--- a/tests/edges/test_replies.py
+++ b/tests/edges/test_replies.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from beechrock.net.scgi_codec import replied_of
+from beechrock.net.scgi_codec import server_status
 
 
 @pytest.mark.parametrize(
@@ -20,4 +20,4 @@
 def test_a_failed_reply_of_another_node_is_not_taken_for_the_services(
     status: int, replied: str, steered: bool, found: int
 ) -> None:
-    assert replied_of(status, {"x-replied": replied} if replied else {}, steered) == found
+    assert server_status(status, {"x-replied": replied} if replied else {}, steered) == found
--- a/tests/net/test_time_slice.py
+++ b/tests/net/test_time_slice.py
@@ -48,10 +48,12 @@
         if not by_turns:
             for caller in callers:
                 caller.send(CHECK_2)
-        shut, conclude = FrameConnection.shut, FrameConnection.conclude
-        monkeypatch.setattr(FrameConnection, "shut", lambda peer: (ends(peer), shut(peer))[1])
+        close_if_idle, close_now = FrameConnection.close_if_idle, FrameConnection.close_now
         monkeypatch.setattr(
-            FrameConnection, "conclude", lambda peer, *a, **k: (ends(peer), conclude(peer, *a, **k))[1]
+            FrameConnection, "close_if_idle", lambda peer: (ends(peer), close_if_idle(peer))[1]
+        )
+        monkeypatch.setattr(
+            FrameConnection, "close_now", lambda peer, *a, **k: (ends(peer), close_now(peer, *a, **k))[1]
         )
         monkeypatch.setattr(TimeSlice, "renew", renew)
         now = asyncio.get_running_loop().time()
--- a/tests/replica/test_told.py
+++ b/tests/replica/test_told.py
@@ -68,7 +68,7 @@
     def request(self) -> bool:
         """Decide a batch with one request, after updating the shares; return whether it was accepted."""
         events: list[api.Event] = []
-        if (parted := self.spending.due(self.now, self.node)) is not None:
+        if (parted := self.spending.changed_settings(self.now, self.node)) is not None:
             events.append(api.SettingsChanged(parted))
         self.index += 1
         ident = self.index
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -92,7 +92,7 @@
         assert agent is not None
         ends = [("PASS", "00"), ("FAIL", "01"), ("clock 3.1", "01"), ("g break", "01")]
         for stream, (end, code) in enumerate(ends, 2):
-            stand.program.module.status.stored = False
+            stand.program.module.status.cached = False
             await stand.play(ask % stream + '\ng ... "\\r\\n"')
             [tag] = agent.checks.reports
             # Without a result from the agent, a time limit ends the check, and so does a break of the link.
@@ -169,7 +169,7 @@
         assert frames is not None
         slow, stuck = (FrameConnection(frames) for _ in range(2))
         for peer in (slow, stuck):
-            peer.uses = 1
+            peer.messages_received = 1
             peer.post(Reply(CHECKED))
             frames.peers.add(peer)
         for _ in range(UNREAD_SWEEPS + 2):
--- a/tests/test_inventory_life.py
+++ b/tests/test_inventory_life.py
@@ -255,8 +255,8 @@
 def test_a_removed_server_drains_and_a_removed_service_keeps_its_servers() -> None:
     one, two, three = (("h", port) for port in (1, 2, 3))
     servers = Servers({"s": (one, two), "t": (two,)})
-    servers.began(one)
-    servers.began(two)
+    servers.on_run_started(one)
+    servers.on_run_started(two)
     servers.renew({"s": (three,)})
     assert servers.choose("s") == [three]
     assert servers.choose("t") == [two]
@@ -265,7 +265,7 @@
         ServerState.DRAINING,
         ServerState.SERVING,
     ]
-    servers.ended(one)
+    servers.on_run_ended(one)
     assert servers.state(one) is None and servers.draining() == [two]
     servers.renew({"s": (three, one), "t": (one,)})
     assert servers.choose("t") == [one] and servers.state(one) is ServerState.SERVING
@@ -274,16 +274,16 @@
 def test_a_server_taken_out_stays_out_over_a_reload_and_finishes_its_runs() -> None:
     one, two = (("h", port) for port in (1, 2))
     servers = Servers({"s": (one, two), "t": (one,)})
-    servers.began(one)
-    servers.out = frozenset({one})
+    servers.on_run_started(one)
+    servers.taken_out = frozenset({one})
     servers.renew({"s": (one, two), "t": (one,)})
     assert servers.choose("s") == [two] and servers.choose("t") == [] and servers.listed("t") == (one,)
     assert servers.state(one) is ServerState.DRAINING and servers.draining() == [one]
     servers.renew({"s": (one, two)})
     assert servers.choose("t") == []  # Requests of a removed service also avoid a server that is out
-    servers.ended(one)
+    servers.on_run_ended(one)
     assert servers.state(one) is None and servers.draining() == []
-    servers.out = frozenset()
+    servers.taken_out = frozenset()
     assert servers.choose("s") == [one, two] and servers.choose("t") == [one]
 
 
