--- a/beechrock/releases/part.py
+++ b/beechrock/releases/part.py
@@ -221,7 +221,7 @@
         fence = permit.fence if permit is not None else 0
         heard = [peer for peer in self.heard.recent_statuses(self.clock()) if peer != self.name]
         module = self.context.module
-        by_hand = self.by_hand if self.node.drained else serving.failed
+        manual = self.by_hand if self.node.drained else serving.failed
         return Facts(
             fence,
             permit.for_s if permit is not None else 0.0,
@@ -232,7 +232,7 @@
             self.settings.version,
             registered=mine is not None and mine.life == self.life,
             proved=mine is not None and mine.proved,
-            can_serve=bool(module.can_run()) and module.status.healthy and not by_hand and not serving.leaving,
+            can_serve=bool(module.can_run()) and module.status.healthy and not manual and not serving.leaving,
             connected=bool(self.agree.leader) and 2 * len(heard) >= len(self.names) - 1,
             open=self._open(),
             taken=module.table.counts.taken,
