--- a/beechrock/core/clock_offset.py
+++ b/beechrock/core/clock_offset.py
@@ -61,7 +61,7 @@
     begins: float  # last reading before it, since which its offset may have applied
     first_seen: float
     last_seen: float
-    ends: float = math.inf  # first reading after it
+    ends: float = math.inf  # steady time (s) of the first clock reading in the next segment; inf: none yet
     stepped: bool = False  # whether it began with a step, not by slewing
 
 
@@ -104,7 +104,9 @@
             born = in_time[0] if in_time else births[0]
             return Birth(born, born - births[0], births[-1] - born)
         if any(segment.stepped and segment.first_seen >= oldest for segment in self.segments):
-            # A gap, e.g. a pause of the process, may have contained two steps, with an unseen offset between.
+            # A step of the wall clock was seen since ``oldest``. Between two clock readings, e.g. while the
+            # process was paused, there may have been two steps: a stamp made between them may fit no
+            # segment's offset. So take this stamp to be made in the gap before the latest segment.
             return self._born_in_gap(self.segments[-1].begins, now, oldest, give_up_s)
         # A step may be reversed before any reading shows it: a stamp made between fits no offset, but is not
         # malformed.
@@ -117,7 +119,12 @@
 
     @staticmethod
     def _born_in_gap(begins: float, now: float, oldest: float, give_up_s: float) -> Birth:
-        """Return the birth of a request stamped in a gap from ``begins`` on, by an offset never seen."""
+        """Return the birth of a request whose stamp fits no segment's offset.
+
+        The stamp is taken to be made between two clock readings, of which ``begins`` is the first. The birth
+        is ``begins``, or ``now`` if the due time, ``give_up_s`` after ``begins``, has passed. Its uncertainty
+        covers ``oldest`` to ``now``. Times are in steady seconds.
+        """
         born = begins if now - begins < give_up_s else now
         return Birth(born, born - oldest, now - born)
 
--- a/beechrock/limits/gate.py
+++ b/beechrock/limits/gate.py
@@ -53,7 +53,7 @@
     over_share: int = 0  # admitted beyond its fair share or its budget's soft limit
     ran: int = 0
     refunded: int = 0  # admitted, but never ran
-    cost_s: float = 0.0  # seconds of work of its runs
+    cost_s: float = 0.0  # total elapsed seconds of the runs that ``ran`` counts
     rejections: Counter[RejectReason] = field(default_factory=Counter)
 
 
--- a/beechrock/limits/places.py
+++ b/beechrock/limits/places.py
@@ -17,7 +17,7 @@
     """A connection that counts for a team."""
 
     def is_silent(self) -> bool:
-        """Return whether not a byte of it was read."""
+        """Return whether no byte sent on this connection has been read yet; some may wait in the kernel."""
 
 
 C = TypeVar("C", bound=HeldConnection)
--- a/beechrock/net/listener.py
+++ b/beechrock/net/listener.py
@@ -301,7 +301,8 @@
     held back until the previous one is acknowledged comes late, and is lost if the connection is reset.
     """
     if connection.family != socket.AF_UNIX:
-        with contextlib.suppress(OSError):  # the connection works without it, with delayed answers
+        # If TCP_NODELAY can't be set, the connection is used anyway: its small answers may then be delayed.
+        with contextlib.suppress(OSError):
             connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
--- a/beechrock/policy/slow_start.py
+++ b/beechrock/policy/slow_start.py
@@ -38,10 +38,15 @@
 
 
 def max_launches(settings: api.Settings, share: float, served: float) -> float:
-    """Return the maximum number of runs of mean work in a window, given the speed and the work served in it.
+    """Return the maximum launches of a cold node in one overload window, in requests of mean work.
 
-    The allowance drops where N reaches ``MANY_REQUESTS``. N may be higher than the known lower bound, so the
-    smaller of both allowances applies.
+    ``share``: guaranteed share of the node's full speed at the window's start; ``served``: the window's
+    launches that ended with success, either their number or their total work relative to the mean; the result
+    limits that same quantity.
+
+    The rule limits the launches to an expected number of requests plus an allowance for chance, which drops
+    where ``MANY_REQUESTS`` are expected. Only a lower bound of that number is known (``expected``). While it
+    is below ``MANY_REQUESTS``, the true number may be above, so the lower of both limits applies.
     """
     work = (settings.overload_multiple or UNBOUNDED_MULTIPLE) * share * served
     expected = max(max_survivable_runs(settings, share), work)
