--- a/benchmarks/replica.py
+++ b/benchmarks/replica.py
@@ -86,7 +86,7 @@
     newcomer.forgot = newcomer.catchup.forgot = True
     for core in cores:
         core.repair_s = 1e9
-    said, took, spent = exchange(cores, lambda: newcomer.catchup.counts, 10_000)
+    said, took, spent = exchange(cores, lambda: newcomer.catchup.whole, 10_000)
     same = newcomer.table.sums.root == giver.table.sums.root
     part = spent[0] / took
     return (
@@ -105,7 +105,7 @@
     for n in range(10):
         cores[n % 2].table.own("learned", f"x/{n * (count // 11)}", 2, b"other")
     cores[0].writes.clear()
-    said, _, _ = exchange(cores, lambda: all(core.catchup.counts for core in cores), 100)
+    said, _, _ = exchange(cores, lambda: all(core.catchup.whole for core in cores), 100)
     same = cores[0].table.sums.root == cores[1].table.sums.root
     return (f"repair of 10 among {count}: {said} bytes, equal: {same}", same and said < MOST_REPAIR)
 
