--- a/tests/edges/test_modules.py
+++ b/tests/edges/test_modules.py
@@ -348,5 +348,5 @@
     root = tmp_path / "inventory.yaml"
     root.write_text(INVENTORY.replace("TERMS", TERMS) % (1, 1, 2))
     plain = model.load(root)
-    loaded = reader._meant(ujson.loads(ujson.dumps(reader._told(plain))))
+    loaded = reader._decoded(ujson.loads(ujson.dumps(reader._encoded(plain))))
     assert plain.when_cut and loaded.when_cut == plain.when_cut and loaded.differing == plain.differing
