--- a/beechrock/core/idempotency.py
+++ b/beechrock/core/idempotency.py
@@ -60,12 +60,12 @@
             None,
         )
 
-    def knows(self, route: str, nonce: str, born: float) -> bool:
+    def is_repeat(self, route: str, nonce: str, born: float) -> bool:
         """Return whether a request with this key, born at ``born``, would be a repeat."""
         entry = self._entries.get((route, nonce))
         return entry is not None and born <= entry.until + SLACK_S
 
-    def keep(self, request: Request, until: float, now: float) -> bool:
+    def remember(self, request: Request, until: float, now: float) -> bool:
         """Remember a request; return False if no room can be made, or if its key may have run already.
 
         A full table first drops lingering entries, whose windows have ended. An entry that is replaced goes
@@ -91,7 +91,7 @@
         return True
 
     def forget(self, request: Request) -> None:
-        """Drop this request's entry; if it had replaced another one, that one becomes current again."""
+        """Drop this request's entry; if it had replaced another entry, that becomes current again."""
         key = self.key(request)
         entry = self._entries.get(key) if key else None
         if key is None or entry is None:
@@ -132,7 +132,7 @@
         return list(self._replaced.get(key, ())) if key is not None else []
 
     def replaced_entries(self) -> list[Entry]:
-        """Return all replaced entries, those of one key with the newest last."""
+        """Return all replaced entries; the entries of one key are ordered from oldest to newest."""
         return list(chain.from_iterable(self._replaced.values()))
 
     def sweep(self, now: float) -> None:
@@ -148,7 +148,7 @@
         """Return whether a request born then may repeat a run whose entry was dropped to make room."""
         return born <= self.dropped_until + SLACK_S
 
-    def doubt_ends(self) -> float:
+    def in_doubt_until(self) -> float:
         """Return the time after which no request can be in doubt any more."""
         return self.dropped_until + SLACK_S + self.linger_s
 
--- a/beechrock/core/timer_wheel.py
+++ b/beechrock/core/timer_wheel.py
@@ -25,7 +25,7 @@
 
 
 class TimerWheel:
-    """Timers in slots by their due tick modulo ``SLOTS``; a slot also holds those of later turns."""
+    """Timers in slots by due tick modulo ``SLOTS``; a slot also holds timers due in later turns."""
 
     def __init__(self, tick_s: float, now: float) -> None:
         self.tick_s = tick_s
@@ -81,7 +81,7 @@
         self._slots = [[timer for timer in slot if timer.action is not _no_action] for slot in self._slots]
         self._armed = sum(len(slot) for slot in self._slots)
 
-    def worked_off(self, now: float) -> bool:
+    def has_fired_until(self, now: float) -> bool:
         """Return whether all timers due by ``now`` have fired."""
         return self._last_tick >= int(now / self.tick_s)
 
--- a/beechrock/edges/part.py
+++ b/beechrock/edges/part.py
@@ -1,7 +1,7 @@
-"""The actor round an edge's member and upstream: turns of events, a sync, then what they ask for. Thin.
+"""The actor of an edge's member and of upstream: it handles events in turns. Thin.
 
-All that came in since the last turn is handed to the pure parts, then the stores are synced in a thread, once
-for the whole turn, and only then answers, messages and runs go out.
+In each turn the events since the last one are passed to the pure modules, then the stores are synced in a
+thread, once for the whole turn, and only then answers, messages and runs go out.
 """
 
 import asyncio
@@ -14,10 +14,10 @@
 from beechrock.edges.actions import Accepted, Action, Done, Noted, Run, Send, Turned
 from beechrock.edges.errors import EdgeError, EdgeSettingError, UnknownReceiptError
 from beechrock.edges.member import MARKS, Member
-from beechrock.edges.recovering import ROOM_BYTES, STOPPED_DO, Disk, Recovering, heals, no_room
+from beechrock.edges.recovering import CHECK_BYTES, STOPPED_DO, Disk, Recovering, heals, no_room
 from beechrock.edges.runs import Runs
 from beechrock.edges.told import Told
-from beechrock.edges.words import LEAST_FENCE, Offer, Settle, StraightDone, pack, unpack
+from beechrock.edges.words import MIN_FENCE, Offer, Settle, StraightDone, pack, unpack
 from beechrock.errors import OperatorError
 from beechrock.net.scgi import Reply
 from beechrock.net.scgi_codec import ScgiError
@@ -33,13 +33,13 @@
 
 CHANNEL = "edges"
 TICK_S = 0.02
-MOST_EVENTS = 20_000  # that wait for a turn; messages beyond it are dropped, their senders send again
-ROOM = "edges.room"  # a look at the disk writes this file, and takes it away again
+MAX_EVENTS = 20_000  # Maximum number of waiting events; further messages are dropped and sent again
+CHECK_FILE = "edges.room"  # File that a disk check writes and removes again
 Event = Callable[[float, float], list[Action]]
 
 
 class EdgesPart:
-    """``member``: this node is one of an edge; ``runs``: it is upstream. One of them, or both."""
+    """The edges on one node: ``member`` if the node belongs to an edge, ``runs`` if it is upstream."""
 
     def __init__(self, told: Told, context: Context) -> None:
         self.told, self.context, self.name = told, context, context.name
@@ -66,7 +66,7 @@
         folder = self.talk.told.state
         with at_start(folder):
             at = self.files = state_folder.open_folder(folder)
-            at.remove(ROOM)
+            at.remove(CHECK_FILE)
         self.member: Member | None = None
         self.runs: Runs | None = None
         if told.at_edge:
@@ -74,14 +74,14 @@
             self.member = Member(self, told, store, Witness(at, "edge.witness"))
         if told.upstream_here:
             self.runs = Runs(self, Store.open(at, "marks", Runs.rules(told.most_bytes)), at)
-        self.stores = [one.store for one in (self.member, self.runs) if one is not None]
-        self.kept = [*self.stores, *([self.runs.named.fences] if self.runs and self.runs.named else [])]
+        self.stores = [owner.store for owner in (self.member, self.runs) if owner is not None]
+        self.all_stores = [*self.stores, *([self.runs.named.fences] if self.runs and self.runs.named else [])]
         self.talk.on(CHANNEL, self._heard)
         context.program.scgi.edges = self
         context.views["/edges"] = self.view
         self.named = self.runs.named if self.runs is not None else None
         if self.member is not None or self.named is not None:
-            context.calls["/edges/release"] = lambda told: self._release(told.get("receipt", ""))
+            context.calls["/edges/release"] = lambda query: self._release(query.get("receipt", ""))
         if self.member is not None:
             member = self.member
             if self.duties is not None:
@@ -89,17 +89,17 @@
 
                 hall = self.talk.hall
                 self.duties.declare(Duty(f"edge:{told.edge}", Kind.HALL, hall, (hall,)), member)
-            context.calls["/edges/discard"] = lambda told: member.order(told.get("receipt", ""), "discard")
-            context.calls["/edges/state"] = lambda told: member.state(told.get("receipt", ""))
+            context.calls["/edges/discard"] = lambda query: member.order(query.get("receipt", ""), "discard")
+            context.calls["/edges/state"] = lambda query: member.state(query.get("receipt", ""))
 
     @property
     def broken(self) -> bool:
-        """Stopped for good."""
+        """Whether this part has stopped until the node is restarted."""
         return self.disk.state is Disk.STOPPED
 
     @property
     def inventory(self) -> "Inventory":
-        """That in force now."""
+        """The inventory in force."""
         found: Inventory = self.context.program.meaning
         return found
 
@@ -107,25 +107,25 @@
         tenants = self.module.settings.tenants
         return tenants[request.tenant].name if request.tenant is not None else ""
 
-    # --- what comes in
+    # --- incoming requests and messages
 
-    def takes(self, request: Request, told: dict[str, str], say: Callable[[Reply], None]) -> bool:
-        """Whether this part answers a request. Broken, it takes part in nothing, and the service goes on."""
+    def takes(self, request: Request, headers: dict[str, str], send_reply: Callable[[Reply], None]) -> bool:
+        """Return whether this part answers a request; after a stop the service goes on without it."""
         if self.broken:
             terms = self.inventory.when_cut.get((self.team(request), request.route), {})
-            if terms.get("when_cut") == "queue":  # past the marks it could run twice
+            if terms.get("when_cut") == "queue":  # Without the marks it could run twice
                 raise ScgiError(503, "this node's queue has failed")
             return False
         if self.member is not None:
-            return self.member.takes(request, told, say)
-        return self.runs is not None and self.runs.takes(request, told, say)
+            return self.member.takes(request, headers, send_reply)
+        return self.runs is not None and self.runs.takes(request, headers, send_reply)
 
     def post(self, event: Event) -> None:
         self.events.append(event)
         self.wake.set()
 
     def _heard(self, sender: str, life: int, message: bytes) -> None:
-        if len(self.events) > MOST_EVENTS:
+        if len(self.events) > MAX_EVENTS:
             self.counters.add("edges.dropped")
             return
         try:
@@ -137,7 +137,7 @@
         def turn(now: float, now_s: float) -> list[Action]:
             out: list[Action] = []
             if self.member is not None:
-                self.member.heard(sender, word)
+                self.member.check_mark(sender, word)
                 out += self.member.edge.hear(now, now_s, sender, word)
             if self.runs is not None:
                 self.runs.hear(now, now_s, sender, word)
@@ -148,7 +148,7 @@
     # --- turns
 
     async def listen(self) -> None:
-        """Nothing of its own: it talks over the fleet's links."""
+        """Do nothing: this part uses the fleet's links."""
 
     async def run(self) -> None:
         while not self.broken:
@@ -158,10 +158,10 @@
             await self.step()
 
     async def step(self) -> None:
-        """A look at the disk, if it is time for one, and a turn."""
+        """Check the disk if a check is due, then take a turn."""
         try:
             if self.disk.due(clocks.mono()):
-                await self._look()
+                await self._check_disk()
             await self._turn()
         except (OSError, OperatorError) as error:
             if heals(error):
@@ -177,43 +177,46 @@
         if self.runs is not None:
             self.runs.begin()
         for event in events:
-            self._unless_full(now, lambda event=event: out.extend(event(now, now_s)))  # type: ignore[misc]
+            self._note_disk_errors(now, lambda event=event: out.extend(event(now, now_s)))  # type: ignore[misc]
         if (member := self.member) is not None:
             member.follow(self.inventory)
-            # Seen: a read that failed as a write was to be offered stopped the queue for good.
-            self._unless_full(now, lambda: out.extend(member.edge.duty(self._fence(), now)))
-            self._unless_full(now, lambda: out.extend(member.edge.tick(now, now_s)))
-            self._unless_full(now, member.proven)
-            if (met := member.edge.copies.met) is not None:
-                member.edge.copies.met = None
+            # A failed read of a write that was to be offered once stopped the queue for good.
+            self._note_disk_errors(now, lambda: out.extend(member.edge.duty(self._fence(), now)))
+            self._note_disk_errors(now, lambda: out.extend(member.edge.tick(now, now_s)))
+            self._note_disk_errors(now, member.trust_proven)
+            if (met := member.edge.copies.disk_error) is not None:
+                member.edge.copies.disk_error = None
                 self.fell(now, met)
         if self.named is not None and self.runs is not None:
             self.runs.expire(now)
-            self._unless_full(now, self._before)
+            self._note_disk_errors(now, self._before_sync)
         await self._synced(now)
         if self.runs is not None:
-            out += self.runs.wrote()
+            out += self.runs.finish_turn()
         if self.named is not None and self.disk.running:
-            out += self.named.after()
-        for action in out if member is None else member.promised(out):
+            out += self.named.after_sync()
+        for action in out if member is None else member.filter_promises(out):
             self._carry_out(action)
         if member is not None and not member.store.failed:
             member.edge.compact()
         if self.runs is not None and self.disk.running:
             (self.named or self.runs.upstream).compact()
-        for store in self.kept:  # a snapshot or a fence that the disk did not take
+        for store in self.all_stores:  # A snapshot or a fence may have failed to be written
             if store.failed:
                 self.fell(now, StoreFailedError(store.failed, where=str(self.files.folder / store.prefix)))
 
     async def _synced(self, now: float) -> None:
-        """All that this turn wrote, or nothing of it counts: see ``Runs.fell`` and ``Member.promised``."""
+        """Sync the records of this turn; if that fails, none of them counts.
+
+        See ``Runs.fell`` and ``Member.filter_promises``.
+        """
         stores = [
             store
             for store in self.stores
             if not store.failed
             and store.synced < store.last
             and (self.runs is None or store is not self.runs.store or not self.runs.fallen)
-        ]  # what is to be taken back is not made durable
+        ]  # Records that are to be cut again are not made durable
         if not stores:
             return
         for store, error in await asyncio.to_thread(self._sync, stores):
@@ -221,19 +224,19 @@
                 self.runs.fell(now, error)
             else:
                 self.fell(now, error)
-        if self.member is not None:  # what others remember of these folders
+        if self.member is not None:  # Other nodes remember the marks of these folders
             self.member.edge.folder = self.member.store.mark().to_bytes()
         if self.runs is not None and self.named is None:
             self.runs.upstream.folder = self.runs.store.mark().to_bytes()
 
-    def _before(self) -> None:
-        """While this disk syncs, those of the others that are named do."""
+    def _before_sync(self) -> None:
+        """Send new records to the other named nodes, so that their disks sync while this one does."""
         if self.named is not None and self.disk.running:
-            for action in self.named.before(clocks.mono()):
+            for action in self.named.before_sync(clocks.mono()):
                 self._carry_out(action)
 
     def _sync(self, stores: list[Store]) -> list[tuple[Store, StoreFailedError]]:
-        """Those that failed."""
+        """Sync stores, and return those that failed with their errors."""
         failed = []
         for store in stores:
             try:
@@ -242,11 +245,14 @@
                 failed.append((store, error))
         return failed
 
-    # --- a disk that is full, or fails
+    # --- full or failing disks
+
+    def _note_disk_errors(self, now: float, do: Callable[[], None]) -> None:
+        """Call ``do`` and note a disk error that can heal, instead of raising it.
 
-    def _unless_full(self, now: float, do: Callable[[], None]) -> None:
-        """Writes and copies bear a disk that takes nothing; here it is an operator's word, what is remembered
-        of others' folders, or a read."""
+        Writes and copies handle a full disk themselves. Here it is an operator's order, the mark of another
+        folder, or a read that fails.
+        """
         try:
             do()
         except (OSError, OperatorError) as error:
@@ -255,50 +261,53 @@
             self.fell(now, error)
 
     def fell(self, now: float, error: Exception) -> None:
-        """Nothing that needs the disk is taken until a look finds that it works."""
+        """Refuse everything that needs the disk until a check finds that it works again."""
         if not self.disk.fell(now, error):
             return
         name = "edges.disk_full" if no_room(error) else "edges.disk_failing"
-        logs.event(name, "warning", what=self.disk.why, wait_s=self.disk.wait_s, do=self.disk.do)
+        logs.event(name, "warning", what=self.disk.reason, wait_s=self.disk.wait_s, do=self.disk.do)
         self.counters.add(name)
-        self._told()
+        self._update_copies()
         if self.runs is not None:
-            self.runs.hold()
+            self.runs.fail_callers()
 
-    def _told(self) -> None:
+    def _update_copies(self) -> None:
         if self.member is not None:
             copies = self.member.edge.copies
-            copies.full, copies.disk = not self.disk.running, self.disk.said
+            copies.full, copies.disk = not self.disk.running, self.disk.message
 
-    async def _look(self) -> None:
+    async def _check_disk(self) -> None:
         met: Exception | None = None
         try:
-            await asyncio.to_thread(self._room)
-            # Seen: after a sync that failed the next one says yes to what the kernel had dropped.
-            for store in self.kept:
+            await asyncio.to_thread(self._write_check_file)
+            # After a failed sync the next one succeeds though the kernel has dropped the data, so all records
+            # that are not known to be durable are rewritten.
+            for store in self.all_stores:
                 await asyncio.to_thread(store.rewrite)
             if self.runs is not None:
-                await self.runs.again()
+                await self.runs.reload()
         except (OSError, OperatorError) as error:
             if not heals(error):
                 raise
             met = error
         self.disk.tried(clocks.mono(), met is None, met)
-        self._told()
+        self._update_copies()
         if met is None:
             logs.event("edges.disk_room", looks=self.disk.looks)
 
-    def _room(self) -> None:
-        """In a thread. OSError where the disk takes nothing yet."""
+    def _write_check_file(self) -> None:
+        """Write, sync and remove a test file, in a thread.
+
+        Raises OSError if the disk takes no writes yet.
+        """
         try:
-            self.files.write(ROOM, 0, bytes(ROOM_BYTES))
-            self.files.sync(ROOM)
+            self.files.write(CHECK_FILE, 0, bytes(CHECK_BYTES))
+            self.files.sync(CHECK_FILE)
         finally:
-            self.files.remove(ROOM)
+            self.files.remove(CHECK_FILE)
 
     def _stop(self, error: OperatorError) -> None:
-        """It takes no part any more; callers that wait hear that their write failed, and may have been
-        kept."""
+        """Stop this part for good; waiting callers are told that their write failed and may still run."""
         error.do = error.do or STOPPED_DO
         self.disk.stop(clocks.mono(), error)
         logs.event("edges.stopped", "error", **error.fields())
@@ -307,7 +316,7 @@
             for ref in list(self.member.callers):
                 self.member.answer(Done(ref, "failed", b"this node's queue has failed; it may still run\n"))
         if self.runs is not None:
-            self.runs.hold()
+            self.runs.fail_callers()
 
     def _carry_out(self, action: Action) -> None:
         match action:
@@ -319,13 +328,15 @@
                     and (self.runs.answer(word))
                 ):
                     return
-                # The sync may have taken long: asked again right before the effect, as a lease may be over.
+                # The sync may have taken long and the lease may have expired, so the fence is checked again.
                 if isinstance(word, Offer | Settle) and self._fence() != word.fence:
                     self.counters.add("edges.offers_kept_back")
                     return
-                self.talk.send(to, CHANNEL, pack(self.named.dress(word) if self.named is not None else word))
+                self.talk.send(
+                    to, CHANNEL, pack(self.named.with_mark(word) if self.named is not None else word)
+                )
             case Run() if self.named is not None and not self.named.may():
-                self.named.kept_back(action)
+                self.named.report_not_run(action)
             case Run() if self.runs is not None:
                 self.runs.run(action)
             case Noted() if self.runs is not None:
@@ -337,11 +348,11 @@
         if self.duties is not None:
             found: int | None = self.duties.may(f"edge:{self.told.edge}")
             return found
-        # Under every index of a log, so that a fleet may come to have duties later.
-        return int(self.talk.life) + LEAST_FENCE if self.told.replayer == self.name else None
+        # Fences without duties are below every log index, so that a fleet may enable duties later.
+        return int(self.talk.life) + MIN_FENCE if self.told.replayer == self.name else None
 
     async def leave(self) -> None:
-        """What is queued stays on disk; the duty's own part gives the duty back."""
+        """Do nothing: queued writes stay on disk, and the duties part gives the duty back."""
 
     def close(self) -> None:
         for store in self.stores:
@@ -373,6 +384,9 @@
 
 
 def begin(told: object, context: Context) -> EdgesPart:
-    """EdgeSettingError; StoreDamagedError and the like for the folder."""
+    """Create the part.
+
+    Raises EdgeSettingError, or StoreDamagedError and similar errors if the state folder cannot be used.
+    """
     assert isinstance(told, Told)
     return EdgesPart(told, context)
--- a/beechrock/handover/node.py
+++ b/beechrock/handover/node.py
@@ -154,8 +154,8 @@
     def _on_drain_command(self, peer: ChannelPeer, drained: bool) -> None:
         """Apply an operator's drain command that was given at the other process.
 
-        If two commands cross, each process would keep the other's for ever. The older process therefore sends
-        back what it has applied, so that both end with its state.
+        If two commands cross, each process would keep the other's state for ever. The older process therefore
+        sends back the state that it has applied, so that both end with this state.
         """
         self.on_drain_command(drained)
         if peer.is_successor:
@@ -179,7 +179,7 @@
         lifecycle = self.lifecycle
         served = lifecycle.serving
         lifecycle.on_time(now_s)
-        if not lifecycle.able_to_run and self.module.able():
+        if not lifecycle.able_to_run and self.module.can_run():
             lifecycle.on_able()
         if lifecycle.predecessor is PredecessorStage.INCOMPATIBLE:
             self.predecessor.mark_incompatible()
@@ -224,7 +224,7 @@
             self.lifecycle.on_successor_ready()
         return self.lifecycle.replaced
 
-    def may_go(self) -> bool:
+    def may_exit(self) -> bool:
         """Return whether this process may exit: the other one serves the node, and no work is left here."""
         peer = self.links.current
         return (
--- a/beechrock/handover/predecessor.py
+++ b/beechrock/handover/predecessor.py
@@ -76,7 +76,7 @@
         self.ready_sent = False
 
     def on_hello(self, peer: ChannelPeer, understood: bool) -> None:
-        """Process the predecessor's hello; ``understood`` says whether it has this version."""
+        """Process the predecessor's hello; ``understood`` is true if both processes' versions are equal."""
         self._parts.lifecycle.on_hello(self._parts.module.clock(), understood)
         if not understood:
             peer.incompatible = True
@@ -97,12 +97,12 @@
         """Run no new keyed request, as the predecessor's messages cannot be understood."""
         ownership = self._parts.keys.ownership
         if ownership.role is not PeerRole.INCOMPATIBLE:
-            log.warning("handover: the predecessor cannot be understood; keyed requests are rejected")
+            log.warning("handover: the predecessor cannot be understood; keyed requests are turned away")
             ownership.role = PeerRole.INCOMPATIBLE
             self._parts.on_change()
 
     def announce_ready(self) -> None:
-        """Tell the predecessor, once per channel, that this process accepts connections."""
+        """Notify the predecessor, once per channel, that this process accepts connections."""
         lifecycle = self._parts.lifecycle
         peer = self._parts.links.predecessor
         if lifecycle.predecessor is not PredecessorStage.SYNCED or not lifecycle.serving:
--- a/beechrock/lab/pair.py
+++ b/beechrock/lab/pair.py
@@ -18,7 +18,17 @@
 import ujson
 
 from beechrock.lab.errors import NotStartedError
-from beechrock.net.frame_codec import ANSWER, CHECK, HEAD, NO_MORE, REQUEST, SERVED, fields, fields_of, frame
+from beechrock.net.frame_codec import (
+    ANSWER,
+    CHECK,
+    HEAD,
+    NO_MORE,
+    REQUEST,
+    SERVED,
+    decode_fields,
+    encode_fields,
+    encode_frame,
+)
 
 CORES, WORK_S = 4, 0.02
 WAIT_S = 30.0  # only a process that does nothing at all takes so long
@@ -188,14 +198,14 @@
                 told["nonce"] = f"{number:032x}"
             self.open[stream] = waiting = asyncio.get_running_loop().create_future()
             start = time.monotonic()
-            writer.write(frame(REQUEST, stream, fields(told) + body))
+            writer.write(encode_frame(REQUEST, stream, encode_fields(told) + body))
         try:
             payload = await asyncio.wait_for(waiting, WAIT_S)
         except (TimeoutError, ConnectionError):
             self.callers.ends["lost"] += 1
             return
         self.callers.took.append((start, keyed, time.monotonic() - start))
-        _, result = fields_of(payload[1:])
+        _, result = decode_fields(payload[1:])
         if payload[0] == SERVED:
             self.callers.ends["served" if result == b"did " + body else "wrong"] += 1
         else:
@@ -322,7 +332,7 @@
 async def check(address: tuple[str, int]) -> bool:
     """A health check of the platform's kind, on a connection of its own."""
     reader, writer = await asyncio.open_connection(*address)
-    writer.write(frame(CHECK, 1, fields({})))
+    writer.write(encode_frame(CHECK, 1, encode_fields({})))
     length, _, _ = HEAD.unpack(await reader.readexactly(HEAD.size))
     payload = await reader.readexactly(length - 5)
     writer.close()
--- a/beechrock/limits/part.py
+++ b/beechrock/limits/part.py
@@ -40,7 +40,7 @@
 )
 DEFAULT_OVER_WEIGHT = 0.25  # factor on the worth of a request beyond its share, where the settings give none
 BATCH_S = 0.005  # budgets that need a higher ceiling within this time are written with one sync
-DISK_RETRY_S = 5.0  # seconds until the next write after one that failed
+DISK_RETRY_S = 5.0  # seconds from a failed write to the next attempt
 
 
 class Limits:
@@ -90,7 +90,7 @@
 
     def admit(self, contract: Contract, size: int) -> Allowed | ContractRejection:
         """Admit or reject a request before its body is read; an admitted one ends by ``Allowed.ended``."""
-        result = self.gate.ask(self.clock(), self.wall(), contract, size, clocks.wall())
+        result = self.gate.admit(self.clock(), self.wall(), contract, size, clocks.wall())
         if self.gate.near_ceiling:
             self.write_needed.set()
         if isinstance(result, RejectedRequest):
@@ -110,7 +110,7 @@
         )
 
     def connect(self, team: str, own: Iterable[C]) -> C | ContractRejection | None:
-        """Place one more connection of a team beside its ``own``; one that is returned is closed for it."""
+        """Place a team's new connection beside its ``own``; the caller closes a returned connection."""
         group = self.gate.terms.teams.get(team)
         if group is None:
             return None
@@ -162,11 +162,11 @@
         weight = settings.over_quota_weight if settings.over_quota_weight is not None else DEFAULT_OVER_WEIGHT
         return replace(settings, tenants=TENANTS, over_quota_weight=weight)
 
-    def due(self, now: float, node: Node) -> api.Settings | None:
+    def changed_settings(self, now: float, node: Node) -> api.Settings | None:
         """Return settings with the two tenants if the node has others, else None."""
         return None if node.settings.tenants is TENANTS else self.settings(now, node.settings)
 
-    def renew(self, meaning: "Inventory") -> None:
+    def apply_inventory(self, meaning: "Inventory") -> None:
         """Apply another generation of the inventory."""
         self.gate.change_terms(self.clock(), self.wall(), self._terms(meaning))
         if self.disk is not None:  # a team that was missing at the start continues with its spending
@@ -217,7 +217,7 @@
         pass
 
     def close(self) -> None:
-        """Write exactly what is spent, and close the disk."""
+        """Write the exact spent amounts, and close the disk."""
         if self.disk is None:
             return
         if self.journal.in_progress:
@@ -232,7 +232,7 @@
     # --- operators
 
     def view(self) -> object:
-        """Return what each team had and what it has left."""
+        """Return the usage and the remaining budget of each team."""
         wall, held, teams = self.wall(), self.context.program.scgi.held, {}
         for name, usage in self.gate.usage.items():
             balance = self.gate.balance(wall, name)
--- a/beechrock/net/connection_server.py
+++ b/beechrock/net/connection_server.py
@@ -22,8 +22,8 @@
 SWEEP_S = 0.5  # interval of the sweeps over the table
 DEPART_STEP_S = 0.004  # one tick of the module, which produces the answers that the shutdown waits for
 FAIR_BYTES = READ_CHUNK  # bytes read from each connection in the last pass before any is read further
-# Bytes that may be unread on a connection as the last pass begins: the kernel doubles the size of its buffer,
-# and asyncio holds two chunks.
+# Maximum unread bytes on a connection as the last pass begins: the kernel doubles the size of its buffer,
+# and asyncio buffers two chunks.
 MAX_LAST_BYTES = 2 * (RECEIVE_BUFFER + READ_CHUNK)
 LINGERING_DIVISOR = 16  # evicted connections that still hold a descriptor may number 1/16 of the table's size
 
@@ -54,19 +54,19 @@
         """Create the actor for a new connection."""
         raise NotImplementedError
 
-    def send_full(self, peer: P) -> None:
-        """Tell the peer that the table is full; each request on this connection is refused."""
+    def reject_full(self, peer: P) -> None:
+        """Notify the peer that the table is full; each request on this connection is refused."""
         raise NotImplementedError
 
-    def ended(self, peer: P) -> None:
+    def on_connection_ended(self, peer: P) -> None:
         """Cancel the open requests of a connection that has ended."""
         raise NotImplementedError
 
     def end_if_idle(self, peer: P) -> bool:
         """End a connection unless a request is open or input is unread. Returns whether it was ended."""
-        return peer.shut()
+        return peer.close_if_idle()
 
-    def look_at(self, peer: P, now: float) -> None:
+    def check_idle(self, peer: P, now: float) -> None:
         """End a connection that is idle or too slow; called for each connection at each sweep."""
 
     # Server methods.
@@ -105,7 +105,7 @@
             self.server.close()
             self.server = None
 
-    async def depart(self, cut_at: float, exit_at: float, end_at: float) -> None:
+    async def shut_down(self, cut_at: float, exit_at: float, end_at: float) -> None:
         """Stop accepting and end all connections, so that each complete request gets its answer.
 
         Until ``exit_at``, connections are ended by turns of the event loop; from ``cut_at`` on, open requests
@@ -174,8 +174,8 @@
     def _conclude_new(self, endpoint: DirectEndpoint, max_bytes: int) -> None:
         peer = self.peer()
         self.module.counters.add(f"intake.{self.where}_connections")
-        peer.conclude_on(endpoint, max_bytes, force=True)
-        self.ended(peer)
+        peer.close_now_on(endpoint, max_bytes, force=True)
+        self.on_connection_ended(peer)
 
     def _shut_all(self) -> None:
         """Answer pending input on all connections, and then end them in quick succession.
@@ -187,7 +187,7 @@
             peer.answer_unread(FAIR_BYTES)
         self._slice.renew()
         for peer in self.peers:
-            peer.shut()
+            peer.close_if_idle()
 
     def _conclude_peers(self, end_at: float) -> bool:
         """End all connections. Returns whether nothing is left to do on any of them.
@@ -199,12 +199,12 @@
         left: list[P] = []
         for peer in list(self.peers):
             self._slice.renew_if_used()
-            if not peer.conclude(FAIR_BYTES, force=False):
+            if not peer.close_now(FAIR_BYTES, force=False):
                 left.append(peer)
         unfinished = 0
         for peer in left:
             max_bytes = MAX_LAST_BYTES if loop.time() < end_at else 0
-            unfinished += not peer.conclude(max_bytes, force=True)
+            unfinished += not peer.close_now(max_bytes, force=True)
         return not unfinished
 
     def _end_idle_connections(self, cut: bool) -> None:
@@ -212,12 +212,14 @@
 
         With ``cut``, requests that are open or still arrive are answered at once, so that the rest can end.
         """
-        for peer in [peer for peer in self.peers if not peer.closing and (cut or not peer.begun())]:
+        for peer in [
+            peer for peer in self.peers if not peer.closing and (cut or not peer.has_partial_message())
+        ]:
             self._slice.renew_if_used()
             if not self.end_if_idle(peer) and cut:
                 peer.rejected = True
                 peer.answer_all()
-                peer.end()
+                peer.close_when_idle()
 
     def _relieve(self) -> None:
         """Evict the least useful connection, as accept(2) lacks a descriptor or memory for a new one."""
@@ -244,15 +246,15 @@
         if len(self.peers) >= self.max_connections and not self._evict_if_full():
             counters.add(f"intake.{self.where}_connections_beyond_limit")
             peer.rejected = True
-            self.send_full(peer)
+            self.reject_full(peer)
         self.peers.add(peer)
-        counters.top(f"intake.{self.where}_most_connections", len(self.peers))
+        counters.raise_max(f"intake.{self.where}_most_connections", len(self.peers))
         try:
             await peer.serve(reader, writer)
         finally:
             self.peers.discard(peer)
             self._lingering.pop(peer, None)
-            self.ended(peer)
+            self.on_connection_ended(peer)
 
     def _accept_budget(self, arriving: int) -> int:
         """Return how many connections may be accepted now; a rejected connection may be evicted for that."""
@@ -302,5 +304,5 @@
                 self.module.counters.add(f"intake.{self.where}_unread")
                 peer.drop()
             elif not (peer.closing or peer.ending):
-                self.look_at(peer, now)
+                self.check_idle(peer, now)
         self.module.timers.at(now + SWEEP_S, self._sweep)
--- a/beechrock/net/frame_codec.py
+++ b/beechrock/net/frame_codec.py
@@ -44,7 +44,7 @@
     route = ""
 
 
-def fields_of(data: bytes) -> tuple[dict[str, str], bytes]:
+def decode_fields(data: bytes) -> tuple[dict[str, str], bytes]:
     """Decode the fields at the start of ``data``; return them and the rest. Raises BadRequestError."""
     if not data:
         raise BadRequestError("no fields")
@@ -69,15 +69,15 @@
     return fields_by_name, data[at:]
 
 
-def fields(values: dict[str, str]) -> bytes:
-    """Encode fields in the format that ``fields_of`` decodes."""
+def encode_fields(values: dict[str, str]) -> bytes:
+    """Encode fields in the format that ``decode_fields`` decodes."""
     out = bytearray([len(values)])
     for name, value in values.items():
         out += bytes([len(name)]) + name.encode() + len(value).to_bytes(2, "big") + value.encode()
     return bytes(out)
 
 
-def frame(kind: int, stream: int, payload: bytes = b"") -> bytes:
+def encode_frame(kind: int, stream: int, payload: bytes = b"") -> bytes:
     """Encode a frame."""
     return HEAD.pack(MIN_LENGTH + len(payload), kind, stream) + payload
 
@@ -95,9 +95,9 @@
     def encode(self) -> bytes:
         """Encode the message as a frame."""
         if self.kind == NO_MORE:
-            return frame(NO_MORE, 0)
-        payload = bytes([self.code]) + fields(dict(self.values)) + self.body
-        return frame(self.kind, self.stream, payload)
+            return encode_frame(NO_MORE, 0)
+        payload = bytes([self.code]) + encode_fields(dict(self.values)) + self.body
+        return encode_frame(self.kind, self.stream, payload)
 
 
 def advice_fields(value: float | None) -> tuple[tuple[str, str], ...]:
--- a/beechrock/net/frame_connection.py
+++ b/beechrock/net/frame_connection.py
@@ -38,7 +38,7 @@
     BadRequestError,
     Reply,
     advice_fields,
-    fields_of,
+    decode_fields,
     parse_number,
     parse_patience_s,
 )
@@ -91,7 +91,7 @@
         self.module = front.module
         self.skipping = 0  # bytes left to skip of a frame that is too long
         self.bad = 0  # number of invalid requests so far
-        self.open: dict[int, Request | None] = {}  # by stream; None: a health check that waits for its work
+        self.open: dict[int, Request | None] = {}  # keyed by stream; None: a pending health check
         self.streams = UsedStreams()
         self.last_message_at = self.module.clock()
         self.silent = 0.0  # sweeps without a complete message, slow progress counting less
@@ -123,10 +123,10 @@
                 return
             self.inbox.skip(HEAD.size)
             payload = self.inbox.read(length - MIN_LENGTH)
-            self.uses += 1
+            self.messages_received += 1
             self.silent = 0.0
             self.last_message_at = self.module.clock()
-            self.back_at = 0.0
+            self.retry_at = 0.0
             self._handle_frame(kind, stream, payload)
 
     def _handle_frame(self, kind: int, stream: int, payload: bytes) -> None:
@@ -154,9 +154,9 @@
             self.counters.add("intake.frames_malformed")
             self.post(Reply(ANSWER, 0, FAILED, body=f"{self.bad} bad requests".encode()))
             self.post(Reply(NO_MORE))
-            self.end()
+            self.close_when_idle()
         elif self.bad == MAX_BAD_REQUESTS_UNREAD:  # a graceful close never completes if input keeps coming
-            self.finish()
+            self.close_when_answered()
 
     def _reject_too_long(self, kind: int, stream: int, length: int) -> None:
         if kind != REQUEST or not stream or not self.streams.mark_used(stream):
@@ -171,7 +171,7 @@
             self._reject_bad_request(stream, f"stream {stream} is that of a health check")
             return
         try:
-            request = self._parse_request(stream, *fields_of(payload))
+            request = self._parse_request(stream, *decode_fields(payload))
         except BadRequestError as error:
             if error.route:
                 self.module.table.counts.on_front_answer(error.route, Verdict.FAILED)
@@ -239,8 +239,8 @@
             answer = Answer(Verdict.FAILED, f"a result of {len(answer.body)} bytes".encode())
         if answer.retry_after_s:
             values += ((RETRY_AFTER_MS_FIELD, str(max(1, round(1000 * answer.retry_after_s)))),)
-            self.back_from = self.module.clock()
-            self.back_at = max(self.back_at, self.back_from + answer.retry_after_s)
+            self.refused_at = self.module.clock()
+            self.retry_at = max(self.retry_at, self.refused_at + answer.retry_after_s)
         if answer.no_retry:
             values += ((NO_RETRY_FIELD, TRUE),)
         if not self.post(Reply(ANSWER, stream, CODES[answer.verdict], values, answer.body)):
@@ -248,7 +248,7 @@
 
     def _handle_check(self, stream: int, payload: bytes) -> None:
         try:
-            values, _ = fields_of(payload) if payload else ({}, b"")
+            values, _ = decode_fields(payload) if payload else ({}, b"")
         except BadRequestError as error:
             raise BadInputError(f"a health check: {error}") from None
         if stream in self.open:  # the caller would take the check's answer for the request's
@@ -257,19 +257,24 @@
         work = self.module.ports.work
         if (
             values.get(THOROUGH_FIELD) == TRUE
-            and not self.module.status.stored
+            and not self.module.status.cached
             and work
             and self.module.status.healthy
             and (len(self.open) < MAX_OPEN)
         ):
             self.open[stream] = None
-            work.exercise(functools.partial(self._checked, stream))
+            work.exercise(functools.partial(self._send_check_result, stream))
         else:
-            self._checked(stream, True)
+            self._send_check_result(stream, True)
 
-    def _checked(self, stream: int, worked: bool) -> None:
+    def _send_check_result(self, stream: int, worked: bool) -> None:
         self.open.pop(stream, None)
-        good = worked and self.module.status.healthy and self.module.able() and self.module.offered()
+        good = (
+            worked
+            and self.module.status.healthy
+            and self.module.can_run()
+            and self.module.listed_by_operators()
+        )
         self.counters.add("answered.checks_good" if good else "answered.checks_bad")
         self.post(
             Reply(CHECKED, stream, HEALTHY if good else UNHEALTHY, advice_fields(self.module.status.advice))
@@ -283,7 +288,7 @@
         """Answer all open requests and health checks with a failure, as the process ends."""
         for stream, request in list(self.open.items()):
             if request is None:
-                self._checked(stream, False)
+                self._send_check_result(stream, False)
             else:  # a failure and no refusal, as the request may have run
                 self.counters.add("answered.at_exit")
                 self._send_answer(stream, Answer(Verdict.FAILED, b"the node ends"))
@@ -296,10 +301,10 @@
         """Return whether no request or health check is open."""
         return not self.open
 
-    def begun(self) -> bool:
+    def has_partial_message(self) -> bool:
         """Return whether a part of a frame was received recently."""
         return len(self.inbox) > 0 and self.silent <= PARTIAL_MESSAGE_SWEEPS
 
     def input_ended(self) -> None:
         """Close once all requests are answered, as the front end may still wait for its last answers."""
-        self.finish()
+        self.close_when_answered()
--- a/beechrock/net/ledger.py
+++ b/beechrock/net/ledger.py
@@ -148,7 +148,7 @@
     def send_control(self, action: life.Action) -> None:
         """Do nothing: links to the ledger have no handshake."""
 
-    def lost(self) -> None:
+    def on_unreachable(self) -> None:
         """Do nothing: the next call opens a new link."""
 
 
@@ -219,13 +219,13 @@
         if link.open.get(call.request.trace) is not call:
             return
         now = self.module.clock()
-        if now > call.since + call.wait_s + life.LATE_S and not call.extended:
+        if now > call.since + call.wait_s + life.PAUSE_LATENESS_S and not call.extended:
             # The timer fired late, as this process was paused: a reply that came in time may be unread.
             call.extended = True
             call.timer = self.module.timers.at(now + LATE_REPLY_S, lambda: self._time_out(link, call))
             return
         self._give_up(link, call)
-        link.finish()  # no other call is sent on a connection on which one has timed out
+        link.close_when_answered()  # a connection is not reused after a call on it timed out
         self.ended(call, Outcome.TIMED_OUT if link.opened else Outcome.UNREACHABLE, b"")
 
     def _give_up(self, link: LedgerLink, call: OpenCall) -> None:
@@ -252,5 +252,5 @@
             if link.closing and not link.open:
                 link.owner.link_actor.handle_event(life.Closing(link.owner.link_actor.life.link))
             elif not link.open and (now - link.used_at > IDLE_S or link.address != self.address):
-                link.finish()
+                link.close_when_answered()
         self.module.timers.at(now + 1.0, self._close_idle_links)
--- a/beechrock/net/scgi.py
+++ b/beechrock/net/scgi.py
@@ -23,7 +23,7 @@
     ROUTE_HEADER,
     TEAM_HEADER,
     ScgiError,
-    headers_of,
+    decode_headers,
     parse_generation,
 )
 from beechrock.net.scgi_reply import Reply as Reply
@@ -36,7 +36,7 @@
 MAX_OUT_BYTES = 1 << 21
 # A request is rejected if it is incomplete after this share of the shortest deadline, or after STALL_S.
 STALL_SHARE, STALL_S = 0.5, 2.5
-HELD_KB = 4.0  # memory of a request in KB, without its body
+REQUEST_OVERHEAD_KB = 4.0  # memory of a request in KB, without its body
 ENDING = "this connection ends; nothing ran"
 
 
@@ -70,11 +70,11 @@
 class Allowed:
     """A request within its contract.
 
-    ``share`` is the tenant index for the module; ``ended`` is called once, with the duration of the run in
-    seconds, or None if it never ran; ``headers`` returns headers for the answer.
+    ``tenant_index`` identifies the tenant to the module; ``ended`` is called once, with the duration of the
+    run in seconds, or None if it never ran; ``headers`` returns headers for the answer.
     """
 
-    share: int
+    tenant_index: int
     ended: Callable[[float | None], None]
     headers: Callable[[], ReplyHeaders]
 
@@ -104,7 +104,7 @@
         """
         ...
 
-    def renew(self, meaning: "Inventory") -> None:
+    def apply_inventory(self, meaning: "Inventory") -> None:
         """Apply a new inventory."""
         ...
 
@@ -145,7 +145,7 @@
         await super().serve(reader, writer)
 
     def _join(self, team: str) -> bool:
-        """Count the connection among those of its team. Returns whether it was admitted."""
+        """Add the connection to its team's connections; return whether it was admitted."""
         if self.team is not None or self.front.limits is None:
             return True
         own = self.front.connections_by_team.setdefault(team, {})
@@ -192,7 +192,7 @@
         block = self.inbox.read(size)
         if self.inbox.read(1) != b",":
             raise ScgiError(400, "the netstring does not end in a comma")
-        self.headers = headers_of(block)
+        self.headers = decode_headers(block)
         length = self.headers[LENGTH_HEADER]
         if len(length) > 10 or int(length) > MAX_BODY_BYTES:  # leading zeros must not hide a long number
             raise ScgiError(413, f"a body of over {MAX_BODY_BYTES} bytes")
@@ -205,7 +205,7 @@
         # team has left. If it were rejected, its caller would conclude that the request never ran.
         nonce = headers.get(KEY_HEADER, "")
         if self.module.settings.classes[klass].idempotency is Idempotency.KEYED and (
-            self.module.idempotency.knows(route, nonce, self.born)
+            self.module.idempotency.is_repeat(route, nonce, self.born)
         ):
             return True
         if not self._join(team):
@@ -232,17 +232,17 @@
             self.module.table.counts.on_front_answer(request.route, Verdict.REFUSED)
             raise ScgiError(503, ENDING)
         if self.allowed is not None:
-            request.limits_tenant, request.ended = self.allowed.share, self._report_end
+            request.limits_tenant, request.ended = self.allowed.tenant_index, self._report_end
         edges = self.front.edges
         if edges is not None and edges.takes(request, self.headers, self._send_reply):  # edges answer it
             self._report_end(0.0)  # the limits count only the start; the edge accounts for later costs
-            self.request, self.uses = request, 1
+            self.request, self.messages_received = request, 1
             self.inbox.skip(len(self.inbox))
             return
         if not self.module.post(RequestReceived(request)):
             self.module.table.counts.on_front_answer(request.route, Verdict.REFUSED)
             raise ScgiError(503, "too many requests")
-        self.request, self.uses = request, 1
+        self.request, self.messages_received = request, 1
         self.inbox.skip(len(self.inbox))  # SCGI allows nothing after the body, so the rest is ignored
 
     def _find_contract(self, headers: dict[str, str]) -> tuple[str, str, int]:
@@ -276,7 +276,7 @@
             born=self.born,
             body=body,
             answer=self._answer,
-            kb=HELD_KB + len(body) / 1024,
+            kb=REQUEST_OVERHEAD_KB + len(body) / 1024,
             tenant=self.front.inventory.teams[team],
             retry=headers.get(RETRY_HEADER) == "1",
             nonce=nonce,
@@ -308,13 +308,13 @@
                 self.reject(ScgiError(400, "the request is cut off"))
             else:
                 self.stall.cancel()
-                self.finish()
+                self.close_when_answered()
 
     def bad_input(self, problem: str) -> None:
         """Reject with status 400."""
         self.reject(ScgiError(400, problem))
 
-    def failed_inside(self) -> None:
+    def report_internal_error(self) -> None:
         """Answer with status 500, unless a complete request gets its own answer."""
         if self.request is None:
             self.reject(ScgiError(500, "internal error"))
@@ -333,7 +333,7 @@
         self.stall.cancel()
         if not self.post(reply):
             self.counters.add("answered.without_connection")
-        self.finish()
+        self.close_when_answered()
 
     def encode(self, message: Reply) -> bytes:
         """Return the wire format of a reply."""
@@ -343,7 +343,7 @@
         """Return whether no answer is pending."""
         return self.answered or self.request is None
 
-    def end(self) -> None:
+    def close_when_idle(self) -> None:
         """Do nothing: the connection ends with its answer, and must not end without one."""
 
     def answer_all(self) -> None:
@@ -374,18 +374,18 @@
         """Create the actor for a new connection."""
         return ScgiConnection(self)
 
-    def send_full(self, peer: ScgiConnection) -> None:
+    def reject_full(self, peer: ScgiConnection) -> None:
         """Reject with status 503."""
         peer.reject(ScgiError(503, "too many connections"))
 
     def end_if_idle(self, peer: ScgiConnection) -> bool:
         """End a connection; one without a request gets an answer first, as its request may be in transit."""
-        if peer.request is None and not peer.answered and not peer.input_waits():
+        if peer.request is None and not peer.answered and not peer.has_unread_input():
             peer.answer_all()
             return True
-        return peer.shut()
+        return peer.close_if_idle()
 
-    def ended(self, peer: ScgiConnection) -> None:
+    def on_connection_ended(self, peer: ScgiConnection) -> None:
         """Cancel the request of a connection that has ended, if it is not answered."""
         peer.stall.cancel()
         if peer.team is not None:
--- a/beechrock/policy/node.py
+++ b/beechrock/policy/node.py
@@ -175,7 +175,7 @@
         self.health.end_slot()
         self.statistics.end_slot(self.abacus.slot_s)
         self.idle_connections.update()
-        self.health.judge()
+        self.health.update()
 
     def _apply(self, event: api.Event) -> None:
         match event:
@@ -218,7 +218,7 @@
             case api.RunFinished(_, outcome, _):
                 self._finish(entry, outcome)
             case api.CallNeeded() if entry.phase == RUNNING:
-                self.calls.need(entry, max(1.0, entry.calls_left))
+                self.calls.queue_or_skip(entry, max(1.0, entry.calls_left))
             case api.CallEnded(_, outcome, elapsed_s) if entry.phase == CALLING:
                 self.calls.end(entry, outcome, elapsed_s)
             case api.CallerDisconnected() if not entry.answered:
@@ -230,7 +230,7 @@
             if entry.launch is not None:
                 entry.launch.served = outcome is api.Outcome.OK
             on_cores = entry.phase == RUNNING
-            cores_s = entry.cores_s + (self.context.now_s - entry.moved_s) * on_cores
+            cores_s = entry.cores_s + (self.context.now_s - entry.phase_start_s) * on_cores
             self.statistics.add_run(entry, outcome is api.Outcome.ERROR, cores_s)
         elif outcome is api.Outcome.REJECTED:  # It never ran, and the table removes its entry by itself
             self.keys.discard(entry.request.id)
@@ -252,7 +252,7 @@
         self.abacus.add_slots()
 
     def _answer_due(self) -> None:
-        """Answer requests that are due. Rule: each one is answered by its deadline, even while it runs."""
+        """Answer all due requests, as each must be answered by its deadline even while it runs."""
         for entry in self.table.pop_due():
             self.answers.give_up(entry)
         for entry in self.table.pop_late_runs():
@@ -265,7 +265,7 @@
                 self.answers.give_up(entry)
 
     def _start_runs(self) -> None:
-        """Start held requests in the order of their objectives' ends; reject those that are too late."""
+        """Start held requests, earliest end of the objective first; reject requests that are too late."""
         for queue in sorted(self.table.held, key=lambda queue: queue[:1]):
             while (entry := self.table.first(queue, HELD)) is not None:
                 if self._too_late(entry) or self.shutdown.past_grace(entry):
@@ -276,7 +276,7 @@
                     break
 
     def _too_late(self, entry: OpenRequest) -> bool:
-        """Tell whether a run would end too late to be useful; a due probe runs despite the estimate."""
+        """Return whether a run would end too late to be useful; a due probe runs despite the estimate."""
         now_s = self.context.now_s
         if now_s + self.calls.remaining_s(entry) <= entry.useful_until_s:
             return False
--- a/beechrock/releases/operators.py
+++ b/beechrock/releases/operators.py
@@ -197,7 +197,7 @@
         work = self.part.program.servers
         if work is None or self.part.machine.permits.targets[target].kind is not Kind.SERVER:
             return None
-        return int(work.servers.load.get(address_of(target), 0))
+        return int(work.servers.open_runs.get(address_of(target), 0))
 
     def _reached(self, now: float, target: str) -> list[int] | None:
         """Return [nodes that reach, nodes that use] a returning server; None for other targets."""
--- a/beechrock/replica/catchup.py
+++ b/beechrock/replica/catchup.py
@@ -1,16 +1,20 @@
-"""What one that returns lacks, how it gets it, and what it may do meanwhile. Pure.
-
-States: AWAY (nobody has judged this folder yet), TAIL (a giver tells what it knows this one has not
-acknowledged), SNAPSHOT (empty, older or another's memory: ranges of key hashes from ``cursor`` on, which is
-kept on disk), REPAIR (digests against the others), WHOLE.
-Events: ``judged`` (a peer's word on this folder), ``outdated``, ``piece``, ``wants`` (time), ``repaired`` (a
-round with a peer is over, and all that it had is here).
-Transitions: AWAY to TAIL or SNAPSHOT or REPAIR; TAIL and SNAPSHOT to REPAIR; REPAIR to WHOLE; any to SNAPSHOT
-when a peer finds the memory older; WHOLE stays so until the process ends or that.
-
-Invariants: WHOLE only after repair against so many that every majority which this node was ever part of is
-met, or, with a memory that no one found wanting, against a majority with itself; ``cursor`` never goes back
-within one copy; spends nothing in AWAY and SNAPSHOT; counts for no majority but in WHOLE.
+"""State machine of a node that catches up after a start: what it lacks, how it gets it, and what it may do
+meanwhile. Pure.
+
+States: AWAY (no peer has judged this node's store yet), TAIL (a peer sends the changes that this node has
+not acknowledged), SNAPSHOT (the store is older than known, another one's or lacks many records: a full copy
+is taken by ranges of key hashes, from ``cursor`` on, which is kept on disk), REPAIR (digests are compared
+with the others'), WHOLE.
+Events: ``on_verdict`` (a peer's verdict on this node's store), ``outdated``, ``piece``, ``next_giver``
+(time), ``repaired`` (a repair round with a peer has ended, and all that the peer had is here).
+Transitions: AWAY to TAIL, SNAPSHOT or REPAIR; TAIL to REPAIR or SNAPSHOT; SNAPSHOT to REPAIR; REPAIR to
+WHOLE; any state to SNAPSHOT when a peer finds the store older or outdated. Otherwise WHOLE lasts until the
+process ends.
+
+Invariants: after a loss of memory, a node becomes WHOLE only after repair against so many peers that they
+meet every majority which it was ever part of; otherwise after repair against enough peers to form a majority
+with itself. ``cursor`` never decreases within one copy. A node spends nothing in AWAY and SNAPSHOT, and
+counts for a majority only in WHOLE.
 """
 
 from dataclasses import dataclass, field
@@ -20,8 +24,9 @@
 from beechrock.replica.sums import RANGES
 from beechrock.store.witness import Verdict
 
-MANY = 4096  # a giver that holds so many more is copied from before digests are compared
-SILENT_S = 3.0
+# If a peer holds more than this many records beyond ours, a full copy is taken before digests are compared.
+COPY_THRESHOLD = 4096
+SILENT_S = 3.0  # Seconds without a piece after which another peer is asked.
 
 
 class Stage(Enum):
@@ -34,18 +39,21 @@
 
 @dataclass(slots=True)
 class Catchup:
-    nodes: int  # of the fleet, this one included
-    cursor: int = RANGES  # below RANGES: a copy is under way, from here on; it was kept on disk
-    forgot: bool = False  # this memory was empty or found older: it has to be met by more
+    """The state machine of one node."""
+
+    nodes: int  # Number of nodes in the fleet, this one included.
+    cursor: int = RANGES  # First range still to be copied; RANGES if no copy is in progress. Kept on disk.
+    forgot: bool = False  # Whether the store was empty or found older: repair then needs more peers.
     stage: Stage = Stage.AWAY
-    copies: int = 0  # whole ones that were begun in this life
-    giver: str = ""
-    asked_s: float = 0.0
-    repaired_by: set[str] = field(default_factory=set)
-    history: list[Stage] = field(default_factory=lambda: [Stage.AWAY])
+    # Number of times in this life that the node began with a loss of memory or set its causal records aside.
+    resets: int = 0
+    giver: str = ""  # Peer that is asked for the next piece of the copy.
+    giver_active_s: float = 0.0  # Time of the giver's last piece, or of its choice, in monotonic seconds.
+    repaired_by: set[str] = field(default_factory=set)  # Peers whose repair round has ended.
+    history: list[Stage] = field(default_factory=lambda: [Stage.AWAY])  # The last 32 stages, in order.
 
     def __post_init__(self) -> None:
-        self.copies = int(self.forgot)
+        self.resets = int(self.forgot)
 
     @property
     def majority(self) -> int:
@@ -53,86 +61,89 @@
 
     @property
     def need(self) -> int:
-        """Others to be repaired against."""
+        """Number of other nodes to be repaired against before this node is whole."""
         return self.nodes - self.majority + 1 if self.forgot and self.nodes > 1 else self.majority - 1
 
-    # --- what it may do
+    # --- permissions of the current stage
 
     @property
     def may_spend(self) -> bool:
         return self.stage not in (Stage.AWAY, Stage.SNAPSHOT)
 
     @property
-    def counts(self) -> bool:
-        """For majorities, as a giver, and as one whose advice is heard."""
+    def whole(self) -> bool:
+        """Whether this node is whole, so that its acknowledgements count for a majority."""
         return self.stage is Stage.WHOLE
 
     # --- events
 
-    def judged(self, now: float, by: str, verdict: Verdict, tail: bool, more: int) -> bool:
-        """``more``: records that the peer holds beyond ours. Whether all causal records are to be set
-        aside."""
+    def on_verdict(self, now: float, peer: str, verdict: Verdict, tail: bool, surplus: int) -> bool:
+        """Process a peer's verdict on this node's store. ``tail``: the peer knows which changes
+        this node lacks. ``surplus``: how many records the peer holds beyond ours. Return whether all causal
+        records have to be set aside."""
         if verdict in (Verdict.OLDER, Verdict.OTHER) and not self.forgot:
-            return self.outdated(now, by)
+            return self.outdated(now, peer)
         if self.cursor < RANGES and self.stage is not Stage.SNAPSHOT:
-            self._turn(Stage.SNAPSHOT)  # a copy that was cut off goes on where it was
-            self.giver, self.asked_s = by, now
-        elif self.stage in (Stage.AWAY, Stage.TAIL) and more > MANY:
-            self._copy(now, by)
+            self._enter(Stage.SNAPSHOT)  # An interrupted copy continues at its cursor.
+            self.giver, self.giver_active_s = peer, now
+        elif self.stage in (Stage.AWAY, Stage.TAIL) and surplus > COPY_THRESHOLD:
+            self._start_copy(now, peer)
         elif self.stage is Stage.AWAY:
-            self._turn(Stage.TAIL if tail and not self.forgot else Stage.REPAIR)
+            self._enter(Stage.TAIL if tail and not self.forgot else Stage.REPAIR)
         return False
 
-    def outdated(self, now: float, by: str) -> bool:
-        """A peer dropped tombstones that this node never heard of: what it holds may be deleted. Whether all
-        causal records are to be set aside."""
+    def outdated(self, now: float, peer: str) -> bool:
+        """Start a full copy, because a peer dropped tombstones that this node never received: records held
+        here may have been deleted. Return whether all causal records have to be set aside."""
         if self.stage is Stage.SNAPSHOT:
             return False
-        self.forgot, self.copies = True, self.copies + 1
-        self._copy(now, by)
+        self.forgot, self.resets = True, self.resets + 1
+        self._start_copy(now, peer)
         return True
 
-    def _copy(self, now: float, giver: str) -> None:
+    def _start_copy(self, now: float, giver: str) -> None:
         self.repaired_by.clear()
-        self.cursor, self.giver, self.asked_s = 0, giver, now
-        self._turn(Stage.SNAPSHOT)
+        self.cursor, self.giver, self.giver_active_s = 0, giver, now
+        self._enter(Stage.SNAPSHOT)
 
-    def piece(self, now: float, by: str, start: int, after: int) -> bool:
-        """Whether it continues the copy; another's, an older or a doubled one does not."""
+    def piece(self, now: float, peer: str, start: int, after: int) -> bool:
+        """Advance the cursor over a piece of the copy. Return whether it continues the copy; an old or
+        repeated piece does not."""
         if self.stage is not Stage.SNAPSHOT or start != self.cursor or not start < after <= RANGES:
             return False
-        self.cursor, self.asked_s, self.giver = after, now, by
+        self.cursor, self.giver_active_s, self.giver = after, now, peer
         if self.cursor == RANGES:
-            self._turn(Stage.REPAIR)
+            self._enter(Stage.REPAIR)
         return True
 
-    def wants(self, now: float, others: list[str]) -> str:
-        """The giver to ask for the next piece; another where the one asked is silent. Empty: none."""
+    def next_giver(self, now: float, others: list[str]) -> str:
+        """Return the peer to ask for the next piece, or an empty string for none. A peer that has been silent
+        for SILENT_S is replaced by the next one."""
         if self.stage is not Stage.SNAPSHOT or not others:
             return ""
-        if self.giver not in others or now - self.asked_s > SILENT_S:
+        if self.giver not in others or now - self.giver_active_s > SILENT_S:
             at = others.index(self.giver) + 1 if self.giver in others else 0
-            self.giver, self.asked_s = others[at % len(others)], now
+            self.giver, self.giver_active_s = others[at % len(others)], now
         return self.giver
 
-    def repaired(self, by: str) -> bool:
-        """Whether this node is whole from here on."""
+    def repaired(self, peer: str) -> bool:
+        """Record that a repair round with a peer has ended. Return whether this node has become whole."""
         if self.stage not in (Stage.REPAIR, Stage.TAIL):
             return False
-        self.repaired_by.add(by)
+        self.repaired_by.add(peer)
         if self.stage is Stage.TAIL:
-            self._turn(Stage.REPAIR)
+            self._enter(Stage.REPAIR)
         if len(self.repaired_by) >= self.need:
-            self._turn(Stage.WHOLE)
+            self._enter(Stage.WHOLE)
             return True
         return False
 
-    def alone(self) -> None:
-        """A fleet of one has nobody to ask."""
+    def start_alone(self) -> None:
+        """Become whole at once in a fleet of one node, where there is no peer to ask."""
         if self.nodes == 1 and self.stage is Stage.AWAY:
-            self._turn(Stage.WHOLE)
+            self._enter(Stage.WHOLE)
 
-    def _turn(self, stage: Stage) -> None:
+    def _enter(self, stage: Stage) -> None:
         if stage is Stage.WHOLE and (self.cursor < RANGES or len(self.repaired_by) < self.need):
             raise BrokenInvariantError(
                 f"whole at range {self.cursor}, repaired by {len(self.repaired_by)}",
--- a/beechrock/replica/journal.py
+++ b/beechrock/replica/journal.py
@@ -1,7 +1,8 @@
-"""What a node's disk holds of its copies: entries of the store, and the snapshot. Pure.
+"""Format of the replica's data on disk: entries of the store's log, and the snapshot. Pure.
 
-An entry is records, a cursor of a copy that is under way, or the note that all causal records were set aside.
-Read again in order, they make the same table; a record is a state, so one that is there twice does no harm.
+An entry holds records, the cursor of a full copy, or the note that all causal records were set aside.
+Replayed in order, entries rebuild the same table. A record is a whole state that merges, so replaying one
+twice is harmless.
 """
 
 from collections.abc import Iterator
@@ -14,31 +15,31 @@
 from beechrock.replica.errors import ReplicaRecordError
 from beechrock.replica.records import Causal, pack, unpack
 from beechrock.replica.sums import RANGES
-from beechrock.replica.table import MOST_RECORDS, Table
+from beechrock.replica.table import MAX_RECORDS, Table
 
 FORMAT = 1
-MOST_ENTRY = 1 << 20
-PART = 1000  # records in a part of a snapshot
+MAX_ENTRY_BYTES = 1 << 20  # Size at which an entry of records is closed, in bytes.
+PART_RECORDS = 1000  # Number of records in a part of a snapshot.
 
 
 @dataclass(slots=True)
 class Loaded:
-    """What a store held, before its node is made."""
+    """The contents of a store, loaded before its core is made."""
 
-    table: Table = field(default_factory=lambda: Table("", most=2 * MOST_RECORDS))
+    table: Table = field(default_factory=lambda: Table("", max_records=2 * MAX_RECORDS))
     aside: dict[bytes, Causal] = field(default_factory=dict)
     cursor: int = RANGES
     forgot: bool = False
 
     def entry(self, data: bytes) -> None:
-        """ReplicaRecordError for what cannot be read."""
-        self._take(_read(data))
+        """Replay an entry of the log. Raises ReplicaRecordError if it cannot be read."""
+        self._replay(_decode(data))
 
-    def _take(self, told: list[Any]) -> None:
-        match told:
+    def _replay(self, fields: list[Any]) -> None:
+        match fields:
             case ["records", entries]:
                 for name, packed in entries:
-                    self.table.hear(name, packed)
+                    self.table.merge_state(name, packed)
             case ["aside"]:
                 self.aside |= self.table.set_aside()
             case ["settled", entries]:
@@ -54,85 +55,91 @@
             case ["copy", int(cursor), bool(forgot)]:
                 self.cursor, self.forgot = cursor, forgot
             case _:
-                raise ReplicaRecordError("an entry of no known kind", where="store replica")
+                raise ReplicaRecordError("an entry of an unknown kind", where="store replica")
 
     def snapshot(self, data: bytes) -> None:
-        """Entries one behind the other. ReplicaRecordError."""
+        """Load a snapshot, which is a sequence of entries. Raises ReplicaRecordError if it cannot be read."""
         unpacker = msgpack.Unpacker(max_buffer_size=len(data) + 1)
         unpacker.feed(data)
-        for told in unpacker:
-            self._take(_of_format(told))
+        for fields in unpacker:
+            self._replay(_check_format(fields))
 
-    def into(self, core: Core) -> None:
-        """Be what was held; ``core`` is new."""
+    def install_into(self, core: Core) -> None:
+        """Hand the loaded records to a new core."""
         table = self.table
-        table.writer, table.kinds, table.most = core.table.writer, core.table.kinds, core.table.most
-        table.touched = core.table.touched
+        table.writer, table.kinds, table.max_records = (
+            core.table.writer,
+            core.table.kinds,
+            core.table.max_records,
+        )
+        table.on_change = core.table.on_change
         core.hold(table)
         core.aside = self.aside
 
 
 def entries(core: Core) -> list[bytes]:
-    """What is to be appended since the last call, in order."""
-    made = []
+    """Return the log entries for all changes since the last call, in order."""
+    encoded = []
     if core.reset:
         core.reset = False
-        made.append(_write("aside"))
-    size, some = 0, list[Any]()
+        encoded.append(_encode("aside"))
+    size, batch = 0, list[Any]()
     for name, packed in core.take_writes():
-        some.append((name, packed))
+        batch.append((name, packed))
         size += len(name) + len(packed)
-        if size >= MOST_ENTRY:
-            made.append(_write("records", some))
-            size, some = 0, []
-    if some:
-        made.append(_write("records", some))
-    copy = (core.catchup.cursor, core.catchup.forgot and not core.catchup.counts)
+        if size >= MAX_ENTRY_BYTES:
+            encoded.append(_encode("records", batch))
+            size, batch = 0, []
+    if batch:
+        encoded.append(_encode("records", batch))
+    copy = (core.catchup.cursor, core.catchup.forgot and not core.catchup.whole)
     if copy != core.noted:
         core.noted = copy
-        made.append(_write("copy", *copy))
-    return made
+        encoded.append(_encode("copy", *copy))
+    return encoded
 
 
 def blank() -> bytes:
-    """The first entry of a store: until a whole copy was taken, its node has met nothing."""
-    return _write("copy", RANGES, True)
+    """Return the first entry of an empty store. It marks the node as one that lost its memory until it is
+    whole."""
+    return _encode("copy", RANGES, True)
 
 
 def snapshot(core: Core) -> Iterator[bytes]:
-    """In parts, so that other work may go on between them: what changes meanwhile is in later entries of the
-    log, and merges. Not over a set-aside: begin again then."""
+    """Return a snapshot in parts, so that other work can run between them. Changes made meanwhile are in
+    later entries of the log, and merge. If records are set aside meanwhile, the snapshot must be
+    discarded."""
     names = list(core.table.records)
-    for at in range(0, len(names), PART):
-        yield _write(
+    for at in range(0, len(names), PART_RECORDS):
+        yield _encode(
             "records",
             [
                 (name, pack(state))
-                for name in names[at : at + PART]
+                for name in names[at : at + PART_RECORDS]
                 if (state := core.table.state(name)) is not None
             ],
         )
     settled = list(core.table.settled.items())
-    for at in range(0, len(settled), PART):
-        yield _write("settled", [(name, pack(state)) for name, state in settled[at : at + PART]])
-    yield _write("set aside", [(name, pack(state)) for name, state in core.aside.items()])
-    yield _write("copy", *core.noted)
+    for at in range(0, len(settled), PART_RECORDS):
+        yield _encode("settled", [(name, pack(state)) for name, state in settled[at : at + PART_RECORDS]])
+    yield _encode("set aside", [(name, pack(state)) for name, state in core.aside.items()])
+    yield _encode("copy", *core.noted)
 
 
-def _write(*told: Any) -> bytes:
-    data: bytes = msgpack.packb((FORMAT, *told))
+def _encode(*fields: Any) -> bytes:
+    data: bytes = msgpack.packb((FORMAT, *fields))
     return data
 
 
-def _read(data: bytes) -> list[Any]:
+def _decode(data: bytes) -> list[Any]:
     try:
-        return _of_format(msgpack.unpackb(data))
+        return _check_format(msgpack.unpackb(data))
     except (ValueError, TypeError, msgpack.UnpackException):
-        return _of_format(None)
+        return _check_format(None)
 
 
-def _of_format(found: Any) -> list[Any]:
-    version, *told = found if isinstance(found, list) and found else [0]
+def _check_format(found: Any) -> list[Any]:
+    version, *fields = found if isinstance(found, list) and found else [0]
     if version != FORMAT:
         raise ReplicaRecordError(
             f"format {version}",
@@ -140,4 +147,4 @@
             wanted=f"{FORMAT}",
             do="run the version that wrote it, or a later one",
         )
-    return told
+    return fields
--- a/tests/samples/test_limits_samples.py
+++ b/tests/samples/test_limits_samples.py
@@ -1,4 +1,4 @@
-"""What the disk holds of budgets' spending, as an earlier tree wrote it."""
+"""Stored spending of budgets, as an earlier version wrote it."""
 
 from pathlib import Path
 
@@ -16,7 +16,7 @@
 
 
 def account(period: int, carried: int, moved: int, ceiling: int, warned: int) -> Account:
-    """As a start reads it: all that the disk allows counts as spent."""
+    """Return an account as read at a start: the whole stored ceiling counts as spent."""
     return Account(period, carried, moved, ceiling, 0, ceiling, warned)
 
 
@@ -27,13 +27,13 @@
 
 
 def write(folder: Path) -> None:
-    """A snapshot with two teams, one of which no budget knows any more, then an entry."""
+    """Write spending of two teams, a snapshot after one of them lost its budget, then an entry."""
     files = Files(folder)
     with fixed_random():
         disk = SpendingDisk(files)
-    disk.write(journal.written({"packagers": BEFORE, "readers": OTHER}))
-    disk.compact(journal.written({"packagers": SAVED}), WALL_S)
-    disk.write(journal.written({"packagers": LATER}))
+    disk.write(journal.encode({"packagers": BEFORE, "readers": OTHER}))
+    disk.compact(journal.encode({"packagers": SAVED}), WALL_S)
+    disk.write(journal.encode({"packagers": LATER}))
     disk.close()
 
 
@@ -45,7 +45,7 @@
 def test_the_spending_is_read(tmp_path: Path) -> None:
     disk = SpendingDisk(Files(sample_copy(SAMPLE, tmp_path)))
     saved, states = disk.store.snapshot(), disk.states
-    assert saved is not None and journal.read(saved[1]) == {"packagers": SAVED, "readers": OTHER}
+    assert saved is not None and journal.decode(saved[1]) == {"packagers": SAVED, "readers": OTHER}
     assert states == {"packagers": LATER, "readers": OTHER}
     assert (disk.store.first, disk.store.last) == (2, 2)
     disk.close()
--- a/tests/test_closing_rare.py
+++ b/tests/test_closing_rare.py
@@ -8,7 +8,7 @@
 from play import Stand, run, until
 from test_closing import CHECK_1, CHECK_2, connect, leave, node
 
-from beechrock.net.frame_codec import ANSWER, CHECK, CHECKED, FAILED, REFUSED, frame
+from beechrock.net.frame_codec import ANSWER, CHECK, CHECKED, FAILED, REFUSED, encode_frame
 from beechrock.net.frame_connection import MAX_BAD_REQUESTS_UNREAD
 
 
@@ -40,7 +40,7 @@
             lambda: f"{caller.frames()}",
         )
         assert [payload[0] for kind, _, payload in caller.frames() if kind == ANSWER] == [FAILED]
-        peer._checked(5, False)
+        peer._send_check_result(5, False)
         await caller.answered()
 
     run(work)
@@ -70,18 +70,18 @@
     run(work)
 
 
-@pytest.mark.parametrize("uses", [0, 1, 2])
+@pytest.mark.parametrize("messages_received", [0, 1, 2])
 def test_a_full_table_evicts_no_connection_with_half_a_request_while_another_is_idle(
-    uses: int,
+    messages_received: int,
 ) -> None:
     async def work(stand: Stand) -> None:
         front, _ = await node(stand, 0)
         slow, idle = connect(front), connect(front)
         await until(lambda: len(front.peers) == 2, lambda: "no connections")
-        for caller, count in ((slow, uses), (idle, 2)):
+        for caller, count in ((slow, messages_received), (idle, 2)):
             stand.now += 0.01
             for stream in range(1, count + 1):
-                caller.send(frame(CHECK, stream, b"\0"))
+                caller.send(encode_frame(CHECK, stream, b"\0"))
                 await caller.answered()
         front.max_connections = 2
         stand.now += 0.2
